--- a/cmd/capercove/main.go
+++ b/cmd/capercove/main.go
@@ -22,6 +22,7 @@
 
 	"capercove/choice"
 	"capercove/internal/bans"
+	"capercove/internal/clock"
 	"capercove/internal/config"
 	"capercove/internal/config/tables"
 	"capercove/internal/core"
@@ -153,7 +154,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	p.loop = server.New(l, log, listener)
-	p.core = core.New(settings(cfg), cfg.Seed, l, log, clock(), func() { p.loop.Do(p.core.Flush) }, p.loop.Accept)
+	p.core = core.New(settings(cfg), cfg.Seed, l, log, clock.Monotonic(), func() { p.loop.Do(p.core.Flush) }, p.loop.Accept)
 	p.pool = server.NewPool(p.loop, l, log, p.core)
 	in := intake.New(p.core)
 	p.own, p.intake = own, in
@@ -274,7 +275,7 @@
 		Settings: digest(cfg)}
 	p.peers = peers.New(cfg.Name, own.Uses, self, cfg.Settings.Routers, peers.Pooler{Core: p.core, Do: p.loop.Do, Keep: p.pool.Keep,
 		Connections: func() int { return p.front.Clients() + p.pool.Conns() }, Log: p.log})
-	p.fleet, err = gossip.Start(cfg.Name, own, own.Pace(), p.log, clock(), p.peers.Period)
+	p.fleet, err = gossip.Start(cfg.Name, own, own.Pace(), p.log, clock.Monotonic(), p.peers.Period)
 	return err
 }
 
@@ -438,13 +439,6 @@
 	p.core.Wheel.At(p.core.Now()+p.limits.StoreEvery, func() { p.keep(name) })
 }
 
-// clock counts from the Unix epoch, as positions do, but never jumps.
-func clock() func() time.Duration {
-	start := time.Now()
-	epoch := time.Duration(start.UnixNano())
-	return func() time.Duration { return epoch + time.Since(start) }
-}
-
 // signals are those that are waited for. Each kind has a place of its own: of several that have yet to be looked at one is enough,
 // and none takes the place of another.
 type signals struct{ end, reload, print chan os.Signal }
