--- a/internal/faults/relay.go
+++ b/internal/faults/relay.go
@@ -7,6 +7,8 @@
 	"net/netip"
 	"sync"
 	"time"
+
+	"capercove/internal/testbed/addresses"
 )
 
 const (
@@ -17,11 +19,12 @@
 
 // Relay stands before one process: what others send to its public address comes to its private one, as the links say.
 type Relay struct {
-	net     *Net
-	name    string
-	private netip.AddrPort
-	tcp     net.Listener
-	udp     *net.UDPConn
+	net      *Net
+	name     string
+	private  netip.AddrPort
+	reserved *addresses.Reservation // of private; nil where it was not chosen here
+	tcp      net.Listener
+	udp      *net.UDPConn
 
 	mu      sync.Mutex
 	back    map[netip.AddrPort]*net.UDPConn // a socket towards the process for each sender
@@ -72,20 +75,20 @@
 }
 
 // Place gives a process an address of its own to listen at and to send from, and puts a relay before it at a public one. Both are
-// loopback addresses that no other process may have; the ports are chosen.
+// loopback addresses that no other process may have; the ports are chosen. The process's is reserved until the relay is closed: for
+// UDP too, as Listen and thereby all that choose a port there go by TCP.
 func (n *Net) Place(name string, own, public netip.Addr) (listen string, r *Relay, err error) {
-	l, u, err := Listen(netip.AddrPortFrom(own, 0))
+	reserved, err := addresses.Reserve(netip.AddrPortFrom(own, 0))
 	if err != nil {
 		return "", nil, err
 	}
-	at := l.Addr().(*net.TCPAddr).AddrPort()
-	l.Close()
-	u.Close()
 	n.Register(name, own)
-	if r, err = n.Stand(name, netip.AddrPortFrom(public, 0), at); err != nil {
+	if r, err = n.Stand(name, netip.AddrPortFrom(public, 0), reserved.AddrPort()); err != nil {
+		reserved.Close()
 		return "", nil, err
 	}
-	return at.String(), r, nil
+	r.reserved = reserved
+	return reserved.String(), r, nil
 }
 
 // Listen listens for TCP and UDP at one address. With port 0 it takes one that is free for both.
@@ -113,6 +116,9 @@
 	r.closed = true
 	r.tcp.Close()
 	r.udp.Close()
+	if r.reserved != nil {
+		r.reserved.Close()
+	}
 	for _, c := range r.back {
 		c.Close()
 	}
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -7,7 +7,7 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
+	"net/netip"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -22,6 +22,7 @@
 	"capercove/internal/model"
 	"capercove/internal/scenario"
 	"capercove/internal/standin"
+	"capercove/internal/testbed/addresses"
 )
 
 // Run is what came of one play of a scenario.
@@ -220,6 +221,7 @@
 type process struct {
 	binary, config, own, log, addr string
 	env                            []string
+	reserved                       []*addresses.Reservation
 
 	mu       sync.Mutex // guards all below
 	cmd      *exec.Cmd
@@ -230,20 +232,36 @@
 }
 
 func startPooler(fleet *standin.Fleet, i int, o Options, more string) (*process, error) {
-	addr, err := free(o.Host)
+	addr, err := reserve(o.Host)
 	if err != nil {
 		return nil, err
 	}
-	management, err := free(o.Host)
+	management, err := reserve(o.Host)
 	if err != nil {
+		addr.Close()
 		return nil, err
 	}
-	text, err := fleet.Config(i, addr, management, 192, 1024)
+	p, err := preparePooler(fleet, i, o, more, addr, management)
+	if err == nil {
+		err = p.start()
+	}
+	if err != nil {
+		addr.Close()
+		management.Close()
+		return nil, err
+	}
+	return p, nil
+}
+
+// preparePooler writes what a pooler reads. The process holds the reservations from then on.
+func preparePooler(fleet *standin.Fleet, i int, o Options, more string, addr, management *addresses.Reservation) (*process, error) {
+	text, err := fleet.Config(i, addr.String(), management.String(), 192, 1024)
 	if err != nil {
 		return nil, err
 	}
 	path := func(what string) string { return filepath.Join(o.Dir, fmt.Sprintf("pooler-%d%s", i, what)) }
-	p := &process{binary: o.Binary, config: path(".json"), own: path(".toml"), log: path(".log"), addr: addr}
+	p := &process{binary: o.Binary, config: path(".json"), own: path(".toml"), log: path(".log"),
+		addr: addr.String(), reserved: []*addresses.Reservation{addr, management}}
 	if err := errors.Join(os.WriteFile(p.config, text, 0o600), os.WriteFile(p.own, []byte(fleet.World.Operator()+more), 0o600)); err != nil {
 		return nil, err
 	}
@@ -252,17 +270,16 @@
 		return nil, err
 	}
 	p.env = append(os.Environ(), "GW_CONFIG="+p.config, "CAPERCOVE_CONFIG="+p.own, "TMPDIR="+tmp)
-	return p, p.start()
+	return p, nil
 }
 
-// free returns an address that nobody listens at just now.
-func free(host string) (string, error) {
-	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
+// reserve reserves an address at which a pooler can listen whenever it runs.
+func reserve(host string) (*addresses.Reservation, error) {
+	ip, err := netip.ParseAddr(host)
 	if err != nil {
-		return "", err
+		return nil, err
 	}
-	defer l.Close()
-	return l.Addr().String(), nil
+	return addresses.Reserve(netip.AddrPortFrom(ip, 0))
 }
 
 func (p *process) start() error {
@@ -334,6 +351,9 @@
 	p.expect(true)
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
+	for _, r := range p.reserved {
+		r.Close()
+	}
 }
 
 // usage is the CPU time and the memory of all its lives.
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -19,6 +19,7 @@
 	"capercove/internal/pg"
 	"capercove/internal/scenario"
 	"capercove/internal/sim"
+	"capercove/internal/testbed/addresses"
 )
 
 // Fleet is an emulated fleet on sockets.
@@ -49,7 +50,7 @@
 	pooler *pooler
 	member *emulator.Member
 	addr   string
-	listen net.Listener // the loop's, as the next; nil while the process does not run
+	listen *net.TCPListener // the loop's, as the next; nil while the process does not run
 	conns  map[net.Conn]*conn
 }
 
@@ -116,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	s.listen, s.addr = l, l.Addr().String()
+	s.listen, s.addr = l.(*net.TCPListener), l.Addr().String()
 	s.pooler.fleet.wait.Go(func() {
 		for {
 			c, err := l.Accept()
@@ -138,7 +139,7 @@
 // close resets all connections and refuses new ones.
 func (s *server) close() {
 	if s.listen != nil {
-		s.listen.Close()
+		addresses.Close(s.listen)
 		s.listen = nil
 	}
 	for c, k := range s.conns {
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -6,11 +6,13 @@
 	"bytes"
 	"cmp"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"net/netip"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -26,6 +28,7 @@
 
 	"capercove/internal/discovery"
 	"capercove/internal/pg"
+	"capercove/internal/testbed/addresses"
 )
 
 // Patience is how long anything that must happen may take on a busy machine.
@@ -63,7 +66,8 @@
 	config    string // path of the program's configuration
 	own       string // path of the operators' file
 	env       []string
-	listener  *os.File // the clients' listening socket, where the program inherits it
+	reserved  *addresses.Reservation // of Addr
+	listener  *os.File               // the clients' listening socket, where the program inherits it
 	process   *exec.Cmd
 	exited    chan error
 	log       *output
@@ -108,12 +112,9 @@
 
 // WithListener lets the program inherit the clients' listening socket.
 func WithListener(b *Bed) {
-	l, err := net.Listen("tcp", b.Addr)
+	var err error
+	b.listener, err = b.reserved.Listen()
 	require.NoError(b.T, err)
-	defer l.Close()
-	b.listener, err = l.(*net.TCPListener).File()
-	require.NoError(b.T, err)
-	b.T.Cleanup(func() { b.listener.Close() })
 }
 
 // WithoutDiscovery starts the program while discovery is down.
@@ -121,8 +122,9 @@
 
 // Start runs the program with a primary, db-0, and one replica, db-1, of group 3.
 func Start(t *testing.T, options ...Option) *Bed {
-	b := &Bed{T: t, Addr: Free(t), changes: make(chan discovery.List, 16), revision: 1, Sockets: 1024, Settings: Settings,
-		Management: Free(t), name: "n0"}
+	reserved := reserve(t)
+	b := &Bed{T: t, Addr: reserved.String(), reserved: reserved, changes: make(chan discovery.List, 16), revision: 1,
+		Sockets: 1024, Settings: Settings, Management: Free(t), name: "n0"}
 	b.discovery = httptest.NewServer(http.HandlerFunc(b.serveList))
 	t.Cleanup(func() {
 		b.discovery.Listener.Close()
@@ -605,24 +607,36 @@
 // WithProgram starts another program than the shipped one, such as a Variant.
 func WithProgram(path string) Option { return func(b *Bed) { b.program = path } }
 
-// Free returns an address on which nothing listens, nor will by chance: each test process has a loopback address of its
-// own, and the ports are below those that the system gives out.
-func Free(t *testing.T) string {
+// Free returns an address at which nothing listens, nor will by chance: it is reserved until the test ends.
+func Free(t *testing.T) string { return reserve(t).String() }
+
+// Each test process has a loopback address of its own, and takes ports below those that the system gives out.
+const (
+	firstPort = 20000
+	lastPort  = 30000
+)
+
+var ports atomic.Int32
+
+func init() { ports.Store(firstPort) }
+
+// reserve reserves the next address of this test process until the test ends.
+func reserve(t *testing.T) *addresses.Reservation {
 	pid := os.Getpid()
+	own := netip.AddrFrom4([4]byte{127, byte(1 + pid/62500%120), byte(pid / 250 % 250), byte(1 + pid%250)})
 	for {
-		addr := fmt.Sprintf("127.%d.%d.%d:%d", 1+pid/62500%120, pid/250%250, 1+pid%250, ports.Add(1))
-		if l, err := net.Listen("tcp", addr); err == nil {
-			l.Close()
-			return addr
+		port := ports.Add(1)
+		require.Less(t, port, int32(lastPort), "free addresses")
+		r, err := addresses.Reserve(netip.AddrPortFrom(own, uint16(port)))
+		if errors.Is(err, syscall.EADDRINUSE) {
+			continue
 		}
-		require.Less(t, ports.Load(), int32(30000), "free addresses")
+		require.NoError(t, err)
+		t.Cleanup(func() { r.Close() })
+		return r
 	}
 }
 
-var ports atomic.Int32
-
-func init() { ports.Store(20000) }
-
 // output collects what the program prints.
 type output struct {
 	mu sync.Mutex
