--- /dev/null
+++ b/internal/store/boltfile.go
@@ -0,0 +1,343 @@
+package store
+
+import (
+	"bytes"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"io"
+	"os"
+)
+
+// ErrDamaged is wrapped by errors about a directory whose files do not hold what was written.
+var ErrDamaged = errors.New("damaged")
+
+// ErrNewer is wrapped by errors about files that a newer version has written.
+var ErrNewer = errors.New("written by a newer version")
+
+// The form of bbolt's file, little-endian as on all machines that the program is built for. bbolt reads it through a memory map and
+// trusts all of it but the two meta pages: a file that was cut ends the process by SIGBUS, a damaged page by a panic or a walk
+// without end. So it is checked before bbolt opens it.
+const (
+	boltMagic   = 0xED0CDAED
+	boltVersion = 2
+
+	pageHeaderSize  = 16 // id 8, flags 2, count 2, overflow 4
+	pageElementSize = 16
+	metaSize        = 64
+	metaChecksumAt  = 56
+	bucketSize      = 16 // root 8, sequence 8
+	noFreelist      = ^uint64(0)
+	manyFree        = 0xFFFF // the count is in the page's first word
+	freeIDSize      = 8
+	firstDataPage   = 2 // behind both meta pages
+	freshPages      = 4 // of a file in which nothing was ever committed
+	leastPageSize   = 1 << 9
+	mostPageSize    = 1 << 16
+
+	branchPage   = 0x01
+	leafPage     = 0x02
+	metaPage     = 0x04
+	freelistPage = 0x10
+	bucketFlag   = 0x01 // of a leaf's element
+)
+
+// boltMeta is one of the two roots of the file; the valid one with the highest transaction counts.
+type boltMeta struct {
+	pageSize              uint64
+	root, freelist, pages uint64
+	transaction           uint64
+}
+
+// parseBoltMeta reads a meta page. The error is ErrDamaged or ErrNewer.
+func parseBoltMeta(page []byte) (m boltMeta, err error) {
+	if len(page) < pageHeaderSize+metaSize {
+		return m, fmt.Errorf("a meta page is cut: %w", ErrDamaged)
+	}
+	b := page[pageHeaderSize:]
+	if binary.LittleEndian.Uint32(b) != boltMagic {
+		return m, fmt.Errorf("a meta page has another magic number: %w", ErrDamaged)
+	}
+	if version := binary.LittleEndian.Uint32(b[4:]); version > boltVersion {
+		return m, fmt.Errorf("the file has version %d, %d is known: %w", version, boltVersion, ErrNewer)
+	} else if version < boltVersion {
+		return m, fmt.Errorf("the file has version %d: %w", version, ErrDamaged)
+	}
+	sum := fnv.New64a()
+	sum.Write(b[:metaChecksumAt])
+	if binary.LittleEndian.Uint64(b[metaChecksumAt:]) != sum.Sum64() {
+		return m, fmt.Errorf("a meta page has another checksum: %w", ErrDamaged)
+	}
+	return boltMeta{pageSize: uint64(binary.LittleEndian.Uint32(b[8:])), root: binary.LittleEndian.Uint64(b[16:]),
+		freelist: binary.LittleEndian.Uint64(b[32:]), pages: binary.LittleEndian.Uint64(b[40:]),
+		transaction: binary.LittleEndian.Uint64(b[48:])}, nil
+}
+
+// boltFile is a file that is checked.
+type boltFile struct {
+	from io.ReaderAt
+	size uint64
+	meta boltMeta
+	seen map[uint64]bool // pages that are in use
+}
+
+// checkBoltFile tells whether bbolt can read all of a file: nil, or an error that wraps ErrDamaged, ErrNewer or a failed read's.
+func checkBoltFile(from io.ReaderAt, size int64) error {
+	f := &boltFile{from: from, size: uint64(size), seen: map[uint64]bool{}}
+	if err := f.readMeta(); err != nil {
+		return err
+	}
+	if f.meta.pages > f.size/f.meta.pageSize {
+		return fmt.Errorf("%d bytes, of %d pages of %d bytes: %w", f.size, f.meta.pages, f.meta.pageSize, ErrDamaged)
+	}
+	if err := f.checkTree(f.meta.root); err != nil {
+		return err
+	}
+	return f.checkFreelist()
+}
+
+// readMeta chooses a meta page as bbolt does.
+func (f *boltFile) readMeta() error {
+	first := make([]byte, pageHeaderSize+metaSize)
+	if err := f.read(first, 0); err != nil {
+		return err
+	}
+	meta, err := parseBoltMeta(first)
+	pageSize := meta.pageSize
+	if err != nil {
+		pageSize = uint64(os.Getpagesize())
+	}
+	if pageSize < leastPageSize || pageSize > mostPageSize {
+		return fmt.Errorf("pages of %d bytes: %w", pageSize, ErrDamaged)
+	}
+	second := make([]byte, pageHeaderSize+metaSize)
+	if err := f.read(second, pageSize); err != nil {
+		return err
+	}
+	other, otherErr := parseBoltMeta(second)
+	switch {
+	case err != nil && otherErr != nil:
+		return errors.Join(err, otherErr)
+	case errors.Is(err, ErrNewer) || errors.Is(otherErr, ErrNewer):
+		return errors.Join(err, otherErr)
+	case err != nil || otherErr == nil && other.transaction > meta.transaction:
+		meta = other
+	}
+	if meta.pageSize != pageSize {
+		return fmt.Errorf("pages of %d bytes and of %d: %w", pageSize, meta.pageSize, ErrDamaged)
+	}
+	f.meta = meta
+	return nil
+}
+
+// read fills a buffer from an offset.
+func (f *boltFile) read(into []byte, at uint64) error {
+	if at > f.size || uint64(len(into)) > f.size-at {
+		return fmt.Errorf("%d bytes, cut: %w", f.size, ErrDamaged)
+	}
+	if _, err := f.from.ReadAt(into, int64(at)); err != nil {
+		return fmt.Errorf("read: %w", err)
+	}
+	return nil
+}
+
+// page is a page with those behind it that belong to it.
+type page struct {
+	id    uint64
+	flags uint16
+	count uint64
+	body  []byte // header included
+}
+
+// use reads a page that has one place in the file.
+func (f *boltFile) use(id uint64) (p page, err error) {
+	header := make([]byte, pageHeaderSize)
+	if id < firstDataPage || id >= f.meta.pages {
+		return p, fmt.Errorf("page %d of %d: %w", id, f.meta.pages, ErrDamaged)
+	}
+	if err := f.read(header, id*f.meta.pageSize); err != nil {
+		return p, err
+	}
+	overflow := uint64(binary.LittleEndian.Uint32(header[12:]))
+	if binary.LittleEndian.Uint64(header) != id || overflow >= f.meta.pages-id {
+		return p, fmt.Errorf("page %d has another's header: %w", id, ErrDamaged)
+	}
+	for other := id; other <= id+overflow; other++ {
+		if f.seen[other] {
+			return p, fmt.Errorf("page %d stands twice: %w", other, ErrDamaged)
+		}
+		f.seen[other] = true
+	}
+	body := make([]byte, (overflow+1)*f.meta.pageSize)
+	if err := f.read(body, id*f.meta.pageSize); err != nil {
+		return p, err
+	}
+	return page{id: id, flags: binary.LittleEndian.Uint16(header[8:]), count: uint64(binary.LittleEndian.Uint16(header[10:])), body: body}, nil
+}
+
+// checkTree walks through the pages of a bucket, and of those in it.
+func (f *boltFile) checkTree(root uint64) error {
+	for open := []uint64{root}; len(open) > 0; {
+		p, err := f.use(open[len(open)-1])
+		if err != nil {
+			return err
+		}
+		children, err := p.children()
+		if err != nil {
+			return err
+		}
+		open = append(open[:len(open)-1], children...)
+	}
+	return nil
+}
+
+// children returns the pages that a page of a tree names.
+func (p page) children() (ids []uint64, err error) {
+	switch p.flags {
+	case branchPage:
+		if p.count == 0 {
+			return nil, p.damaged("a branch without children")
+		}
+	case leafPage:
+	default:
+		return nil, p.damaged(fmt.Sprintf("flags %#x", p.flags))
+	}
+	if pageHeaderSize+p.count*pageElementSize > uint64(len(p.body)) {
+		return nil, p.damaged(fmt.Sprintf("%d elements", p.count))
+	}
+	var before []byte
+	for i := range p.count {
+		at := pageHeaderSize + i*pageElementSize
+		key, more, err := p.element(at)
+		if err != nil {
+			return nil, err
+		}
+		if i > 0 && bytes.Compare(before, key) >= 0 {
+			return nil, p.damaged("its keys are not sorted")
+		}
+		before, ids = key, append(ids, more...)
+	}
+	return ids, nil
+}
+
+// element reads one element of a page: its key, and the pages that it names.
+func (p page) element(at uint64) (key []byte, ids []uint64, err error) {
+	e := p.body[at : at+pageElementSize]
+	first, second := uint64(binary.LittleEndian.Uint32(e)), uint64(binary.LittleEndian.Uint32(e[4:]))
+	if p.flags == branchPage { // position, size of the key, page
+		key, err := p.slice(at+first, second)
+		return key, []uint64{binary.LittleEndian.Uint64(e[8:])}, err
+	}
+	keySize, valueSize := uint64(binary.LittleEndian.Uint32(e[8:])), uint64(binary.LittleEndian.Uint32(e[12:]))
+	key, err = p.slice(at+second, keySize) // flags, position, sizes
+	if err != nil {
+		return nil, nil, err
+	}
+	value, err := p.slice(at+second+keySize, valueSize)
+	if err != nil || first&bucketFlag == 0 {
+		return key, nil, err
+	}
+	if len(value) < bucketSize {
+		return nil, nil, p.damaged("a bucket is cut")
+	}
+	if root := binary.LittleEndian.Uint64(value); root != 0 {
+		return key, []uint64{root}, nil
+	}
+	ids, err = p.inline(value[bucketSize:])
+	return key, ids, err
+}
+
+// inline checks a bucket whose only page stands in an element's value.
+func (p page) inline(body []byte) ([]uint64, error) {
+	if len(body) < pageHeaderSize {
+		return nil, p.damaged("a bucket's page is cut")
+	}
+	inner := page{id: p.id, flags: binary.LittleEndian.Uint16(body[8:]), count: uint64(binary.LittleEndian.Uint16(body[10:])), body: body}
+	if inner.flags != leafPage {
+		return nil, p.damaged("a bucket's page is no leaf")
+	}
+	return inner.children()
+}
+
+func (p page) slice(at, size uint64) ([]byte, error) {
+	if at > uint64(len(p.body)) || size > uint64(len(p.body))-at {
+		return nil, p.damaged("an element reaches beyond it")
+	}
+	return p.body[at : at+size], nil
+}
+
+func (p page) damaged(how string) error {
+	return fmt.Errorf("page %d: %s: %w", p.id, how, ErrDamaged)
+}
+
+// checkFreelist tells whether the list of free pages names free pages, each once.
+func (f *boltFile) checkFreelist() error {
+	if f.meta.freelist == noFreelist {
+		return nil
+	}
+	p, err := f.use(f.meta.freelist)
+	if err != nil {
+		return err
+	}
+	if p.flags != freelistPage {
+		return p.damaged("no list of free pages")
+	}
+	ids, count := p.body[pageHeaderSize:], p.count
+	if count == manyFree {
+		if len(ids) < freeIDSize {
+			return p.damaged("a list without a length")
+		}
+		ids, count = ids[freeIDSize:], binary.LittleEndian.Uint64(ids)
+	}
+	if count > uint64(len(ids)/freeIDSize) {
+		return p.damaged(fmt.Sprintf("%d free pages", count))
+	}
+	for i := range count {
+		id := binary.LittleEndian.Uint64(ids[i*freeIDSize:])
+		if id < firstDataPage || id >= f.meta.pages || f.seen[id] {
+			return p.damaged(fmt.Sprintf("page %d is listed as free", id))
+		}
+		f.seen[id] = true
+	}
+	return nil
+}
+
+// freshBoltFile is a file as bbolt writes it at first: with nothing committed.
+func freshBoltFile(pageSize int) []byte {
+	file := make([]byte, freshPages*pageSize)
+	for id := range freshPages {
+		p := file[id*pageSize:]
+		binary.LittleEndian.PutUint64(p, uint64(id))
+		flags := []uint16{metaPage, metaPage, freelistPage, leafPage}[id]
+		binary.LittleEndian.PutUint16(p[8:], flags)
+		if flags != metaPage {
+			continue
+		}
+		m := p[pageHeaderSize : pageHeaderSize+metaSize]
+		binary.LittleEndian.PutUint32(m, boltMagic)
+		binary.LittleEndian.PutUint32(m[4:], boltVersion)
+		binary.LittleEndian.PutUint32(m[8:], uint32(pageSize))
+		binary.LittleEndian.PutUint64(m[16:], firstDataPage+1) // the root's page
+		binary.LittleEndian.PutUint64(m[32:], firstDataPage)   // the list of free pages
+		binary.LittleEndian.PutUint64(m[40:], freshPages)
+		binary.LittleEndian.PutUint64(m[48:], uint64(id)) // transaction
+		sum := fnv.New64a()
+		sum.Write(m[:metaChecksumAt])
+		binary.LittleEndian.PutUint64(m[metaChecksumAt:], sum.Sum64())
+	}
+	return file
+}
+
+// halfCreated tells whether a file is what is left where a process was killed, or the disk was full, while bbolt created it.
+func halfCreated(from io.ReaderAt, size int64) (bool, error) {
+	fresh := freshBoltFile(os.Getpagesize())
+	if size >= int64(len(fresh)) {
+		return false, nil
+	}
+	file := make([]byte, size)
+	if _, err := from.ReadAt(file, 0); err != nil && size > 0 {
+		return false, fmt.Errorf("read: %w", err)
+	}
+	return bytes.HasPrefix(fresh, file), nil
+}
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -83,17 +83,17 @@
 		return err
 	}
 	id, at := raft.ServerID(p.Name), raft.ServerAddress(p.Listen)
-	if err := r.raft.AddNonvoter(id, at, 0, r.limits.StoreWait).Error(); err != nil {
+	if err := r.await(r.raft.AddNonvoter(id, at, 0, r.limits.StoreWait)); err != nil {
 		return err
 	}
 	goal, until := r.state.revision(), time.Now().Add(r.limits.StoreCatchUp)
 	for !r.holds(p.API, goal) {
 		if time.Now().After(until) || !r.Leads() {
-			return errors.Join(fmt.Errorf("%s does not get to what the others hold", p.Name), r.raft.RemoveServer(id, 0, r.limits.StoreWait).Error())
+			return errors.Join(fmt.Errorf("%s does not get to what the others hold", p.Name), r.await(r.raft.RemoveServer(id, 0, r.limits.StoreWait)))
 		}
 		time.Sleep(r.limits.StoreCatchUp / 100)
 	}
-	return r.raft.AddVoter(id, at, 0, r.limits.StoreWait).Error()
+	return r.await(r.raft.AddVoter(id, at, 0, r.limits.StoreWait))
 }
 
 // holds tells whether the store at an address holds a revision.
@@ -140,7 +140,7 @@
 		}
 		return errors.New("it led, and has handed the lead over: once more")
 	}
-	return r.raft.RemoveServer(raft.ServerID(name), 0, r.limits.StoreWait).Error()
+	return r.await(r.raft.RemoveServer(raft.ServerID(name), 0, r.limits.StoreWait))
 }
 
 // serveMembers answers calls about members, passing changes on to the leader.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -12,7 +12,6 @@
 	"io"
 	"net"
 	"net/http"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"sync"
@@ -20,7 +19,6 @@
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
-	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"github.com/rs/zerolog"
 	"go.etcd.io/bbolt"
 
@@ -42,14 +40,16 @@
 
 // replicated is a Store on raft.
 type replicated struct {
+	config Config
 	limits limits.Limits
 	log    zerolog.Logger
 	raft   *raft.Raft
 	name   string
 	apis   map[raft.ServerID]string // by the file; api knows those of members that came later
 	http   *http.Server
-	caller *http.Client // of the one that leads
-	bolt   io.Closer
+	caller *http.Client                         // of the one that leads
+	open   func(hclog.Logger) (*storage, error) // what is on disk
+	close  func() error                         // ... again
 	state  state
 
 	membership sync.Mutex // one change of members at a time
@@ -61,73 +61,107 @@
 	ended   sync.WaitGroup
 }
 
-// Open starts the store of the pooler of this name: alone and in memory, or with peers and on disk.
-func Open(cfg Config, name string, l limits.Limits, log zerolog.Logger) (Store, error) {
-	if err := cfg.lists(name); err != nil {
-		return nil, err
-	}
-	r := &replicated{name: name, limits: l, log: log, apis: map[raft.ServerID]string{}, caller: caller(nil), waiting: map[string][]byte{},
-		wake: make(chan struct{}, 1), done: make(chan struct{}),
-		state: state{record: newRecord(recordBounds{keys: l.StoreKeys, value: l.StoreValue, window: l.StoreWindow}), changed: make(chan struct{})}}
-	rc := raft.DefaultConfig()
-	rc.LocalID = raft.ServerID(name)
-	rc.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: log})
-
-	var logs raft.LogStore
-	var stable raft.StableStore
-	var snapshots raft.SnapshotStore = raft.NewInmemSnapshotStore()
-	if memory := raft.NewInmemStore(); cfg.Dir == "" {
-		logs, stable = memory, memory
-	} else {
-		// Against a start that hangs for ever: at an upgrade the process before may hold the file, and go on holding it until this one is ready.
-		bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(cfg.Dir, "raft.db"), BoltOptions: &bbolt.Options{Timeout: l.StoreCatchUp}})
-		if errors.Is(err, bbolt.ErrTimeout) {
-			return nil, fmt.Errorf("store: dir: %s is held by another process, such as the one before this at an upgrade: it has to end first", cfg.Dir)
-		}
-		if err != nil {
-			return nil, fmt.Errorf("store: dir: %w", err)
-		}
-		logs, stable, r.bolt = bolt, &patient{StableStore: bolt, log: log, again: l.StoreEvery / 10}, bolt
-		if snapshots, err = raft.NewFileSnapshotStoreWithLogger(cfg.Dir, 2, rc.Logger); err != nil {
-			return nil, fmt.Errorf("store: dir: %w", err)
+// newReplicated is a store that has not begun: it keeps what is put until then.
+func newReplicated(cfg Config, name string, l limits.Limits, log zerolog.Logger) *replicated {
+	r := &replicated{config: cfg, name: name, limits: l, log: log, apis: map[raft.ServerID]string{}, caller: caller(nil),
+		waiting: map[string][]byte{}, wake: make(chan struct{}, 1), done: make(chan struct{}),
+		state: state{record: newRecord(recordBounds{keys: l.StoreKeys, value: l.StoreValue, window: l.StoreWindow}),
+			changed: make(chan struct{})}}
+	r.open = r.openDirectory
+	return r
+}
+
+// begin opens the directory, joins the peers and serves calls. It can be called again after an error.
+func (r *replicated) begin() (err error) {
+	settings := raft.DefaultConfig()
+	settings.LocalID = raft.ServerID(r.name)
+	settings.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: r.log})
+	disk := inMemory()
+	if r.config.Dir != "" {
+		if disk, err = r.open(settings.Logger); err != nil {
+			return fmt.Errorf("store: dir: %w", err)
 		}
 	}
-	address, memory := raft.NewInmemTransport("")
-	var transport raft.Transport = memory
-	servers := []raft.Server{{ID: rc.LocalID, Address: address}}
-	if len(cfg.Peers) > 0 {
-		stream, err := listen(cmp.Or(cfg.Bind, cfg.Listen), cfg.Listen)
+	var ends []func() error // what was opened, the last first
+	defer func() {
 		if err != nil {
-			return nil, fmt.Errorf("store: listen: %w", err)
-		}
-		r.caller = caller(stream.own.IP)
-		transport, servers = raft.NewNetworkTransportWithLogger(stream, 2, l.StoreWait, rc.Logger), nil
-		for _, p := range cfg.Peers {
-			r.apis[raft.ServerID(p.Name)] = p.API
-			servers = append(servers, raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Listen)})
+			for _, end := range ends {
+				end()
+			}
 		}
+	}()
+	ends = append(ends, disk.close)
+	transport, servers, err := r.connect(settings)
+	if err != nil {
+		return fmt.Errorf("store: listen: %w", err)
 	}
-	known, err := raft.HasExistingState(logs, stable, snapshots)
+	if closer, closes := transport.(raft.WithClose); closes {
+		ends = append([]func() error{closer.Close}, ends...)
+	}
+	begun, err := disk.begun()
 	if err != nil {
-		return nil, fmt.Errorf("store: dir: %w", err)
+		return fmt.Errorf("store: dir: %w", err)
 	}
-	if !known && !cfg.Join { // All peers begin with the same list, so it does not matter which is first.
-		err := raft.BootstrapCluster(rc, logs, stable, snapshots, transport, raft.Configuration{Servers: servers})
+	if !begun && !r.config.Join { // All peers begin with the same list, so it does not matter which is first.
+		err := raft.BootstrapCluster(settings, disk.logs, disk.stable, disk.snapshots, transport, raft.Configuration{Servers: servers})
 		if err != nil {
-			return nil, fmt.Errorf("store: %w", err)
+			return fmt.Errorf("store: %w", err)
 		}
 	}
-	if r.raft, err = raft.NewRaft(rc, &r.state, logs, stable, snapshots, transport); err != nil {
-		return nil, fmt.Errorf("store: %w", err)
+	if r.config.Dir != "" {
+		disk.endure(persistence{log: r.log, again: r.limits.StoreEvery / writesAgain, done: r.done}, r.limits.StoreWait)
+	}
+	member, err := raft.NewRaft(settings, &r.state, disk.logs, disk.stable, disk.snapshots, transport)
+	if err != nil {
+		return fmt.Errorf("store: %w", err)
 	}
-	if err := r.serve(cmp.Or(cfg.APIBind, cfg.API)); err != nil {
-		return nil, err
+	r.raft, r.close = member, disk.close
+	if err := r.serve(cmp.Or(r.config.APIBind, r.config.API)); err != nil {
+		r.await(member.Shutdown())
+		return err
 	}
 	r.ended.Add(1)
 	go r.forward()
-	return r, nil
+	return nil
+}
+
+// writesAgain is how often within StoreEvery a write is tried again that must not fail.
+const writesAgain = 10
+
+// openDirectory opens the files on disk.
+func (r *replicated) openDirectory(log hclog.Logger) (*storage, error) {
+	// Against a start that hangs for ever: at an upgrade the process before may hold the file, and go on holding it until this one
+	// is ready.
+	disk, err := openDirectory(r.config.Dir, r.limits.StoreCatchUp, log)
+	if errors.Is(err, bbolt.ErrTimeout) {
+		return nil, fmt.Errorf("%s is held by another process, such as the one before this at an upgrade: it has to end first", r.config.Dir)
+	}
+	return disk, err
 }
 
+// connect returns the way to the peers, and who they are.
+func (r *replicated) connect(settings *raft.Config) (raft.Transport, []raft.Server, error) {
+	if len(r.config.Peers) == 0 {
+		address, memory := raft.NewInmemTransport("")
+		return memory, []raft.Server{{ID: settings.LocalID, Address: address}}, nil
+	}
+	stream, err := listen(cmp.Or(r.config.Bind, r.config.Listen), r.config.Listen)
+	if err != nil {
+		return nil, nil, err
+	}
+	r.caller = caller(stream.own.IP)
+	var servers []raft.Server
+	for _, p := range r.config.Peers {
+		r.apis[raft.ServerID(p.Name)] = p.API
+		servers = append(servers, raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Listen)})
+	}
+	return raft.NewNetworkTransportWithLogger(stream, connectionsKept, r.limits.StoreWait, settings.Logger), servers, nil
+}
+
+// connectionsKept is how many idle connections to each peer are kept.
+const connectionsKept = 2
+
+// Put implements Store.
 func (r *replicated) Put(key string, value any) {
 	text, err := json.Marshal(value)
 	if err != nil || len(text) > r.limits.StoreValue {
@@ -149,12 +183,31 @@
 
 func (r *replicated) Leads() bool { return r.raft.State() == raft.Leader }
 
-func (r *replicated) HandOver() error { return r.raft.LeadershipTransfer().Error() }
+func (r *replicated) HandOver() error { return r.await(r.raft.LeadershipTransfer()) }
+
+// errNoAnswer is of a call that raft has not answered in time, as it waits for the disk.
+var errNoAnswer = errors.New("no answer in time")
 
+// await waits for what raft does, for a bounded time: its own futures wait for a disk that hangs without end.
+func (r *replicated) await(f raft.Future) error {
+	ended := make(chan error, 1)
+	go func() { ended <- f.Error() }()
+	over := time.NewTimer(r.limits.StoreWait)
+	defer over.Stop()
+	select {
+	case err := <-ended:
+		return err
+	case <-over.C:
+		return errNoAnswer
+	}
+}
+
+// Close implements Store. It takes a few times StoreWait at the most, whatever the disk does.
 func (r *replicated) Close() {
 	close(r.done)
 	r.ended.Wait()
-	if r.Leads() && len(r.raft.GetConfiguration().Configuration().Servers) > 1 { // Against a time without a leader at a planned stop.
+	// Against a time without a leader at a planned stop.
+	if r.Leads() && len(r.raft.GetConfiguration().Configuration().Servers) > 1 {
 		if err := r.HandOver(); err != nil {
 			r.log.Warn().Err(err).Msg("store: nobody takes the lead over")
 		}
@@ -162,20 +215,14 @@
 	if r.http != nil {
 		r.http.Close()
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- r.raft.Shutdown().Error() }()
-	select {
-	case err := <-ended:
-		if err != nil {
-			r.log.Warn().Err(err).Msg("store: end")
-		}
-	case <-time.After(r.limits.StoreWait): // Against a disk that takes nothing: raft waits for it.
+	switch err := r.await(r.raft.Shutdown()); {
+	case errors.Is(err, errNoAnswer): // Against a disk that takes nothing: raft waits for it.
 		r.log.Warn().Msg("store: it does not end")
 		return
+	case err != nil:
+		r.log.Warn().Err(err).Msg("store: end")
 	}
-	if r.bolt != nil {
-		r.bolt.Close()
-	}
+	r.close()
 }
 
 // forward stores what waits, and tries again later what could not be stored.
@@ -223,7 +270,7 @@
 	}
 	if r.Leads() {
 		f := r.raft.Apply(text, r.limits.StoreWait)
-		if err := f.Error(); err != nil {
+		if err := r.await(f); err != nil {
 			return o, err
 		}
 		o, _ = f.Response().(Outcome)
@@ -237,7 +284,7 @@
 func (r *replicated) read(keys []string, may bool) (a Values, err error) {
 	if r.Leads() {
 		// A majority has taken the barrier in behind all that was agreed on before the call, and this pooler has applied it.
-		if err := r.raft.Barrier(r.limits.StoreWait).Error(); err != nil {
+		if err := r.await(r.raft.Barrier(r.limits.StoreWait)); err != nil {
 			return a, err
 		}
 		a.Revision, a.Values = r.state.read(keys)
