--- a/internal/store/guard_test.go
+++ b/internal/store/guard_test.go
@@ -244,3 +244,29 @@
 
 func (failingSink) Write([]byte) (int, error) { return 0, syscall.ENOSPC }
 func (failingSink) Cancel() error             { return nil }
+
+// A directory that is damaged is an error of the start; one that takes no file just now is not: the store begins later.
+func TestOpenTellsLastingErrors(t *testing.T) {
+	dir := written(t)
+	require.NoError(t, os.Truncate(filepath.Join(dir, boltName), 50_000))
+	_, err := Open(Config{Enabled: true, Dir: dir}, "n0", storeLimits, zerolog.Nop())
+	require.ErrorIs(t, err, ErrDamaged)
+	_, err = Open(Config{Enabled: true, Dir: filepath.Join(dir, "none")}, "n0", storeLimits, zerolog.Nop())
+	require.ErrorIs(t, err, os.ErrNotExist)
+
+	r := newReplicated(Config{Enabled: true, Dir: t.TempDir()}, "n0", storeLimits, zerolog.Nop())
+	var fails atomic.Int32
+	fails.Store(3)
+	r.open = func(log hclog.Logger) (*storage, error) {
+		if fails.Add(-1) >= 0 {
+			return nil, syscall.ENOSPC
+		}
+		return r.openDirectory(log)
+	}
+	s, err := start(r)
+	require.NoError(t, err)
+	s.Put("k", 1)
+	require.Empty(t, s.All())
+	require.Eventually(t, func() bool { return string(s.All()["k"]) == "1" }, patience, lookAgain)
+	s.Close()
+}
