--- /dev/null
+++ b/internal/filelock/filelock_test.go
@@ -0,0 +1,51 @@
+package filelock
+
+import (
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"golang.org/x/sys/unix"
+)
+
+func TestOpenWaitsForABoundedTime(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "lock")
+	held, err := Open(path, 0)
+	require.NoError(t, err)
+	started := time.Now()
+	_, err = Open(path, 20*time.Millisecond)
+	require.ErrorIs(t, err, ErrBusy)
+	require.GreaterOrEqual(t, time.Since(started), 20*time.Millisecond)
+	_, err = Open(path, 0)
+	require.ErrorIs(t, err, ErrBusy, "one attempt")
+	time.AfterFunc(20*time.Millisecond, func() { held.Close() })
+	next, err := Open(path, time.Minute)
+	require.NoError(t, err, "it is had once it is given back")
+	require.NoError(t, next.Close())
+}
+
+func TestAcquire(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		errors []error // of one call of flock after the other
+		want   error
+	}{
+		{"interrupted by signals", []error{unix.EINTR, unix.EINTR, nil}, nil},
+		{"held, then interrupted, then free", []error{unix.EWOULDBLOCK, unix.EINTR, nil}, nil},
+		{"the system has no locks left", []error{unix.EINTR, unix.ENOLCK}, unix.ENOLCK},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			file, err := Open(filepath.Join(t.TempDir(), "lock"), 0)
+			require.NoError(t, err)
+			defer file.Close()
+			calls := 0
+			err = acquire(file, unix.LOCK_EX, time.Minute, func(int, int) error {
+				calls++
+				return c.errors[calls-1]
+			})
+			require.ErrorIs(t, err, c.want)
+			require.Equal(t, len(c.errors), calls)
+		})
+	}
+}
