--- a/internal/filelock/filelock.go
+++ b/internal/filelock/filelock.go
@@ -1,6 +1,6 @@
-// Package filelock takes advisory locks of files (flock) for a bounded time. A process that is stopped while it holds a lock
-// holds it for as long as it is stopped, so nobody may wait for one without a bound; and flock ends with EINTR whenever a signal
-// arrives, of which the Go runtime sends itself many.
+// Package filelock takes advisory locks of files (flock) for a bounded time. A process that is stopped while it holds a
+// lock holds it for as long as it is stopped, so nobody may wait for one without a bound; and flock ends with EINTR
+// whenever a signal arrives, of which the Go runtime sends itself many.
 package filelock
 
 import (
@@ -18,8 +18,8 @@
 // ErrBusy tells that another open file held the lock for all of the time.
 var ErrBusy = errors.New("the lock is held by another process")
 
-// Open opens the file, creating it if there is none, and takes its exclusive lock within a time. With 0 it tries once. Closing the
-// file gives the lock back.
+// Open opens the file, creating it if there is none, and takes its exclusive lock within a time. With 0 it tries once.
+// Closing the file gives the lock back.
 func Open(path string, within time.Duration) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
