--- a/cmd/capercove/main.go
+++ b/cmd/capercove/main.go
@@ -154,7 +154,8 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	p.loop = server.New(l, log, listener)
-	p.core = core.New(settings(cfg), cfg.Seed, l, log, clock.Monotonic(), func() { p.loop.Do(p.core.Flush) }, p.loop.Accept)
+	now := clock.Monotonic()
+	p.core = core.New(settings(cfg), cfg.Seed, l, log, now, func() { p.loop.Do(p.core.Flush) }, p.loop.Accept)
 	p.pool = server.NewPool(p.loop, l, log, p.core)
 	in := intake.New(p.core)
 	p.own, p.intake = own, in
@@ -196,13 +197,14 @@
 		}()
 	}
 	p.core.Attach(p.watch, p.pool, watchers...)
-	p.bans = bans.Open(os.TempDir(), cfg.Name, log, func(set bans.Set) {
-		banned := map[choice.NodeID]time.Duration{}
-		for name, at := range set {
-			banned[discovery.ID(name)] = time.Duration(at) * time.Millisecond
-		}
-		p.loop.Do(func() { p.core.Ban(banned) })
-	})
+	p.bans = bans.Open(bans.Config{Dir: os.TempDir(), Pooler: cfg.Name, Files: bans.System{}, Now: now, Stamp: clock.Now,
+		Wall: clock.Wall, Limits: l, Log: log, Changed: func(set bans.Set) {
+			banned := map[choice.NodeID]time.Duration{}
+			for name, at := range set {
+				banned[discovery.ID(name)] = at
+			}
+			p.loop.Do(func() { p.core.Ban(banned) })
+		}})
 	if cfg.Management != "" {
 		operators, err := net.Listen("tcp", cfg.Management)
 		if err != nil {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -28,6 +28,8 @@
 	ClientBytes   int   // what all clients' connections may hold of both; the next to add to it is closed
 	OutputBytes   int   // answers that a client may leave unread before it is closed
 	Members       int   // entries of a list
+	Banned        int   // databases that operators may keep out
+	BansBytes     int   // one file of the bans
 	ListBytes     int   // one list, or one line of a watch
 	FlightMessage int   // longest message of a Flight stream
 	FlightClients int   // connections of Flight clients
@@ -79,6 +81,11 @@
 	ReadyWait      time.Duration // it is ready by then, also if no list has come or a primary is unknown
 	Figures        time.Duration // the operators' figures are this old at most
 	Bans           time.Duration // another process's change of the bans is seen by then
+	BansAnswer     time.Duration // a change of the bans is answered by then, also if it is not on disk yet
+	BansLock       time.Duration // the lock of the bans' file is waited for so long at a time
+	BansHandOver   time.Duration // a change that is not on disk by then is left for the other processes without the file
+	BansRetry      time.Duration // the first pause before a change of the bans is written again; each is twice the one before
+	BansRetryMost  time.Duration // ... up to this
 	Share          time.Duration // what processes beside each other may have open is settled this often
 	OperatorHead   time.Duration // an operator's call has come by then
 	OperatorCall   time.Duration // and is answered by then
@@ -138,6 +145,8 @@
 		ClientBytes:   int(memory / 3),
 		OutputBytes:   1 << 20,
 		Members:       4096,
+		Banned:        4096,
+		BansBytes:     4 << 20,
 		ListBytes:     4 << 20,
 		FlightMessage: flightMessage,
 		FlightClients: flight,
@@ -189,6 +198,11 @@
 		ReadyWait:      time.Second,
 		Figures:        100 * time.Millisecond,
 		Bans:           100 * time.Millisecond,
+		BansAnswer:     450 * time.Millisecond,
+		BansLock:       50 * time.Millisecond,
+		BansHandOver:   100 * time.Millisecond,
+		BansRetry:      50 * time.Millisecond,
+		BansRetryMost:  time.Second,
 		OperatorHead:   time.Second,
 		OperatorCall:   900 * time.Millisecond,
 		Share:          50 * time.Millisecond,
