--- a/cmd/capercove/main.go
+++ b/cmd/capercove/main.go
@@ -369,6 +369,8 @@
 	return <-found
 }
 
+func (o operator) BansUnsaved() int { return o.p.bans.Unsaved() }
+
 func (o operator) Ban(name string, banned bool) (known bool, err error) {
 	found := make(chan bool)
 	o.p.loop.Do(func() { found <- o.p.core.Has(discovery.ID(name)) })
@@ -520,7 +522,8 @@
 
 // stop ends the program. For a while it serves as ever: in a rolling restart the one before may not be back yet, and
 // clients sent away would find nobody. Then it finishes what was taken and closes each client between requests. When all is
-// answered, or the time is nearly up, it takes nothing more, fails what is open, and waits for the clients to read their answers. The
+// answered, or the time is nearly up, it takes nothing more, fails what is open, and waits for the clients to read their answers, and
+// for the operators' bans to be on disk or left for the next process. The
 // times are those of the moment in which it was told to end, whatever is reloaded since.
 func (p *program) stop() {
 	p.log.Info().Int("open", p.core.Open()).Msg("stopping")
@@ -554,7 +557,7 @@
 				p.loop.Refuse(func() { refusing = true })
 			}
 		}
-		if now >= by || ending && refusing && flightDone && p.front.Left() {
+		if now >= by || ending && refusing && flightDone && p.front.Left() && p.bans.Settled() {
 			p.loop.Stop()
 			return
 		}
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -35,6 +35,8 @@
 	Works(bears float64) any
 	// Ban keeps a database out, or lets it back in. It returns when that holds; known is false if nobody has the name.
 	Ban(name string, banned bool) (known bool, err error)
+	// BansUnsaved is how many changes of what is kept out hold and are not on disk yet.
+	BansUnsaved() int
 }
 
 // Statements are what operators are shown of the statements that were read, and of the shapes that matter most. No values
@@ -94,6 +96,7 @@
 	fmt.Fprintf(&b, "app.upstream_requests=%d\napp.pending=%d\napp.members=%d\napp.members_unavailable=%d\n",
 		f.Written, f.Pending, f.Members, f.Unavailable)
 	fmt.Fprintf(&b, "app.config_reloads=%d\napp.config_reload_errors=%d\n", f.Reloads, f.ReloadErrors)
+	fmt.Fprintf(&b, "app.bans_unsaved=%d\n", s.pooler.BansUnsaved())
 	if f.Door != nil {
 		doorLines(&b, f.Door)
 	}
