--- a/cmd/capercove/main.go
+++ b/cmd/capercove/main.go
@@ -154,7 +154,8 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	p.loop = server.New(l, log, listener)
-	p.core = core.New(settings(cfg), cfg.Seed, l, log, clock.Monotonic(), func() { p.loop.Do(p.core.Flush) }, p.loop.Accept)
+	now := clock.Monotonic()
+	p.core = core.New(settings(cfg), cfg.Seed, l, log, now, func() { p.loop.Do(p.core.Flush) }, p.loop.Accept)
 	p.pool = server.NewPool(p.loop, l, log, p.core)
 	in := intake.New(p.core)
 	p.own, p.intake = own, in
@@ -196,13 +197,14 @@
 		}()
 	}
 	p.core.Attach(p.watch, p.pool, watchers...)
-	p.bans = bans.Open(os.TempDir(), cfg.Name, log, func(set bans.Set) {
-		banned := map[choice.NodeID]time.Duration{}
-		for name, at := range set {
-			banned[discovery.ID(name)] = time.Duration(at) * time.Millisecond
-		}
-		p.loop.Do(func() { p.core.Ban(banned) })
-	})
+	p.bans = bans.Open(bans.Config{Dir: os.TempDir(), Pooler: cfg.Name, Files: bans.System{}, Now: now, Stamp: clock.Now,
+		Wall: clock.Wall, Limits: l, Log: log, Changed: func(set bans.Set) {
+			banned := map[choice.NodeID]time.Duration{}
+			for name, at := range set {
+				banned[discovery.ID(name)] = at
+			}
+			p.loop.Do(func() { p.core.Ban(banned) })
+		}})
 	if cfg.Management != "" {
 		operators, err := net.Listen("tcp", cfg.Management)
 		if err != nil {
@@ -367,6 +369,8 @@
 	return <-found
 }
 
+func (o operator) BansUnsaved() int { return o.p.bans.Unsaved() }
+
 func (o operator) Ban(name string, banned bool) (known bool, err error) {
 	found := make(chan bool)
 	o.p.loop.Do(func() { found <- o.p.core.Has(discovery.ID(name)) })
@@ -518,7 +522,8 @@
 
 // stop ends the program. For a while it serves as ever: in a rolling restart the one before may not be back yet, and
 // clients sent away would find nobody. Then it finishes what was taken and closes each client between requests. When all is
-// answered, or the time is nearly up, it takes nothing more, fails what is open, and waits for the clients to read their answers. The
+// answered, or the time is nearly up, it takes nothing more, fails what is open, and waits for the clients to read their answers, and
+// for the operators' bans to be on disk or left for the next process. The
 // times are those of the moment in which it was told to end, whatever is reloaded since.
 func (p *program) stop() {
 	p.log.Info().Int("open", p.core.Open()).Msg("stopping")
@@ -552,7 +557,7 @@
 				p.loop.Refuse(func() { refusing = true })
 			}
 		}
-		if now >= by || ending && refusing && flightDone && p.front.Left() {
+		if now >= by || ending && refusing && flightDone && p.front.Left() && p.bans.Settled() {
 			p.loop.Stop()
 			return
 		}
