--- a/internal/store/boltfile.go
+++ b/internal/store/boltfile.go
@@ -16,9 +16,9 @@
 // ErrNewer is wrapped by errors about files that a newer version has written.
 var ErrNewer = errors.New("written by a newer version")
 
-// The form of bbolt's file, little-endian as on all machines that the program is built for. bbolt reads it through a memory map and
-// trusts all of it but the two meta pages: a file that was cut ends the process by SIGBUS, a damaged page by a panic or a walk
-// without end. So it is checked before bbolt opens it.
+// The form of bbolt's file, little-endian as on all machines that the program is built for. bbolt reads it through a
+// memory map and trusts all of it but the two meta pages: a file that was cut ends the process by SIGBUS, a damaged
+// page by a panic or a walk without end. So it is checked before bbolt opens it.
 const (
 	boltMagic   = 0xED0CDAED
 	boltVersion = 2
@@ -82,7 +82,8 @@
 	seen map[uint64]bool // pages that are in use
 }
 
-// checkBoltFile tells whether bbolt can read all of a file: nil, or an error that wraps ErrDamaged, ErrNewer or a failed read's.
+// checkBoltFile tells whether bbolt can read all of a file: nil, or an error that wraps ErrDamaged, ErrNewer or a
+// failed read's.
 func checkBoltFile(from io.ReaderAt, size int64) error {
 	f := &boltFile{from: from, size: uint64(size), seen: map[uint64]bool{}}
 	if err := f.readMeta(); err != nil {
@@ -150,6 +151,12 @@
 	body  []byte // header included
 }
 
+// parsePage reads the header of a page that is there as a whole.
+func parsePage(id uint64, body []byte) page {
+	return page{id: id, flags: binary.LittleEndian.Uint16(body[8:]), count: uint64(binary.LittleEndian.Uint16(body[10:])),
+		body: body}
+}
+
 // use reads a page that has one place in the file.
 func (f *boltFile) use(id uint64) (p page, err error) {
 	header := make([]byte, pageHeaderSize)
@@ -173,7 +180,7 @@
 	if err := f.read(body, id*f.meta.pageSize); err != nil {
 		return p, err
 	}
-	return page{id: id, flags: binary.LittleEndian.Uint16(header[8:]), count: uint64(binary.LittleEndian.Uint16(header[10:])), body: body}, nil
+	return parsePage(id, body), nil
 }
 
 // checkTree walks through the pages of a bucket, and of those in it.
@@ -253,7 +260,7 @@
 	if len(body) < pageHeaderSize {
 		return nil, p.damaged("a bucket's page is cut")
 	}
-	inner := page{id: p.id, flags: binary.LittleEndian.Uint16(body[8:]), count: uint64(binary.LittleEndian.Uint16(body[10:])), body: body}
+	inner := parsePage(p.id, body)
 	if inner.flags != leafPage {
 		return nil, p.damaged("a bucket's page is no leaf")
 	}
@@ -329,7 +336,8 @@
 	return file
 }
 
-// halfCreated tells whether a file is what is left where a process was killed, or the disk was full, while bbolt created it.
+// halfCreated tells whether a file is what is left where a process was killed, or the disk was full, while bbolt
+// created it.
 func halfCreated(from io.ReaderAt, size int64) (bool, error) {
 	fresh := freshBoltFile(os.Getpagesize())
 	if size >= int64(len(fresh)) {
--- a/internal/store/deferred.go
+++ b/internal/store/deferred.go
@@ -13,8 +13,8 @@
 	"capercove/internal/limits"
 )
 
-// deferred is a Store whose directory may not be usable yet, as on a full disk: the pooler serves requests without it, and it begins
-// once the disk works. Until then it keeps what is put, knows nothing and answers no calls.
+// deferred is a Store whose directory may not be usable yet, as on a full disk: the pooler serves requests without
+// it, and it begins once the disk works. Until then it keeps what is put, knows nothing and answers no calls.
 type deferred struct {
 	store *replicated
 	begun atomic.Bool
@@ -23,9 +23,9 @@
 	ended  chan struct{} // closed when nobody tries to begin any more
 }
 
-// Open starts the store of the pooler of this name: alone and in memory, or with peers and on disk. An error is one that somebody has
-// to mend, such as a directory that is damaged or that another process holds. While the disk fails for a moment, or does not answer,
-// the store begins later.
+// Open starts the store of the pooler of this name: alone and in memory, or with peers and on disk. An error is one
+// that somebody has to mend, such as a directory that is damaged or that another process holds. While the disk fails
+// for a moment, or does not answer, the store begins later.
 func Open(cfg Config, name string, l limits.Limits, log zerolog.Logger) (Store, error) {
 	if err := cfg.lists(name); err != nil {
 		return nil, err
@@ -107,8 +107,8 @@
 
 // momentary tells whether an error may pass without anybody's doing anything about the files.
 func momentary(err error) bool {
-	for _, passing := range []error{errDiskFails, unix.ENOSPC, unix.EDQUOT, unix.EFBIG, unix.EIO, unix.EROFS, unix.ENOMEM, unix.EMFILE, unix.ENFILE,
-		unix.EINTR, unix.ETIMEDOUT, unix.ESTALE, io.ErrShortWrite} {
+	for _, passing := range []error{errDiskFails, unix.ENOSPC, unix.EDQUOT, unix.EFBIG, unix.EIO, unix.EROFS, unix.ENOMEM,
+		unix.EMFILE, unix.ENFILE, unix.EINTR, unix.ETIMEDOUT, unix.ESTALE, io.ErrShortWrite} {
 		if errors.Is(err, passing) {
 			return true
 		}
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -25,8 +25,8 @@
 	currentTermName = "CurrentTerm"  // raft's name for its term in the stable store
 	lastVoteName    = "LastVoteTerm" // ... and for the term in which it last voted
 
-	// mapSize is how much of the file bbolt maps at first, of addresses and not of memory. Against a remap that fails while the file
-	// grows, after which bbolt has no map at all.
+	// mapSize is how much of the file bbolt maps at first, of addresses and not of memory. Against a remap that fails
+	// while the file grows, after which bbolt has no map at all.
 	mapSize = 1 << 30
 )
 
@@ -41,7 +41,8 @@
 // inMemory is the storage of a pooler without peers.
 func inMemory() *storage {
 	memory := raft.NewInmemStore()
-	return &storage{logs: memory, stable: memory, snapshots: raft.NewInmemSnapshotStore(), close: func() error { return nil }}
+	return &storage{logs: memory, stable: memory, snapshots: raft.NewInmemSnapshotStore(),
+		close: func() error { return nil }}
 }
 
 // endure puts between raft and the files what lets it go on while the disk fails or hangs.
@@ -49,8 +50,8 @@
 	s.logs, s.stable = newDurableLog(s.logs, p, wait), &patient{StableStore: s.stable, persistence: p}
 }
 
-// openDirectory opens the files in a directory, or creates them. Nothing of them is trusted before it is checked. It waits for so
-// long for another process that holds them.
+// openDirectory opens the files in a directory, or creates them. Nothing of them is trusted before it is checked. It
+// waits for so long for another process that holds them.
 func openDirectory(dir string, lockWait time.Duration, log hclog.Logger) (s *storage, err error) {
 	if err := takesFiles(dir); err != nil {
 		return nil, err
@@ -87,8 +88,8 @@
 
 // boltError tells errors of the disk from those that stay.
 func boltError(err error) error {
-	for _, lasting := range []error{ErrDamaged, ErrNewer, bbolt.ErrTimeout, bbolt.ErrInvalid, bbolt.ErrVersionMismatch, bbolt.ErrChecksum,
-		fs.ErrPermission, fs.ErrNotExist, unix.ENOTDIR, unix.EISDIR} {
+	for _, lasting := range []error{ErrDamaged, ErrNewer, bbolt.ErrTimeout, bbolt.ErrInvalid, bbolt.ErrVersionMismatch,
+		bbolt.ErrChecksum, fs.ErrPermission, fs.ErrNotExist, unix.ENOTDIR, unix.EISDIR} {
 		if errors.Is(err, lasting) {
 			return err
 		}
@@ -176,8 +177,8 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// checkHistory tells whether snapshots and log together hold a whole history, which raft takes for granted: the newest snapshot that
-// can be read, and all entries behind it.
+// checkHistory tells whether snapshots and log together hold a whole history, which raft takes for granted: the
+// newest snapshot that can be read, and all entries behind it.
 func checkHistory(logs raft.LogStore, stable raft.StableStore, snapshots raft.SnapshotStore) error {
 	snapshot, err := newestSnapshot(snapshots)
 	if err != nil {
@@ -249,8 +250,8 @@
 	return nil
 }
 
-// begun tells whether a member has a history. What a bootstrap leaves that was broken off between its writes, the first term and
-// nothing else, is taken back.
+// begun tells whether a member has a history. What a bootstrap leaves that was broken off between its writes, the
+// first term and nothing else, is taken back.
 func (s *storage) begun() (bool, error) {
 	known, err := raft.HasExistingState(s.logs, s.stable, s.snapshots)
 	if err != nil || !known {
--- a/internal/store/disk_process_test.go
+++ b/internal/store/disk_process_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// A pooler is killed at any moment of its writes, again and again, and at times leaves half a snapshot: what was acknowledged is there
-// after each start, and each change is there as a whole.
+// A pooler is killed at any moment of its writes, again and again, and at times leaves half a snapshot: what was
+// acknowledged is there after each start, and each change is there as a whole.
 func TestKilledWhileWriting(t *testing.T) {
 	random := rand.New(rand.NewPCG(36, 2))
 	b, api, dir := startAlone(t)
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -139,7 +139,8 @@
 	require.Greater(t, refused, 50)
 }
 
-// What is left of a file that was being created is created anew, as nothing was in it; one of which more is known is not.
+// What is left of a file that was being created is created anew, as nothing was in it; one of which more is known is
+// not.
 func TestOpenHalfCreatedFile(t *testing.T) {
 	fresh := freshBoltFile(os.Getpagesize())
 	path := filepath.Join(t.TempDir(), boltName)
--- a/internal/store/guard.go
+++ b/internal/store/guard.go
@@ -18,8 +18,8 @@
 	errClosed    = errors.New("the store is closed")
 )
 
-// guarded calls bbolt, which reads its file through a memory map: where the disk fails such a read the system sends SIGBUS, and
-// a page that makes no sense ends in a panic. Both come back as errors.
+// guarded calls bbolt, which reads its file through a memory map: where the disk fails such a read the system sends
+// SIGBUS, and a page that makes no sense ends in a panic. Both come back as errors.
 func guarded(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -61,7 +61,8 @@
 	return nil
 }
 
-// insistOrExit is insist for calls at whose errors raft ends the process: where the store is closed, the goroutine ends instead.
+// insistOrExit is insist for calls at whose errors raft ends the process: where the store is closed, the goroutine
+// ends instead.
 func (p persistence) insistOrExit(f func() error) error {
 	if err := p.insist(f); err != nil {
 		runtime.Goexit()
@@ -69,9 +70,9 @@
 	return nil
 }
 
-// patient is where raft keeps its term and its vote. Against a full disk: raft ends the whole process when its term cannot be kept,
-// and a pooler has to go on serving without the record. This waits until there is room instead; meanwhile this member
-// neither leads nor votes, as one that has stopped.
+// patient is where raft keeps its term and its vote. Against a full disk: raft ends the whole process when its term
+// cannot be kept, and a pooler has to go on serving without the record. This waits until there is room instead;
+// meanwhile this member neither leads nor votes, as one that has stopped.
 type patient struct {
 	raft.StableStore
 	persistence
@@ -87,12 +88,12 @@
 	return p.insistOrExit(func() error { return p.StableStore.SetUint64(key, value) })
 }
 
-// durableLog is raft's log on a disk that may fail or hang. An entry that raft's leader cannot write makes it step down, which is
-// sound; the cases in which raft's view of the log would differ from the disk's are seen to here:
-//   - a write that failed, or that took too long, may be on the disk in part or as a whole: what raft does not know of is
-//     deleted before the next write;
-//   - a follower that has deleted entries in conflict with its leader's and cannot write the leader's takes the deleted ones for
-//     present until it is restarted: it waits until it has written;
+// durableLog is raft's log on a disk that may fail or hang. An entry that raft's leader cannot write makes it step
+// down, which is sound; the cases in which raft's view of the log would differ from the disk's are seen to here:
+//   - a write that failed, or that took too long, may be on the disk in part or as a whole: what raft does not know of
+//     is deleted before the next write;
+//   - a follower that has deleted entries in conflict with its leader's and cannot write the leader's takes the deleted ones
+//     for present until it is restarted: it waits until it has written;
 //   - a leader whose disk hangs would go on being one, as heartbeats need no disk: its write fails after a time;
 //   - raft ends the process where an entry cannot be read: the read is repeated.
 type durableLog struct {
--- a/internal/store/guard_test.go
+++ b/internal/store/guard_test.go
@@ -194,8 +194,8 @@
 	return r
 }
 
-// While the disk hangs a change is not answered by yes, Put does not wait, and the member leads no more; it goes on once the disk
-// answers.
+// While the disk hangs a change is not answered by yes, Put does not wait, and the member leads no more; it goes on
+// once the disk answers.
 func TestDiskHangs(t *testing.T) {
 	var disk hangingDisk
 	r := storeOn(t, &disk)
--- a/internal/store/snapshots.go
+++ b/internal/store/snapshots.go
@@ -19,8 +19,8 @@
 	temporaryTrail = ".tmp" // of the directory of a snapshot that is being written
 )
 
-// snapshotDirectory is raft's snapshots on disk. Raft leaves the directory of a snapshot behind that could not be written whole: on
-// a full disk one after the other. Here it is removed.
+// snapshotDirectory is raft's snapshots on disk. Raft leaves the directory of a snapshot behind that could not be
+// written whole: on a full disk one after the other. Here it is removed.
 type snapshotDirectory struct {
 	raft.SnapshotStore
 	path string
@@ -29,8 +29,8 @@
 	writing map[string]bool
 }
 
-// openSnapshots opens the snapshots in a directory. One of a form that is not known yet is no fault of raft's, which passes it over;
-// here it is refused, as what it holds would be missing.
+// openSnapshots opens the snapshots in a directory. One of a form that is not known yet is no fault of raft's, which
+// passes it over; here it is refused, as what it holds would be missing.
 func openSnapshots(dir string, log hclog.Logger) (*snapshotDirectory, error) {
 	inner, err := raft.NewFileSnapshotStoreWithLogger(dir, keptSnapshots, log)
 	if err != nil {
