--- a/choice/choice.go
+++ b/choice/choice.go
@@ -47,6 +47,7 @@
 	extraMost     = 20.0             // saved up
 	coldLeast     = 3.0              // sends to a cold node in a window that all routers together always have
 	coldTurns     = 2                // turns of a window in which chance deals out parts of one send
+	workSpread    = 4.0              // one request's work may be so many times its class's mean
 	spillShare    = 2.0              // of the primary's bound: reads that a replica could take stop here
 	patienceLeast = 0.3              // of what is left of the aim: longer waits are not worth a send
 	patienceWorth = 0.3              // ... and this much more for the dearest class
@@ -72,7 +73,8 @@
 	inFlight                 int
 	mean                     float64       // of inFlight, over presumeOver
 	meanAt                   time.Duration // up to here
-	fails, completed         int           // failures since its last answer; completions in this loop period
+	fails                    int           // failures since its last answer
+	completed                float64       // work completed in this loop period, in requests of mean work
 	down, mute, died         bool          // only probes are sent; these do not help; no process there
 	downAt, retryAt, backoff time.Duration // for a mute one: when it is given one request, the next pause
 	unproven, probing        bool          // back from being down and yet to answer a request; a probe is out
@@ -136,9 +138,10 @@
 	requests           map[RequestID]*request
 	open               []*request // by arrival
 	writes             session.Writes
-	extra              float64 // second copies and retries that may still be spent
-	probes             float64 // probes that may still be spent
-	rate               float64 // completions a second on a warm node, in the mean
+	extra              float64       // second copies and retries that may still be spent
+	probes             float64       // probes that may still be spent
+	rate               float64       // completions a second on a warm node, in requests of mean work
+	work               capacity.Work // of the requests of each class
 	doubt              *node
 	walks, turn        uint64 // walks of rings so far; the node that watch begins with
 	quotas             quota.Quotas
@@ -374,22 +377,46 @@
 }
 
 // coldRoom keeps a cold node from being pushed over: its sends in a fall window stay in this router's part of
-// multiple x present capacity x window. The capacity is what it completes on a warm node, or what the cold
-// one answered in the last window, if more: it can surely do that, however little is asked elsewhere. Of a
-// part under one send chance makes a whole one, drawn anew each turn, so that all together keep the budget.
-func (r *Router) coldRoom(n *node) bool {
+// multiple x present capacity x window, counted in requests of mean work. The capacity is what it completes
+// on a warm node, or what the cold one answered in the last window, if more: it can surely do that, however
+// little is asked elsewhere. Of a part of a send chance makes a whole one, drawn anew each turn, so that all
+// together keep the budget. Heavy reads get none by chance while another member is warm.
+func (r *Router) coldRoom(n *node, q *request) bool {
 	warmth := r.warmth(n)
 	if warmth == 1 {
 		n.cold.Warm()
 		return true
 	}
-	part := n.cold.Left(r.now, r.set.FallWindow, r.set.FallMultiple, warmth*r.rate*r.set.FallWindow.Seconds(),
-		coldLeast/float64(r.set.Routers))
+	left := n.cold.Left(r.now, n.coldAt, r.set.FallWindow, r.set.FallMultiple,
+		warmth*r.rate*r.set.FallWindow.Seconds(), coldLeast/float64(r.set.Routers))
 	own := mix(r.seed ^ uint64(n.ID)) // Turns begin at another time at each router, not all at once.
 	turn := mix(own ^ uint64(coldTurns*(r.now+time.Duration(own%uint64(r.set.FallWindow)))/r.set.FallWindow))
+	work := r.coldWork(q)
+	part := left / work
+	if heavy := work > r.work.Of(q.Class); heavy && part < 1 && r.warmElsewhere(n) {
+		return false
+	}
 	return part >= 1 || coldTurns*float64(turn>>11)/(1<<53) < part
 }
 
+// coldWork is what a request counts for at a cold node, in requests of mean work. One of a heavy class may be
+// several times its class's mean, which does not even out over the few that fit into a window: it counts for
+// more. What only the primary takes has no other way and counts for its work.
+func (r *Router) coldWork(q *request) float64 {
+	work := r.work.Of(q.Class)
+	if q.class.Read == Write || q.class.Read == FreshRead {
+		return work
+	}
+	return max(work, workSpread*(work-1))
+}
+
+// warmElsewhere tells whether another member of the node's group is warm and may be sent reads.
+func (r *Router) warmElsewhere(n *node) bool {
+	return slices.ContainsFunc(n.group.members, func(m *node) bool {
+		return r.warmth(m) == 1 && !m.down && r.mayUse(m, false)
+	})
+}
+
 // book notes a change of what is in flight at a node.
 func (r *Router) book(n *node, change int) {
 	over := min(presumeOver, time.Duration(r.set.Routers)*presumeEach)
@@ -504,6 +531,7 @@
 			q.need = max(q.need, r.writes.Need(a.Session, r.now))
 		}
 	}
+	r.work.Arrived(a.Class)
 	r.requests[id] = q
 	r.open = append(r.open, q)
 	r.extra = min(extraMost, r.extra+extraShare)
@@ -601,11 +629,15 @@
 	}
 	if o.Status == OK {
 		n.unproven = false
-		n.completed++
-		n.cold.Answered(r.now)
+		work := r.work.Of(q.Class)
+		n.completed += work
+		n.cold.Answered(r.now, work)
 		n.overtook = max(n.overtook, q.tries[o.Attempt].at)
 	}
 	if o.Status == OK || o.Status == TimedOut {
+		if r.warmth(n) == 1 {
+			r.work.Answered(q.Class, o.Took)
+		}
 		n.latency += smooth * (float64(o.Took) - n.latency)
 		n.load += smooth * (q.tries[o.Attempt].behind - n.load)
 		n.sum += float64(o.Took) / float64(r.aim(q))
@@ -618,9 +650,7 @@
 }
 
 func (r *Router) send(q *request, n *node) {
-	if r.warmth(n) < 1 {
-		n.cold.Sent(r.now)
-	}
+	n.cold.Sent(r.now, r.set.FallWindow, r.coldWork(q))
 	if !q.mayRun {
 		q.mayRun, q.firstRun, q.dedup = true, r.now, n
 	}
@@ -650,7 +680,7 @@
 
 // usable tells whether the request may go to the node as far as rules, health and earlier attempts go.
 func (r *Router) usable(n *node, q *request, asPrimary bool) bool {
-	if n.down || !r.mayUse(n, asPrimary) || !r.maySend(q, n) || !r.coldRoom(n) {
+	if n.down || !r.mayUse(n, asPrimary) || !r.maySend(q, n) || !r.coldRoom(n, q) {
 		return false
 	}
 	for _, t := range q.tries {
@@ -884,7 +914,7 @@
 			}
 		}
 	}
-	completed, warm := 0, 0
+	completed, warm := 0.0, 0
 	for _, n := range r.nodes {
 		if r.warmth(n) == 1 && n.State == Ready && !n.down {
 			completed, warm = completed+n.completed, warm+1
@@ -900,7 +930,7 @@
 		n.sum, n.samples = 0, 0
 	}
 	if warm > 0 {
-		r.rate += 3 * smooth * (float64(completed)/float64(warm)/loopPeriod.Seconds() - r.rate)
+		r.rate += 3 * smooth * (completed/float64(warm)/loopPeriod.Seconds() - r.rate)
 	}
 	r.layRings()
 	r.writes.Forget(r.now - keepWrites)
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -241,6 +241,35 @@
 	}
 }
 
+// A start that becomes known late: what was sent in the window before counts, and what an earlier process answered tells
+// nothing of what the new one can do.
+func TestColdBudgetOfAStartToldLate(t *testing.T) {
+	h := newHarness(t, settings())
+	h.list(Node{ID: 1, State: Ready}, Node{ID: 2, State: Gone}, Node{ID: 3, State: Gone})
+	sent := func(id RequestID) bool {
+		out := h.arrive(id, classWrite)
+		return len(out) == 1 && out[0].Kind == Send
+	}
+	for id := RequestID(10); id < 20; id++ {
+		if !sent(id) {
+			t.Fatalf("write %d at a warm primary was held", id)
+		}
+		h.done(id, 0, 1, OK, Evidence{Role: Primary, Position: h.now})
+	}
+	h.now += 500 * ms
+	h.list(Node{ID: 1, State: Ready, Started: h.now - 100*ms}, Node{ID: 2, State: Gone}, Node{ID: 3, State: Gone})
+	h.probed(1, Primary, h.now)
+	for id := RequestID(30); id < 35; id++ {
+		if sent(id) {
+			t.Fatalf("write %d was sent to a cold primary beside the ten of the same window", id)
+		}
+	}
+	h.wait(2 * h.r.set.FallWindow) // those held meanwhile are given up
+	if !sent(40) {
+		t.Fatal("a write was held though a window has passed")
+	}
+}
+
 // Rule 5 where nodes answer from what they have: only proven positions count.
 func TestFreshness(t *testing.T) {
 	for _, c := range []struct {
--- a/choice/operators.go
+++ b/choice/operators.go
@@ -11,7 +11,9 @@
 // retune takes in settings. An open request keeps its class, and no more attempts than either settings allow.
 func (r *Router) retune(s Settings) {
 	r.set, r.topWorth, r.tightest = s, 0, math.MaxInt64
+	var aims []time.Duration
 	for _, c := range s.Classes {
+		aims = append(aims, c.Aim)
 		r.topWorth = max(r.topWorth, c.Worth)
 		if c.Read == BoundedRead {
 			r.tightest = min(r.tightest, c.MaxAge)
@@ -20,6 +22,7 @@
 	for _, q := range r.open {
 		q.most = min(q.most, s.MaxAttempts)
 	}
+	r.work.Set(aims)
 	r.quotas.Set(s.Quotas, s.Routers)
 }
 
--- a/choice/scale_test.go
+++ b/choice/scale_test.go
@@ -38,8 +38,8 @@
 			r.rate = perNode / float64(routers)
 			n := r.byID[1]
 			for range 200 {
-				if r.now += 10 * ms; r.coldRoom(n) {
-					n.cold.Sent(r.now)
+				if r.now += 10 * ms; r.coldRoom(n, &request{class: &s.Classes[classAny]}) {
+					n.cold.Sent(r.now, s.FallWindow, 1)
 					sent++
 				}
 			}
@@ -75,8 +75,8 @@
 		sends = append(sends, 0)
 		for _, r := range routers {
 			r.now = start + time.Duration(step)*tickEvery
-			if n := r.byID[1]; rng.Float64() < asked*tickEvery.Seconds() && r.coldRoom(n) {
-				n.cold.Sent(r.now)
+			if n := r.byID[1]; rng.Float64() < asked*tickEvery.Seconds() && r.coldRoom(n, &request{class: &s.Classes[classAny]}) {
+				n.cold.Sent(r.now, s.FallWindow, 1)
 				sends[step]++
 				sent++
 			}
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -33,25 +33,52 @@
 	return min(most, max(least, s))
 }
 
-// Cold keeps count of what one cold database was sent and has answered.
+// Cold keeps count of the work that one database was sent and has answered, in requests of mean work, for the time when it
+// is cold. A start may become known late, so what is sent counts before it too.
 type Cold struct {
-	sends, answers []time.Duration // times, of the last window
+	sends, answers []counted // of the last window
 }
 
-// Sent and Answered count one.
-func (c *Cold) Sent(now time.Duration)     { c.sends = append(c.sends, now) }
-func (c *Cold) Answered(now time.Duration) { c.answers = append(c.answers, now) }
+// counted is the work of one request, and when it was sent or answered.
+type counted struct {
+	at   time.Duration
+	work float64
+}
+
+// Sent counts a request that was sent.
+func (c *Cold) Sent(now, window time.Duration, work float64) {
+	if len(c.sends) == cap(c.sends) {
+		c.sends = since(c.sends, now-window)
+	}
+	c.sends = append(c.sends, counted{now, work})
+}
+
+// Answered counts a request that was answered.
+func (c *Cold) Answered(now time.Duration, work float64) {
+	c.answers = append(c.answers, counted{now, work})
+}
 
-// Warm forgets all: the database is cold no more.
-func (c *Cold) Warm() { c.sends, c.answers = c.sends[:0], c.answers[:0] }
+// Warm forgets the answers: they tell nothing of what a process that starts later can do.
+func (c *Cold) Warm() { c.answers = c.answers[:0] }
 
-// Left is how many more may be sent now; of a part of one, chance has to make a whole one. The database falls over if all
-// senders together send it more than the multiple of what it can do within the window. Its capacity in a window is taken
-// to be what is believed, or what it answered in the last one, if more: it can surely do that, however little is asked
-// elsewhere, and as each sender counts its own answers, all together keep the budget. At least the part is always
-// granted.
-func (c *Cold) Left(now, window time.Duration, multiple, believed, part float64) float64 {
-	old := func(at time.Duration) bool { return now-at > window }
-	c.sends, c.answers = slices.DeleteFunc(c.sends, old), slices.DeleteFunc(c.answers, old)
-	return max(part, safe*multiple*max(believed, float64(len(c.answers)))) - float64(len(c.sends))
+// Left is how much more work may be sent now; of a part of a request's, chance has to make a whole one. The database falls
+// over if all senders together send it more than the multiple of what it can do within the window. Its capacity in a window
+// is taken to be what is believed, or what it answered in the last one since it started, if more: it can surely do that,
+// however little is asked elsewhere, and as each sender counts its own answers, all together keep the budget. At least the
+// part is always granted.
+func (c *Cold) Left(now, started, window time.Duration, multiple, believed, part float64) float64 {
+	c.sends, c.answers = since(c.sends, now-window), since(c.answers, max(started, now-window))
+	return max(part, safe*multiple*max(believed, sum(c.answers))) - sum(c.sends)
+}
+
+// since drops what was counted before a time.
+func since(all []counted, from time.Duration) []counted {
+	return slices.DeleteFunc(all, func(one counted) bool { return one.at < from })
+}
+
+func sum(all []counted) (work float64) {
+	for _, one := range all {
+		work += one.work
+	}
+	return work
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -46,14 +46,14 @@
 		for now := step; now < 20*time.Second; now += step {
 			for i := range all {
 				// More is wanted than it can do: a second copy of the loop would be a crowd.
-				if len(queue) < 60 && all[i].Left(now, window, multiple, 0, 3.0/senders) >= 0.4 {
-					all[i].Sent(now)
+				if len(queue) < 60 && all[i].Left(now, 0, window, multiple, 0, 3.0/senders) >= 0.4 {
+					all[i].Sent(now, window, 1)
 					sent = append(sent, now)
 					queue = append(queue, i)
 				}
 			}
 			if int(now/step)*perSecond/1000 > int((now-step)/step)*perSecond/1000 && len(queue) > 0 {
-				all[queue[0]].Answered(now)
+				all[queue[0]].Answered(now, 1)
 				queue = queue[1:]
 				done = append(done, now)
 			}
@@ -66,3 +66,33 @@
 		require.Greater(t, float64(len(done)), 0.9*18*float64(perSecond), "%d a second: what it could do is not used", perSecond)
 	}
 }
+
+// Answers of an earlier process tell nothing of what the one that has started can do; what was sent while the start was not
+// known counts.
+func TestColdAfterARestart(t *testing.T) {
+	const window, multiple, part = time.Second, 3.0, 2.0
+	var c capacity.Cold
+	for now := time.Second; now < 2*time.Second; now += 100 * time.Millisecond {
+		c.Sent(now, window, 0.1)
+		c.Answered(now, 5)
+	}
+	now, started := 2*time.Second, 1950*time.Millisecond
+	require.InDelta(t, part-1, c.Left(now, started, window, multiple, 0, part), 1e-9)
+	c.Answered(now, 4)
+	require.InDelta(t, 0.5*multiple*4-1, c.Left(now, started, window, multiple, 0, part), 1e-9)
+	require.InDelta(t, part, c.Left(now+2*window, started, window, multiple, 0, part), 1e-9)
+}
+
+// What a database is sent while it is warm takes no more memory than a window of it.
+func TestWarmSendsAreForgotten(t *testing.T) {
+	var c capacity.Cold
+	const window, each = time.Second, time.Millisecond
+	now := time.Second
+	allocated := testing.AllocsPerRun(100, func() {
+		for range 10 * int(window/each) {
+			now += each
+			c.Sent(now, window, 1)
+		}
+	})
+	require.LessOrEqual(t, allocated, 1.0)
+}
