--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -275,3 +275,30 @@
 	require.Equal(t, 4096, known())
 	require.EqualValues(t, before+len(many)-4096, w.core.Count.Unlisted)
 }
+
+// departing is a client that can look whether it is still there.
+type departing struct {
+	client
+	left bool
+}
+
+func (d *departing) HasLeft() bool { return d.left }
+
+// A client has gone and its front has yet to hear of it: nothing more is sent for it, and it is counted as gone once.
+func TestClientFoundToHaveLeft(t *testing.T) {
+	w, c := newWorld(t), &departing{}
+	q := &core.Request{Front: "test", Name: "x", Group: 1, Expires: 5 * time.Second, Backend: w, Client: c}
+	w.core.Submit(q)
+	w.core.Flush()
+	require.Len(t, w.out, 1)
+	require.True(t, w.core.MaySend(w.out[0]))
+	c.left = true
+	require.False(t, w.core.MaySend(w.out[0]))
+	w.core.Done(w.out[0], choice.NotSent, choice.Evidence{}, nil)
+	w.core.Leave(q) // the front hears of it
+	w.pass(time.Second)
+	require.Len(t, w.out, 1, "it is not sent again")
+	require.Empty(t, c.answers)
+	require.Zero(t, w.core.Open())
+	require.EqualValues(t, 1, w.core.Count.Fronts["test"]["read"].Gone)
+}
--- a/internal/core/off.go
+++ b/internal/core/off.go
@@ -93,10 +93,22 @@
 // statement goes out. Against a client that has left meanwhile where attempts are not called off, a read sent on a proof that has
 // run out, and a database that has begun to drain.
 func (c *Core) MaySend(a *Attempt) bool {
+	c.leaveUnheard(a.Request)
 	now := c.clock()
 	return !a.done && !a.Request.done && now < a.Until && (a.By == 0 || now <= a.By) && c.may(a.Member)
 }
 
+// leaveUnheard ends a request whose client has gone, before its front has heard of that. Against an attempt for a client whose close
+// lies unread: behind its requests that are read first, or because the process was not let run.
+func (c *Core) leaveUnheard(q *Request) {
+	if q.done {
+		return
+	}
+	if client, ok := q.Client.(Leaver); ok && client.HasLeft() {
+		c.Leave(q)
+	}
+}
+
 // may tells whether anything may be begun at a database now. Against a process that was not let run for a while, and goes on where
 // it was with what is not so any more: its timers come only then. To one that drains goes what was decided on before, or what only
 // it can take, for half of the grace.
--- /dev/null
+++ b/internal/server/departure_test.go
@@ -0,0 +1,130 @@
+package server_test
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"capercove/internal/pg"
+	"capercove/internal/testbed"
+)
+
+// lostAfter is how long after a client's close an attempt may still begin.
+const lostAfter = 100 * time.Millisecond
+
+// pause stops the program, and returns when the system has. What is done until the returned function lets it go on lies unread in the
+// kernel.
+func pause(b *testbed.Bed) (resume func()) {
+	b.Signal(syscall.SIGSTOP)
+	b.Eventually(func() bool {
+		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", b.Process().Pid))
+		require.NoError(b.T, err)
+		_, state, _ := strings.Cut(string(stat), ") ")
+		return strings.HasPrefix(state, "T")
+	}, "it stands still")
+	return func() { b.Signal(syscall.SIGCONT) }
+}
+
+// pass lets real time pass: the least that the rule allows is counted by the clock that the program reads.
+func pass(d time.Duration) {
+	for begun := time.Now(); time.Since(begun) < d; {
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// sentOf counts the statements with a text in them that reached the databases.
+func sentOf(b *testbed.Bed, text string) (n int) {
+	for _, d := range b.Databases {
+		n += strings.Count(strings.Join(d.Got(), "\n"), text)
+	}
+	return n
+}
+
+// A client closes while the program is not let run, whatever of its requests was in which place by then: nothing is begun for it when the
+// program goes on, however its close lies behind bytes that are read first.
+func TestCloseThatLiesUnread(t *testing.T) {
+	const limit = 8 // commands of a connection that are taken in at once
+	for name, test := range map[string]struct {
+		text   string                                  // in the statement that may not begin any more
+		taken  int                                     // of what before sends
+		before func(b *testbed.Bed, c *testbed.Client) // sends what the program takes in before it is paused
+		during func(b *testbed.Bed, c *testbed.Client) // comes just before the client closes
+	}{
+		"the request lies unread too": {
+			text: "gone",
+			during: func(b *testbed.Bed, c *testbed.Client) {
+				c.Send(testbed.Query(b.Statement("write", "gone", testbed.Patience)))
+			},
+		},
+		"more than one read of requests lies unread too": {
+			text: "gone",
+			during: func(b *testbed.Bed, c *testbed.Client) {
+				var out []byte
+				for range 600 {
+					out = pg.AppendQuery(out, b.Statement("report", "gone"+strings.Repeat("x", 100), testbed.Patience))
+				}
+				c.Send(out)
+			},
+		},
+		"the request is behind a full pipeline": {
+			text:  "gone",
+			taken: limit,
+			before: func(b *testbed.Bed, c *testbed.Client) {
+				out := pg.AppendQuery(nil, b.Statement("write", "hang", testbed.Patience))
+				for range limit - 1 {
+					out = pg.AppendQuery(out, b.Statement("report", "other", testbed.Patience))
+				}
+				c.Send(pg.AppendQuery(out, b.Statement("write", "gone", testbed.Patience)))
+			},
+			during: func(b *testbed.Bed, _ *testbed.Client) { b.Databases[0].Cut() },
+		},
+		"the request may be sent again": {
+			text:  "hang",
+			taken: 1,
+			before: func(b *testbed.Bed, c *testbed.Client) {
+				c.Send(testbed.Query(b.Statement("report", "hang", testbed.Patience)))
+			},
+			during: func(b *testbed.Bed, _ *testbed.Client) {
+				for _, d := range b.Databases {
+					d.Cut()
+				}
+			},
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			b := testbed.Start(t)
+			serves := func() bool { return b.Client().Ask(b.Statement("write", "a", testbed.Patience)).Complete }
+			for range 5 { // it is not sure to go wrong each time
+				b.Eventually(serves, "it serves") // over a connection that then rests
+				taken, out := quiet(b), sentOf(b, "hang")
+				c := b.Client()
+				if test.before != nil {
+					test.before(b, c)
+					b.Counters(func(c testbed.Counters) bool { return c.Core.Fronts["postgres"].Taken == taken+test.taken })
+					b.Eventually(func() bool { return sentOf(b, "hang") == out+1 }, "it is out")
+				}
+				before := sentOf(b, test.text)
+				resume := pause(b)
+				test.during(b, c)
+				c.Close()
+				pass(3 * lostAfter)
+				resume()
+				b.Eventually(serves, "it serves")
+				require.Equal(t, before, sentOf(b, test.text))
+			}
+		})
+	}
+}
+
+// quiet waits until nothing is open, and returns how many requests were taken so far.
+func quiet(b *testbed.Bed) (taken int) {
+	return b.Counters(func(c testbed.Counters) bool {
+		f := c.Core.Fronts["postgres"]
+		return f.Taken == f.Served+f.Refused+f.Failed+f.Gone
+	}).Core.Fronts["postgres"].Taken
+}
--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -385,6 +385,9 @@
 	k.later()
 }
 
+// HasLeft tells whether the client has closed its connection, as core.Leaver wants it.
+func (s *response) HasLeft() bool { return s.client.gone || hungUp(s.client.conn) }
+
 func (s *response) Refused(after time.Duration) { s.set(pg.AppendRefusal(nil, after)) }
 
 func (s *response) Failed(why core.Failure) {
