--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -184,6 +184,7 @@
 	listed   bool                  // the list has come
 	relisted bool                  // ... since members were last forgotten
 	crowded  time.Duration         // when entries that were left out were last logged
+	stall    stall                 // the last one
 	stopping bool
 	ended    bool                   // nothing is taken any more
 	observed bool                   // the figures tell what the router sees
@@ -587,7 +588,11 @@
 // ---- Time and decisions
 
 // Tick fires the timers that are due.
-func (c *Core) Tick() { c.Wheel.Advance(c.clock()) }
+func (c *Core) Tick() {
+	now := c.clock()
+	c.noteStall(now)
+	c.Wheel.Advance(now)
+}
 
 // Start gives the router its first turn; from then on its own timers drive it.
 func (c *Core) Start() {
--- /dev/null
+++ b/internal/core/stall.go
@@ -0,0 +1,29 @@
+package core
+
+import "time"
+
+// stall is a span in which the loop was not let run, as a timer that came late has shown.
+type stall struct{ from, until time.Duration }
+
+// Unread is how long bytes that are read now may have lain in the kernel: for as long as the loop has just stood still, else 0. Against a
+// deadline that begins anew when the process goes on after it was held up, though the client counts from when it sent its request.
+func (c *Core) Unread() time.Duration {
+	now := c.clock()
+	c.noteStall(now)
+	if now-c.stall.until > c.limits.StallRead {
+		return 0
+	}
+	return now - c.stall.from
+}
+
+// noteStall looks whether a timer that is due has yet to come.
+func (c *Core) noteStall(now time.Duration) {
+	due, ok := c.Wheel.Due()
+	if !ok || now-due <= c.limits.StallLeast {
+		return
+	}
+	if due > c.stall.until { // else the same one goes on
+		c.stall.from = due
+	}
+	c.stall.until = now
+}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -55,6 +55,8 @@
 	Tick           time.Duration // of the timer wheel
 	Slots          int           // of the timer wheel
 	StoodStill     time.Duration // between two ticks: logged
+	StallLeast     time.Duration // a timer that comes later than this shows that the loop stood still
+	StallRead      time.Duration // what is read so soon after may have come while it did
 	Margin         time.Duration // taken off a client's deadline, for the way back
 	Overdue        time.Duration // a request unanswered this long after its deadline is failed by the core
 	ConnectTimeout time.Duration // a database's connection is up by then, or counts as not to be had
@@ -165,6 +167,8 @@
 		Tick:           5 * time.Millisecond,
 		Slots:          1024,
 		StoodStill:     150 * time.Millisecond,
+		StallLeast:     40 * time.Millisecond,
+		StallRead:      100 * time.Millisecond,
 		Margin:         5 * time.Millisecond,
 		Overdue:        20 * time.Millisecond,
 		ConnectTimeout: connect,
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -235,21 +235,6 @@
 	return err == unix.EAGAIN
 }
 
-// hungUp tells whether the peer has closed or reset a connection, also while bytes that it sent before are still unread.
-func hungUp(c gnet.Conn) bool {
-	var b [1]byte
-	n, _, err := unix.Recvfrom(c.Fd(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-	switch {
-	case err == unix.EAGAIN || err == unix.EINTR:
-		return false
-	case err != nil || n == 0:
-		return true
-	}
-	poll := []unix.PollFd{{Fd: int32(c.Fd()), Events: unix.POLLRDHUP}}
-	n, err = unix.Poll(poll, 0)
-	return err == nil && n > 0 && poll[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
-}
-
 // quiet passes gnet's log on.
 type quiet struct{ log zerolog.Logger }
 
--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -112,6 +112,7 @@
 	held      int
 	ending    bool // nothing more is read
 	reading   bool // read is under way
+	heard     bool // it has sent something
 	used      bool // it has had an answer, or was there before the front drained
 	gone      bool
 }
@@ -233,10 +234,28 @@
 		k.front.tap.Bytes(k.number, data)
 	}
 	k.session.Feed(data)
-	k.came.came(len(data), k.front.core.Now(), 2*k.front.limits.Tick)
+	k.came.came(len(data), k.front.core.Now()-k.timeUnread(), 2*k.front.limits.Tick)
+	k.heard = true
 	k.read()
 }
 
+// timeUnread is how long bytes that are read now have lain in the kernel: the first ones while the connection waited to be accepted, others
+// while the loop stood still.
+func (k *clientConn) timeUnread() time.Duration {
+	stalled := k.front.core.Unread()
+	if k.heard && stalled == 0 {
+		return 0
+	}
+	age, known := sinceLastData(k.conn)
+	switch {
+	case !known:
+		return stalled
+	case k.heard:
+		return min(age, stalled)
+	}
+	return age
+}
+
 // read takes in the commands that there is room for. Each answer that goes out makes room for what has waited unread behind a
 // full pipeline: nothing else may come to wake it.
 func (k *clientConn) read() {
--- a/internal/wheel/wheel.go
+++ b/internal/wheel/wheel.go
@@ -54,6 +54,11 @@
 	w.wind()
 }
 
+// Due is when the next Advance is due; ok is false if nothing is scheduled.
+func (w *Wheel) Due() (at time.Duration, ok bool) {
+	return time.Duration(w.due) * w.every, w.due > 0 && w.due != never
+}
+
 func (w *Wheel) ring(tick int64) {
 	w.due = tick
 	if w.alarm != nil {
