--- a/internal/flight/backend.go
+++ b/internal/flight/backend.go
@@ -196,27 +196,27 @@
 	if !up && t.conn.here.Err() == nil {
 		return choice.NoConnect, nil
 	}
-	if !up || !t.ask(t.maySend) {
-		return choice.NotSent, nil
-	}
-	now := t.b.core.Now()
 	d, err := t.s.descriptor()
-	if err != nil {
+	if !up || err != nil || !t.allowed() {
 		return choice.NotSent, nil
 	}
-	ctx := metadata.NewOutgoingContext(t.ctx, t.s.headers(t.a.Until-now))
-	ctx = context.WithValue(ctx, tryKey{}, t)
 	client := flight.NewFlightServiceClient(t.conn.grpc)
 	var answer any
 	if t.s.update {
-		answer, err = t.put(ctx, client, d)
+		answer, err = t.put(t.outgoing(), client, d)
 	} else {
-		err = t.get(ctx, client, d)
+		err = t.get(client, d)
 	}
 	t.unusable = status.Code(err) == codes.InvalidArgument
 	return outcome(err), answer
 }
 
+// outgoing is the context of a call that goes out now: it tells the database what is left of the client's time.
+func (t *try) outgoing() context.Context {
+	ctx := metadata.NewOutgoingContext(t.ctx, t.s.headers(t.a.Until-t.b.core.Now()))
+	return context.WithValue(ctx, tryKey{}, t)
+}
+
 // connect brings the connection up. What fails here has never run.
 func (t *try) connect() bool {
 	cc := t.conn.grpc
@@ -247,9 +247,9 @@
 
 // get passes a stream on, message by message. The schema waits for the first batch: until that is there the
 // request may still go elsewhere.
-func (t *try) get(ctx context.Context, client flight.FlightServiceClient, d *flight.FlightDescriptor) error {
+func (t *try) get(client flight.FlightServiceClient, d *flight.FlightDescriptor) error {
 	var head, tail metadata.MD
-	info, err := client.GetFlightInfo(ctx, d, grpc.Header(&head), grpc.Trailer(&tail))
+	info, err := client.GetFlightInfo(t.outgoing(), d, grpc.Header(&head), grpc.Trailer(&tail))
 	t.note = evidence(head, tail)
 	if err != nil {
 		return err
@@ -258,10 +258,10 @@
 	if len(info.GetEndpoint()) != 1 || len(info.Endpoint[0].GetLocation()) > 0 {
 		return errEndpoints
 	}
-	if !t.ask(t.maySend) { // what allowed it has run out since; nothing is sent twice for a read
+	if !t.allowed() { // what allowed it has run out since; nothing is sent twice for a read
 		return errMoot
 	}
-	stream, err := client.DoGet(ctx, info.Endpoint[0].Ticket)
+	stream, err := client.DoGet(t.outgoing(), info.Endpoint[0].Ticket)
 	if err != nil {
 		return err
 	}
@@ -311,6 +311,12 @@
 	}
 }
 
+// allowed asks whether the statement may be sent now, with all in mind that the client has sent by now, such as its cancelling.
+func (t *try) allowed() bool {
+	t.s.call.socket.settle(t.ctx, t.b.limits.FlightSettle)
+	return t.ask(t.maySend)
+}
+
 // maySend is asked on the core's goroutine.
 func (t *try) maySend(a *core.Attempt) bool { return t.conn.here.Err() == nil && t.b.core.MaySend(a) }
 
--- a/internal/flight/front.go
+++ b/internal/flight/front.go
@@ -41,6 +41,7 @@
 	backend core.Backend
 	server  *grpc.Server
 	slots   chan struct{}
+	sockets clientSockets
 	stopped atomic.Bool
 }
 
@@ -89,7 +90,7 @@
 		return err
 	}
 	// Against running out of descriptors.
-	return f.server.Serve(netutil.LimitListener(l, f.limits.FlightClients))
+	return f.server.Serve(netutil.LimitListener(socketListener{l, &f.sockets}, f.limits.FlightClients))
 }
 
 // Stop takes no new calls and waits for those that run.
@@ -151,10 +152,12 @@
 	return stream.Send(answer.(*flight.PutResult))
 }
 
-// call is the client's end of one request. It implements core.Client.
+// call is the client's end of one request. It implements core.Client and core.Leaver.
 type call struct {
-	data  chan *flight.FlightData // unbuffered: a slow client slows its database down
-	final chan final
+	ctx    context.Context
+	socket *clientSocket           // nil: not known
+	data   chan *flight.FlightData // unbuffered: a slow client slows its database down
+	final  chan final
 }
 
 type final struct {
@@ -162,6 +165,18 @@
 	err    error
 }
 
+// HasLeft tells whether the client has cancelled the call or closed its connection.
+func (c *call) HasLeft() bool {
+	if c.ctx.Err() != nil {
+		return true
+	}
+	if c.socket == nil {
+		return false
+	}
+	left, _ := c.socket.look()
+	return left
+}
+
 func (c *call) Served(answer any) { c.final <- final{answer: answer} }
 
 func (c *call) Refused(after time.Duration) { c.final <- final{err: Refusal(after)} }
@@ -174,6 +189,8 @@
 // run takes a request through the core and returns its one final answer.
 func (f *Front) run(ctx context.Context, s *statement, send func(*flight.FlightData) error) (any, error) {
 	f.Count.Calls.Add(1)
+	socket, begun := f.sockets.of(ctx), f.core.Now()
+	sent := begun - socket.sinceLastData() // or earlier: what is being handled came with the last bytes, or before
 	md, _ := metadata.FromIncomingContext(ctx)
 	s.fill(md)
 	select { // Against more streams than the memory holds messages for.
@@ -183,7 +200,7 @@
 		f.Count.TurnedAway.Add(1)
 		return nil, Refusal(0)
 	}
-	c := &call{data: make(chan *flight.FlightData), final: make(chan final, 1)}
+	c := &call{ctx: ctx, socket: socket, data: make(chan *flight.FlightData), final: make(chan final, 1)}
 	s.call = c
 	bad := make(chan error, 1)
 	var q *core.Request // the loop's; nil until it is submitted
@@ -193,6 +210,7 @@
 			bad <- err
 			return
 		}
+		asked.Expires -= f.core.Now() - sent
 		q, asked.Client = asked, c
 		f.core.Submit(q)
 	})
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -56,6 +56,7 @@
 	Slots          int           // of the timer wheel
 	StoodStill     time.Duration // between two ticks: logged
 	StallLeast     time.Duration // a timer that comes later than this shows that the loop stood still
+	FlightSettle   time.Duration // before anything is begun for a Flight client, what it has sent is waited for so long
 	StallRead      time.Duration // what is read so soon after may have come while it did
 	Margin         time.Duration // taken off a client's deadline, for the way back
 	Overdue        time.Duration // a request unanswered this long after its deadline is failed by the core
@@ -168,6 +169,7 @@
 		Slots:          1024,
 		StoodStill:     150 * time.Millisecond,
 		StallLeast:     40 * time.Millisecond,
+		FlightSettle:   50 * time.Millisecond,
 		StallRead:      100 * time.Millisecond,
 		Margin:         5 * time.Millisecond,
 		Overdue:        20 * time.Millisecond,
--- a/internal/testbed/database.go
+++ b/internal/testbed/database.go
@@ -46,8 +46,9 @@
 	got     []string
 	came    []time.Time // when each of got came
 	started int
-	ran     map[string]int // executed statements that call a writing function, by their id
-	strayed int            // ... that came while this was no primary, and were turned away
+	told    map[string][]string // see Told
+	ran     map[string]int      // executed statements that call a writing function, by their id
+	strayed int                 // ... that came while this was no primary, and were turned away
 	probes  int
 	tickets int // that were asked for and held back
 	ended   int // hangs and endless streams that the pooler ended
@@ -78,7 +79,8 @@
 }
 
 func newDatabase(t *testing.T, id string, primary bool) *Database {
-	d := &Database{ID: id, t: t, conns: map[net.Conn]bool{}, release: make(chan struct{}), ran: map[string]int{}}
+	d := &Database{ID: id, t: t, conns: map[net.Conn]bool{}, release: make(chan struct{}), ran: map[string]int{},
+		told: map[string][]string{}}
 	d.primary.Store(primary)
 	l := d.listen()
 	d.Addr = l.Addr().String()
@@ -135,6 +137,19 @@
 	return d.ended
 }
 
+// Told is how many milliseconds the pooler said last, over Flight, that it waits for the answer to a statement; empty: nothing.
+func (d *Database) Told(sql string) []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.told[sql]
+}
+
+func (d *Database) tell(sql string, wait []string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.told[sql] = wait
+}
+
 // Tickets is how many tickets were asked for and held back.
 func (d *Database) Tickets() int {
 	d.mu.Lock()
@@ -401,6 +416,9 @@
 
 // begin does what a statement's word says, up to its answer.
 func (s *flightServer) begin(ctx context.Context, sql string) (word string, err error) {
+	if md, ok := metadata.FromIncomingContext(ctx); ok {
+		s.d.tell(sql, md.Get(wire.KeyDeadline))
+	}
 	grpc.SetTrailer(ctx, metadata.Pairs(wire.KeyMode, s.d.mode(), wire.KeyWALTime, fmt.Sprint(now())))
 	switch word = s.d.note(sql); word {
 	case "full":
