--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -130,6 +130,7 @@
 
 func (f *Front) accept(c gnet.Conn) *clientConn {
 	k := &clientConn{front: f, conn: c, session: pg.NewSession(f.limits.MessageBytes)}
+	c.SetContext(k) // Against a write that finds it closed, and nobody to be told so.
 	full := len(f.clients) >= f.limits.Clients
 	if (full || f.starting >= f.limits.Starting) && !f.evict() && full { // Against running out of descriptors.
 		f.reject(k)
@@ -153,15 +154,15 @@
 	f.Count.TurnedAway++
 	f.bad("too many connections")
 	k.ending = true
-	if f.leaving >= f.limits.Leaving {
-		k.gone = true
-		k.conn.Close()
-		return
-	}
+	room := f.leaving < f.limits.Leaving
 	f.leaving++
 	k.conn.Write(pg.AppendError(nil, "FATAL", pg.CodeFull, "too many connections", ""))
-	if !k.gone { // the write may have found it closed
+	switch {
+	case k.gone: // the write found it closed
+	case room:
 		k.halfClose()
+	default:
+		closeNow(k.conn)
 	}
 }
 
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -338,7 +338,7 @@
 		Attempts, Written, Reloads, ReloadErrors, NoProcess, NoConnect int
 		Size                                                           float64
 	}
-	Front struct{ Expired int }
+	Front struct{ Expired, TurnedAway int }
 	Takes int // descriptors that it may have open, where others may stand beside it
 }
 
