--- a/internal/server/departure_test.go
+++ b/internal/server/departure_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"io"
+	"net"
 	"os"
 	"strconv"
 	"strings"
@@ -191,3 +193,17 @@
 	require.Fail(b.T, "not sent")
 	return 0
 }
+
+// A client that ends its own side has gone: its end looks no other than that of one that has closed, whose attempts may not go on. It is
+// closed, and what it asked is given up.
+func TestClientThatEndsItsSide(t *testing.T) {
+	b := testbed.Start(t)
+	c := b.Client()
+	c.Send(testbed.Query(b.Statement("report", "hang", 4*testbed.Patience)))
+	b.Eventually(func() bool { return sentOf(b, "hang") == 1 }, "it is out")
+	require.NoError(t, c.Conn.(*net.TCPConn).CloseWrite())
+	_, err := c.TryNext(testbed.Patience)
+	require.ErrorIs(t, err, io.EOF)
+	b.Counters(func(c testbed.Counters) bool { return c.Core.Fronts["postgres"].Gone == 1 })
+	b.Eventually(func() bool { return b.Databases[0].Ended()+b.Databases[1].Ended() == 1 }, "the database is told")
+}
--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -611,7 +611,7 @@
 		}
 		switch k.read(); {
 		case k.gone || k.closing:
-		case k.conn.OutboundBuffered() > 0: // what comes meanwhile is refused, and flush ends it when all is out
+		case k.conn.OutboundBuffered() > 0 || !silent(k.conn): // what lies unread is refused, and flush ends it when all is out
 			k.used = true
 			k.later()
 		default:
