--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -25,7 +25,7 @@
 	SocketBytes   int   // what the system may hold for a client's connection, each way; left to itself it is megabytes
 	PieceBytes    int   // a long answer is read in pieces of this, and stops while its client has more unread
 	InputBytes    int   // bytes that a client may send ahead of its answers before it is closed
-	ClientBytes   int   // what all clients' connections may hold of both; the next to add to it is closed
+	ClientBytes   int   // what all clients' connections may hold of both; beyond it the one that holds most is closed
 	OutputBytes   int   // answers that a client may leave unread before it is closed
 	Members       int   // entries of a list
 	Banned        int   // databases that operators may keep out
@@ -57,6 +57,9 @@
 	Tick           time.Duration // of the timer wheel
 	Slots          int           // of the timer wheel
 	StoodStill     time.Duration // between two ticks: logged
+	StallLeast     time.Duration // a timer that comes later than this shows that the loop stood still
+	FlightSettle   time.Duration // before anything is begun for a Flight client, what it has sent is waited for so long
+	StallRead      time.Duration // what is read so soon after may have come while it did
 	Margin         time.Duration // taken off a client's deadline, for the way back
 	Overdue        time.Duration // a request unanswered this long after its deadline is failed by the core
 	ConnectTimeout time.Duration // a database's connection is up by then, or counts as not to be had
@@ -174,6 +177,9 @@
 		Tick:           5 * time.Millisecond,
 		Slots:          1024,
 		StoodStill:     150 * time.Millisecond,
+		StallLeast:     40 * time.Millisecond,
+		FlightSettle:   50 * time.Millisecond,
+		StallRead:      100 * time.Millisecond,
 		Margin:         5 * time.Millisecond,
 		Overdue:        20 * time.Millisecond,
 		ConnectTimeout: connect,
--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -112,6 +112,7 @@
 	held      int
 	ending    bool // nothing more is read
 	reading   bool // read is under way
+	heard     bool // it has sent something
 	used      bool // it has had an answer, or was there before the front drained
 	gone      bool
 }
@@ -129,6 +130,7 @@
 
 func (f *Front) accept(c gnet.Conn) *clientConn {
 	k := &clientConn{front: f, conn: c, session: pg.NewSession(f.limits.MessageBytes)}
+	c.SetContext(k) // Against a write that finds it closed, and nobody to be told so.
 	full := len(f.clients) >= f.limits.Clients
 	if (full || f.starting >= f.limits.Starting) && !f.evict() && full { // Against running out of descriptors.
 		f.reject(k)
@@ -152,15 +154,15 @@
 	f.Count.TurnedAway++
 	f.bad("too many connections")
 	k.ending = true
-	if f.leaving >= f.limits.Leaving {
-		k.gone = true
-		k.conn.Close()
-		return
-	}
+	room := f.leaving < f.limits.Leaving
 	f.leaving++
 	k.conn.Write(pg.AppendError(nil, "FATAL", pg.CodeFull, "too many connections", ""))
-	if !k.gone { // the write may have found it closed
+	switch {
+	case k.gone: // the write found it closed
+	case room:
 		k.halfClose()
+	default:
+		closeNow(k.conn)
 	}
 }
 
@@ -233,10 +235,28 @@
 		k.front.tap.Bytes(k.number, data)
 	}
 	k.session.Feed(data)
-	k.came.came(len(data), k.front.core.Now(), 2*k.front.limits.Tick)
+	k.came.came(len(data), k.front.core.Now()-k.timeUnread(), 2*k.front.limits.Tick)
+	k.heard = true
 	k.read()
 }
 
+// timeUnread is how long bytes that are read now have lain in the kernel: the first ones while the connection waited to be accepted, others
+// while the loop stood still.
+func (k *clientConn) timeUnread() time.Duration {
+	stalled := k.front.core.Unread()
+	if k.heard && stalled == 0 {
+		return 0
+	}
+	age, known := sinceLastData(k.conn)
+	switch {
+	case !known:
+		return stalled
+	case k.heard:
+		return min(age, stalled)
+	}
+	return age
+}
+
 // read takes in the commands that there is room for. Each answer that goes out makes room for what has waited unread behind a
 // full pipeline: nothing else may come to wake it.
 func (k *clientConn) read() {
@@ -385,6 +405,9 @@
 	k.later()
 }
 
+// HasLeft tells whether the client has closed its connection, as core.Leaver wants it.
+func (s *response) HasLeft() bool { return s.client.gone || hungUp(s.client.conn) }
+
 func (s *response) Refused(after time.Duration) { s.set(pg.AppendRefusal(nil, after)) }
 
 func (s *response) Failed(why core.Failure) {
@@ -449,6 +472,9 @@
 	l := &k.front.limits
 	unread, ahead := k.conn.OutboundBuffered(), k.session.Held()
 	k.account(unread + ahead)
+	if k.front.relieve(); k.gone {
+		return
+	}
 	now := k.front.core.Now()
 	if unread != k.unread {
 		k.unread, k.moved = unread, now
@@ -457,14 +483,35 @@
 	case unread > 0 && now-k.moved > l.ClientReads:
 		k.front.bad("an answer is left unread")
 		closeNow(k.conn)
-	case unread > l.OutputBytes || ahead > l.InputBytes || k.front.held > l.ClientBytes && k.held > 0:
-		k.front.bad("more is sent or left unread than is held")
+	case unread > l.OutputBytes || ahead > l.InputBytes:
+		k.front.bad(tooMuchHeld)
 		closeNow(k.conn)
 	case unread > 0 || len(k.responses) > 0 && k.responses[0].more != nil:
 		k.later()
 	}
 }
 
+// tooMuchHeld is why a connection is closed that makes the program hold too many bytes.
+const tooMuchHeld = "more is sent or left unread than is held"
+
+// relieve closes the connection that holds most while all together hold too much. Against one that holds little and loses its answers
+// because of what others hold.
+func (f *Front) relieve() {
+	for f.held > f.limits.ClientBytes {
+		var most *clientConn
+		for k := range f.clients {
+			if most == nil || k.held > most.held {
+				most = k
+			}
+		}
+		if most == nil || most.held == 0 {
+			return
+		}
+		f.bad(tooMuchHeld)
+		closeNow(most.conn)
+	}
+}
+
 // account notes how many bytes the connection holds.
 func (k *clientConn) account(bytes int) {
 	k.front.held += bytes - k.held
@@ -562,7 +609,12 @@
 		if k.closing {
 			continue
 		}
-		if k.read(); !k.gone && !k.closing {
+		switch k.read(); {
+		case k.gone || k.closing:
+		case k.conn.OutboundBuffered() > 0 || !silent(k.conn): // what lies unread is refused, and flush ends it when all is out
+			k.used = true
+			k.later()
+		default:
 			k.end()
 		}
 	}
