--- a/internal/fdshare/fdshare_test.go
+++ b/internal/fdshare/fdshare_test.go
@@ -11,11 +11,16 @@
 
 	"github.com/stretchr/testify/require"
 
+	"capercove/internal/clock"
 	"capercove/internal/fdshare"
 )
 
 const grant = 384
 
+func joined(boot string, after time.Duration) clock.Stamp {
+	return clock.Stamp{Boot: boot, SinceBoot: after}
+}
+
 func TestPart(t *testing.T) {
 	elder, young := int64(1), int64(2)
 	for _, c := range []struct {
@@ -37,6 +42,14 @@
 			[]fdshare.Claim{{Born: young, Uses: 60, Takes: 246}}, 64},
 		{"the newcomer beside one that leaves", fdshare.Claim{Born: young, Uses: 60, Takes: 246},
 			[]fdshare.Claim{{Born: elder, Uses: 40, Takes: 64, Leaving: true}}, 320},
+		{"a newcomer after the wall clock was stepped back", fdshare.Claim{Born: elder, Uses: 20, Takes: 48, Joined: joined("a", 2)},
+			[]fdshare.Claim{{Born: young, Uses: 90, Takes: 138, Joined: joined("a", 1)}}, 246},
+		{"and the elder beside it", fdshare.Claim{Born: young, Uses: 90, Takes: 336, Joined: joined("a", 1)},
+			[]fdshare.Claim{{Born: elder, Uses: 16, Takes: 48, Joined: joined("a", 2)}}, 138},
+		{"beside one that tells no stamp, as it decides by the wall clock too", fdshare.Claim{Born: elder, Uses: 90, Takes: 336, Joined: joined("a", 2)},
+			[]fdshare.Claim{{Born: young, Uses: 16, Takes: 48}}, 138},
+		{"beside one of another boot, the same", fdshare.Claim{Born: elder, Uses: 90, Takes: 336, Joined: joined("a", 2)},
+			[]fdshare.Claim{{Born: young, Uses: 16, Takes: 48, Joined: joined("b", 1)}}, 138},
 		{"nothing is left", fdshare.Claim{Born: 3, Uses: 10}, []fdshare.Claim{{Uses: 200, Takes: 200}, {Uses: 184, Takes: 184}}, 0},
 	} {
 		require.Equal(t, c.want, fdshare.Part(grant, c.own, c.others), c.name)
