--- a/cmd/capercove/main.go
+++ b/cmd/capercove/main.go
@@ -168,7 +168,7 @@
 	}
 	var tap server.Tap
 	if own.Pcap.Write != "" {
-		if p.tap, err = pcap.NewWriter(own.Pcap, l, log); err != nil {
+		if p.tap, err = pcap.NewWriter(own.Pcap, l, log, clock.Monotonic()); err != nil {
 			return fmt.Errorf("pcap: write: %w", err)
 		}
 		tap = p.tap
--- a/internal/pcap/writer.go
+++ b/internal/pcap/writer.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"io"
 	"net"
 	"os"
 	"sync/atomic"
@@ -22,8 +23,9 @@
 // never waits for the file: what does not fit the queue is dropped, and that connection with it.
 type Writer struct {
 	log     zerolog.Logger
+	clock   func() time.Duration
 	port    layers.TCPPort
-	file    *os.File
+	file    output
 	buffer  *bufio.Writer
 	pcap    *pcapgo.Writer
 	queue   chan chunk
@@ -35,20 +37,40 @@
 
 type chunk struct {
 	connection uint64
-	at         time.Time
-	data       []byte // nil: the connection has closed
+	at         time.Duration // since the Unix epoch, by the writer's clock
+	data       []byte        // nil: the connection has closed
 }
 
-// NewWriter creates the file.
-func NewWriter(cfg Config, l limits.Limits, log zerolog.Logger) (*Writer, error) {
+// NewWriter creates the file. The clock counts from the Unix epoch and is never stepped: times in a file do not run
+// back.
+func NewWriter(cfg Config, l limits.Limits, log zerolog.Logger, clock func() time.Duration) (*Writer, error) {
 	f, err := os.Create(cfg.Write)
 	if err != nil {
 		return nil, err
 	}
+	return newWriter(f, cfg.Port, l.Tap, log, clock)
+}
+
+// output is what a capture is written to: *os.File, or in tests one that fails.
+type output interface {
+	io.WriteCloser
+	Name() string
+}
+
+func newWriter(f output, port, queue int, log zerolog.Logger, clock func() time.Duration) (*Writer, error) {
 	buffer := bufio.NewWriter(f)
-	w := &Writer{log: log, port: layers.TCPPort(cfg.Port), file: f, buffer: buffer, pcap: pcapgo.NewWriter(buffer),
-		queue: make(chan chunk, l.Tap), done: make(chan struct{}), flows: map[uint64]uint32{},
-		lost: map[uint64]bool{}}
+	w := &Writer{
+		log:    log,
+		clock:  clock,
+		port:   layers.TCPPort(port),
+		file:   f,
+		buffer: buffer,
+		pcap:   pcapgo.NewWriter(buffer),
+		queue:  make(chan chunk, queue),
+		done:   make(chan struct{}),
+		flows:  map[uint64]uint32{},
+		lost:   map[uint64]bool{},
+	}
 	if err := w.pcap.WriteFileHeader(1<<18, layers.LinkTypeRaw); err != nil {
 		return nil, err
 	}
@@ -61,7 +83,7 @@
 		return
 	}
 	select {
-	case w.queue <- chunk{connection, time.Now(), append([]byte{}, data...)}:
+	case w.queue <- chunk{connection, w.clock(), append([]byte{}, data...)}:
 	default:
 		w.dropped.Add(1)
 		w.lost[connection] = true
@@ -71,7 +93,7 @@
 func (w *Writer) Closed(connection uint64) {
 	delete(w.lost, connection)
 	select {
-	case w.queue <- chunk{connection, time.Now(), nil}:
+	case w.queue <- chunk{connection, w.clock(), nil}:
 	default: // the connection stays open in the file
 	}
 }
@@ -86,12 +108,15 @@
 	defer close(w.done)
 	var err error
 	for c := range w.queue {
-		if err == nil {
-			err = w.chunk(c)
+		if err != nil {
+			continue // What follows a packet cut off cannot be read: the capture has ended, serving goes on.
 		}
-		if err == nil && len(w.queue) == 0 {
+		if err = w.chunk(c); err == nil && len(w.queue) == 0 {
 			err = w.buffer.Flush()
 		}
+		if err != nil {
+			w.log.Error().Err(err).Str("file", w.file.Name()).Msg("pcap: cannot be written; nothing further is")
+		}
 	}
 	if err == nil {
 		err = w.buffer.Flush()
@@ -144,5 +169,6 @@
 		return err
 	}
 	size := len(out.Bytes())
-	return w.pcap.WritePacket(gopacket.CaptureInfo{Timestamp: c.at, CaptureLength: size, Length: size}, out.Bytes())
+	info := gopacket.CaptureInfo{Timestamp: time.Unix(0, int64(c.at)), CaptureLength: size, Length: size}
+	return w.pcap.WritePacket(info, out.Bytes())
 }
