--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -64,6 +64,7 @@
 	stop   chan struct{}
 	ended  sync.WaitGroup
 	digest atomic.Uint64 // of the view, as last told
+	write  func(f memoryFile, text string) error
 	heard  heard
 
 	mu         sync.Mutex
@@ -78,8 +79,9 @@
 	stopping   bool
 	count      Counters
 	logged     map[string]time.Duration
-	kept       time.Duration // when the remembered members were last written
-	changed    bool          // ... and whether they have changed since
+	kept       time.Duration // when the remembered members were last written, or could not be
+	changed    bool          // ... and whether they have changed since they were
+	unkept     string        // why they could not be; empty: they were
 	random     *rand.Rand
 }
 
@@ -128,7 +130,7 @@
 		talk:    fleet.NewTalk(fleet.NewView(b), fleet.NewAuthor(name, uint64(now.Milliseconds()), b), fleet.DefaultTalk(), random),
 		members: map[string]*peer{}, missing: map[string]*peer{}, unmet: map[string]unmet{}, remembered: map[string]address{},
 		heard:     heard{answered: map[string]time.Duration{}, suspected: map[string]time.Duration{}},
-		agreement: newAgreement(p.Agree, now), logged: map[string]time.Duration{}, random: random}
+		agreement: newAgreement(p.Agree, now), logged: map[string]time.Duration{}, random: random, write: write}
 	if c.Dir != "" {
 		members, err := load(c.Dir, c.Cluster, now)
 		if err != nil { // It starts as if there were none.
@@ -166,6 +168,7 @@
 	g.waits = ""
 	g.mu.Unlock()
 	g.ended.Go(g.run)
+	g.ended.Go(g.keepRemembered)
 	g.rejoin()
 }
 
@@ -254,7 +257,6 @@
 		}
 		g.agree(now)
 		g.mu.Unlock()
-		g.keep(false)
 	}
 }
 
@@ -324,28 +326,6 @@
 	}
 }
 
-// keep writes the remembered members and those that are there, if they have changed.
-func (g *Gossip) keep(last bool) {
-	g.mu.Lock()
-	now := g.clock()
-	if g.config.Dir == "" || !g.changed || !last && now-g.kept < g.pace.Rejoin {
-		g.mu.Unlock()
-		return
-	}
-	g.kept, g.changed = now, false
-	members := maps.Clone(g.remembered)
-	for name, p := range g.members {
-		members[name] = address{p.node.Address(), now}
-	}
-	g.mu.Unlock()
-	if err := keep(g.config.Dir, g.config.Cluster, members); err != nil {
-		g.mu.Lock()
-		g.count.Unkept++
-		g.mu.Unlock()
-		g.bad("the members cannot be remembered: " + err.Error())
-	}
-}
-
 // send sends a message, a summary or its answer over a stream; mu is held. What is lost is made good by a later summary.
 func (g *Gossip) send(name string, w wire) {
 	to, there := g.members[name]
--- a/internal/fleet/gossip/process_test.go
+++ b/internal/fleet/gossip/process_test.go
@@ -3,8 +3,10 @@
 import (
 	"encoding/binary"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"hash/crc32"
+	"io/fs"
 	"math/rand/v2"
 	"os"
 	"slices"
@@ -190,12 +192,18 @@
 		f.Kill(name)
 	}
 	require.NoError(t, os.WriteFile(dir+"/n3/fleet-members", []byte("noise"), 0o600))
+	leftBehind := dir + "/n2/fleet-members-1" // of a writer that was killed
+	require.NoError(t, os.WriteFile(leftBehind, []byte("half"), 0o600))
 	for _, name := range []string{"n3", "n1", "n2"} {
 		f.Restart(name)
 	}
 	f.Settled("without the seed", "n1", "n2", "n3")
 	require.Positive(t, f.State("n3").Unkept)
 	require.Zero(t, f.State("n2").Unkept)
+	f.Beds["n2"].Eventually(func() bool {
+		_, err := os.Stat(leftBehind)
+		return errors.Is(err, fs.ErrNotExist)
+	}, "n2 removes what was left behind")
 	f.Restart("n0")
 	f.Settled("all", f.Names...)
 }
