--- a/internal/works/driver/driver.go
+++ b/internal/works/driver/driver.go
@@ -16,6 +16,7 @@
 	"github.com/rs/zerolog"
 
 	"capercove/choice"
+	"capercove/internal/clock"
 	"capercove/internal/core"
 	"capercove/internal/discovery"
 	"capercove/internal/fleet/gossip"
@@ -107,6 +108,9 @@
 	}
 }
 
+// wall is the Unix time, for what people read in the record and for the time until which they let machines be taken.
+func wall() time.Duration { return time.Duration(clock.Wall().UnixNano()) }
+
 func sleep(ctx context.Context, t time.Duration) {
 	select {
 	case <-time.After(t):
@@ -446,7 +450,7 @@
 			continue
 		}
 		s := d.see(r.Plan.Wish.Bears)
-		o := l.Lead(d.pooler.Clock(), time.Duration(time.Now().UnixNano()), r, s)
+		o := l.Lead(d.pooler.Clock(), wall(), r, s)
 		d.ask(o.Ask)
 		if o.Resign {
 			d.pooler.Log.Info().Msg("works: another is to lead the record, as this pooler is next")
@@ -545,7 +549,7 @@
 		if err != nil {
 			continue
 		}
-		o := m.Ended(d.pooler.Clock(), time.Duration(time.Now().UnixNano()), r, call, failed)
+		o := m.Ended(d.pooler.Clock(), wall(), r, call, failed)
 		if on, _, _ := o.Change(r); on == nil {
 			return // it is known, or of a try that is over
 		}
--- a/internal/works/driver/show.go
+++ b/internal/works/driver/show.go
@@ -7,6 +7,7 @@
 	"flag"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"net/http"
 	"os"
 	"slices"
@@ -17,6 +18,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
+	"capercove/internal/clock"
 	"capercove/internal/config/tables"
 	"capercove/internal/store"
 	"capercove/internal/works"
@@ -151,13 +153,13 @@
 
 // change makes a change on what stands in the record, anew where somebody else's came first.
 func (o *operator) change(decide func(works.Record, time.Duration) (works.Orders, error)) error {
-	id := fmt.Sprintf("works/operator/%d/%d", os.Getpid(), time.Now().UnixNano())
+	id := fmt.Sprintf("works/operator/%d/%016x", os.Getpid(), rand.Uint64())
 	for try := range 20 {
 		r, err := o.record()
 		if err != nil {
 			return err
 		}
-		orders, err := decide(r, time.Duration(time.Now().UnixNano()))
+		orders, err := decide(r, wall())
 		if err != nil {
 			return err
 		}
@@ -211,12 +213,18 @@
 	if !start {
 		return nil
 	}
-	id := fmt.Sprintf("%s-%d", time.Now().UTC().Format("20060102T150405"), os.Getpid())
+	id := planID(clock.Wall())
 	return o.change(func(r works.Record, wall time.Duration) (works.Orders, error) {
 		return works.Start(wall, r, id, who(), w, o.shown.Look)
 	})
 }
 
+// planID returns a name for a plan that begins now: the time is for people, and no other plan has the number,
+// whatever the clock says and whichever machine a plan is started from.
+func planID(now time.Time) string {
+	return fmt.Sprintf("%s-%08x", now.UTC().Format("20060102T150405"), rand.Uint32())
+}
+
 // readWish reads a file with a wish. Errors name the line and the key.
 func readWish(path string) (w works.Wish, err error) {
 	text, err := os.ReadFile(path)
--- a/internal/works/lead.go
+++ b/internal/works/lead.go
@@ -39,6 +39,14 @@
 type Leader struct {
 	manner Manner
 	seen   map[string]sight // by machine
+	window window
+}
+
+// window is the time in which machines of a plan may be taken.
+type window struct {
+	plan   string
+	opened time.Duration // when this leader first saw the plan
+	left   time.Duration // from then on, by the wall clock as it was then
 }
 
 type sight struct {
@@ -54,7 +62,8 @@
 // evidence that is older is asked for.
 const evidence = 2 * time.Second
 
-// Lead decides what to do next. Wall is the Unix time, to be shown.
+// Lead decides what to do next. Wall is the Unix time, to be shown, and to find how much of the plan's time is left
+// when it is first seen. No step of the wall clock changes anything else.
 func (l *Leader) Lead(now, wall time.Duration, r Record, s Seen) (o Orders) {
 	me := l.manner.Self.Name
 	for _, name := range slices.Sorted(maps.Keys(r.Words)) {
@@ -67,6 +76,7 @@
 		return o
 	}
 	plan := r.Plan
+	l.open(now, wall, plan)
 	all := fleet(r, s, o.Forget)
 	c := &course{now: now, rules: l.rules(r)}
 	at := map[string]State{}
@@ -94,6 +104,13 @@
 	return o
 }
 
+// open begins to count the time that a plan leaves, once.
+func (l *Leader) open(now, wall time.Duration, plan Plan) {
+	if l.window.plan != plan.ID {
+		l.window = window{plan: plan.ID, opened: now, left: plan.Wish.Until.Sub(time.Unix(0, int64(wall)))}
+	}
+}
+
 // next takes, hands over or asks back what the planner names.
 func (l *Leader) next(c *course, plan *Plan, at map[string]State, r Record, s Seen, o *Orders, wall time.Duration) {
 	me := l.manner.Self.Name
@@ -103,7 +120,7 @@
 		plan.State, plan.Why, plan.HandOver = Over, "", nil
 		o.tell(me, wall, "", 0, "the plan is over")
 	case plan.State != Running:
-	case !plan.Wish.Until.IsZero() && wall > time.Duration(plan.Wish.Until.UnixNano()):
+	case !plan.Wish.Until.IsZero() && c.now-l.window.opened > l.window.left:
 		plan.State, plan.Why = Paused, "the time for it is over"
 		o.tell(me, wall, "", 0, "%s: %s", plan.State, plan.Why)
 	case d.AskBack != "":
--- a/internal/works/lead_test.go
+++ b/internal/works/lead_test.go
@@ -79,6 +79,7 @@
 	paper   *paper
 	leader  *Leader
 	now     time.Duration
+	stepped time.Duration // by which the wall clock is ahead
 	poolers map[string]uint64
 	change  func(*Seen) // what is seen otherwise
 	calls   []Call
@@ -117,7 +118,7 @@
 		p.paper.say(name, w)
 	}
 	r = p.paper.read(p.t)
-	o := p.leader.Lead(p.now, p.now, r, p.see())
+	o := p.leader.Lead(p.now, p.now+p.stepped, r, p.see())
 	require.True(p.t, p.paper.write(r, o))
 	p.calls = append(p.calls, o.Calls...)
 	return o
@@ -301,6 +302,43 @@
 	p.until("p", Done)
 }
 
+// The time that a plan has is a span of real time for who leads it: no step of the wall clock ends it early, nor
+// stretches it. Nor does one take a machine out or back: a pooler that says nothing is waited for until its lease
+// has run out.
+func TestStepOfTheWallClock(t *testing.T) {
+	const window = 30 // looks, each of a second
+	for _, step := range []time.Duration{-time.Hour, time.Hour} {
+		t.Run(step.String(), func(t *testing.T) {
+			p := newPlay(t, manner("p", 0), Wish{Machines: []string{"a1", "a2"}, Fresh: 1, Until: time.Unix(1000+window, 0)})
+			p.look()
+			p.stepped = step
+			p.until("a1", Free)
+			for p.now < (1000+window)*sec {
+				require.Equal(t, Running, p.plan().State)
+				p.look()
+			}
+			p.look()
+			require.Equal(t, "the time for it is over", p.plan().Why)
+		})
+		t.Run("lease, "+step.String(), func(t *testing.T) {
+			p := newPlay(t, manner("p", 0), Wish{Machines: []string{"a1"}, Fresh: 1, GoOn: true})
+			p.look() // all know the plan
+			delete(p.poolers, "q")
+			p.change = func(s *Seen) { s.Lives["q"] = 1 }
+			agreed := p.until("a1", Agreed)
+			began := p.now
+			require.Equal(t, Agreed, agreed.State)
+			p.stepped = step
+			rules := p.leader.rules(p.paper.read(t))
+			lease := rules.Lease + rules.Skew
+			free := p.until("a1", Free)
+			require.GreaterOrEqual(t, p.now-began, lease)
+			require.LessOrEqual(t, p.now-began, lease+3*sec)
+			require.Equal(t, []string{"q"}, free.Without)
+		})
+	}
+}
+
 // A pooler that was cut off for so long that the fleet's view has forgotten it is no yes; one that left is not waited for.
 func TestLongGone(t *testing.T) {
 	p := newPlay(t, manner("p", 1), Wish{Machines: []string{"a1"}, Fresh: 1})
