--- a/internal/works/lead.go
+++ b/internal/works/lead.go
@@ -67,7 +67,7 @@
 func (l *Leader) Lead(now, wall time.Duration, r Record, s Seen) (o Orders) {
 	me := l.manner.Self.Name
 	for _, name := range slices.Sorted(maps.Keys(r.Words)) {
-		if _, lives := s.Lives[name]; !lives && s.Left[name] >= r.Words[name].Incarnation {
+		if _, lives := s.Lives[name]; !lives && leftSince(r.Words[name].Incarnation, s.Left[name]) {
 			o.Forget = append(o.Forget, name)
 		}
 	}
@@ -104,6 +104,16 @@
 	return o
 }
 
+// refuted is by how much a life's incarnation may have grown since its word, in ms: others took it for gone, and it
+// did not agree.
+const refuted = uint64(2 * time.Minute / time.Millisecond)
+
+// leftSince tells whether the life that said a word is the one that has left by now, given both incarnations. They
+// begin with the Unix time: a word whose incarnation is far lower is that of a process which came later, after its
+// machine's clock was stepped back, and which may send. One that is gone all the same is for the operators to
+// forget.
+func leftSince(said, left uint64) bool { return left >= said && left-said <= refuted }
+
 // open begins to count the time that a plan leaves, once.
 func (l *Leader) open(now, wall time.Duration, plan Plan) {
 	if l.window.plan != plan.ID {
--- a/internal/works/lead_test.go
+++ b/internal/works/lead_test.go
@@ -339,6 +339,25 @@
 	}
 }
 
+// A pooler that left and came back after its clock was stepped back bears a lower incarnation: nothing is free
+// without its word.
+func TestClockSteppedBackBetweenTwoLives(t *testing.T) {
+	const left, back = 1_800_000_000_000, 1_800_000_000_000 - 3_600_000 // ms
+	p := newPlay(t, manner("p", 1), Wish{Machines: []string{"a1"}, Fresh: 1})
+	p.poolers = map[string]uint64{"p": 1}
+	p.change = func(s *Seen) { s.Left = map[string]uint64{"q": left} }
+	p.paper.say("q", Word{Incarnation: back})
+	for range 20 {
+		require.Empty(t, p.look().Forget)
+	}
+	step := p.paper.read(t).Steps["a1"]
+	require.Equal(t, Agreed, step.State)
+	p.paper.say("q", Word{Incarnation: back, Stopped: map[string]uint64{"a1": step.Number}})
+	p.until("a1", Free)
+	p.paper.say("q", Word{Incarnation: left - 2})
+	require.Equal(t, []string{"q"}, p.look().Forget, "its own word, from before it was refuted")
+}
+
 // A pooler that was cut off for so long that the fleet's view has forgotten it is no yes; one that left is not waited for.
 func TestLongGone(t *testing.T) {
 	p := newPlay(t, manner("p", 1), Wish{Machines: []string{"a1"}, Fresh: 1})
