--- a/internal/works/driver/plant_test.go
+++ b/internal/works/driver/plant_test.go
@@ -89,7 +89,7 @@
 // them, and the plan ends with nothing broken.
 func TestClocks(t *testing.T) {
 	t.Parallel()
-	program := testbed.Variant(t, testbed.Edit{File: "cmd/capercove/main.go", Old: "epoch := time.Duration(start.UnixNano())",
+	program := testbed.Variant(t, testbed.Edit{File: "internal/clock/clock.go", Old: "epoch := time.Duration(start.UnixNano())",
 		New: "offset, _ := time.ParseDuration(os.Getenv(\"CLOCK_OFFSET\"))\n\tepoch := time.Duration(start.UnixNano()) + offset"})
 	h, line := newHook(t)
 	h.open()
