--- a/internal/works/lead.go
+++ b/internal/works/lead.go
@@ -39,6 +39,14 @@
 type Leader struct {
 	manner Manner
 	seen   map[string]sight // by machine
+	window window
+}
+
+// window is the time in which machines of a plan may be taken.
+type window struct {
+	plan   string
+	opened time.Duration // when this leader first saw the plan
+	left   time.Duration // from then on, by the wall clock as it was then
 }
 
 type sight struct {
@@ -54,11 +62,12 @@
 // evidence that is older is asked for.
 const evidence = 2 * time.Second
 
-// Lead decides what to do next. Wall is the Unix time, to be shown.
+// Lead decides what to do next. Wall is the Unix time, to be shown, and to find how much of the plan's time is left
+// when it is first seen. No step of the wall clock changes anything else.
 func (l *Leader) Lead(now, wall time.Duration, r Record, s Seen) (o Orders) {
 	me := l.manner.Self.Name
 	for _, name := range slices.Sorted(maps.Keys(r.Words)) {
-		if _, lives := s.Lives[name]; !lives && s.Left[name] >= r.Words[name].Incarnation {
+		if _, lives := s.Lives[name]; !lives && leftSince(r.Words[name].Incarnation, s.Left[name]) {
 			o.Forget = append(o.Forget, name)
 		}
 	}
@@ -67,6 +76,7 @@
 		return o
 	}
 	plan := r.Plan
+	l.open(now, wall, plan)
 	all := fleet(r, s, o.Forget)
 	c := &course{now: now, rules: l.rules(r)}
 	at := map[string]State{}
@@ -94,6 +104,23 @@
 	return o
 }
 
+// refuted is by how much a life's incarnation may have grown since its word, in ms: others took it for gone, and it
+// did not agree.
+const refuted = uint64(2 * time.Minute / time.Millisecond)
+
+// leftSince tells whether the life that said a word is the one that has left by now, given both incarnations. They
+// begin with the Unix time: a word whose incarnation is far lower is that of a process which came later, after its
+// machine's clock was stepped back, and which may send. One that is gone all the same is for the operators to
+// forget.
+func leftSince(said, left uint64) bool { return left >= said && left-said <= refuted }
+
+// open begins to count the time that a plan leaves, once.
+func (l *Leader) open(now, wall time.Duration, plan Plan) {
+	if l.window.plan != plan.ID {
+		l.window = window{plan: plan.ID, opened: now, left: plan.Wish.Until.Sub(time.Unix(0, int64(wall)))}
+	}
+}
+
 // next takes, hands over or asks back what the planner names.
 func (l *Leader) next(c *course, plan *Plan, at map[string]State, r Record, s Seen, o *Orders, wall time.Duration) {
 	me := l.manner.Self.Name
@@ -103,7 +130,7 @@
 		plan.State, plan.Why, plan.HandOver = Over, "", nil
 		o.tell(me, wall, "", 0, "the plan is over")
 	case plan.State != Running:
-	case !plan.Wish.Until.IsZero() && wall > time.Duration(plan.Wish.Until.UnixNano()):
+	case !plan.Wish.Until.IsZero() && c.now-l.window.opened > l.window.left:
 		plan.State, plan.Why = Paused, "the time for it is over"
 		o.tell(me, wall, "", 0, "%s: %s", plan.State, plan.Why)
 	case d.AskBack != "":
