--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -88,6 +88,9 @@
 	StoreWatch     time.Duration // a watch of the store waits no longer
 	StoreCatchUp   time.Duration // a new member of the store holds by then what the others hold
 	LogEvery       time.Duration // at most one line a kind of bad input in this time
+	RetryFirst     time.Duration // a network call that failed for a moment is made again after this
+	RetryMost      time.Duration // ... and after this, if it goes on failing
+	StartRetry     time.Duration // ... and at the start for no longer than this
 }
 
 // Machine is what the platform grants.
@@ -198,5 +201,8 @@
 		StoreWatch:     30 * time.Second,
 		StoreCatchUp:   10 * time.Second,
 		LogEvery:       time.Second,
+		RetryFirst:     5 * time.Millisecond,
+		RetryMost:      80 * time.Millisecond,
+		StartRetry:     time.Second,
 	}
 }
--- /dev/null
+++ b/internal/netretry/netretry_test.go
@@ -0,0 +1,142 @@
+package netretry_test
+
+import (
+	"bytes"
+	"errors"
+	"net"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/stretchr/testify/require"
+
+	"capercove/internal/netretry"
+)
+
+// failing fails its first accepts as it is told, and then blocks until it is closed.
+type failing struct {
+	net.Listener
+	errs   []error
+	closed chan struct{}
+}
+
+func (f *failing) Accept() (net.Conn, error) {
+	if len(f.errs) == 0 {
+		<-f.closed
+		return nil, net.ErrClosed
+	}
+	err := f.errs[0]
+	if f.errs = f.errs[1:]; err == nil {
+		c, _ := net.Pipe()
+		return c, nil
+	}
+	return nil, err
+}
+
+func (f *failing) Close() error { close(f.closed); return nil }
+
+func acceptError(errno syscall.Errno) error {
+	return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
+}
+
+// Each error of an accept that Linux documents is tried again, and counted; one line a period is logged.
+func TestAcceptFailsOnlyOnceClosed(t *testing.T) {
+	errnos := []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+		syscall.EPROTO, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTDOWN, syscall.EHOSTUNREACH, syscall.ENONET,
+		syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.EPERM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EACCES,
+		syscall.EINTR, syscall.EINVAL, syscall.ETIMEDOUT, syscall.ENOSR, syscall.ESOCKTNOSUPPORT}
+	inner := &failing{closed: make(chan struct{})}
+	for _, errno := range errnos {
+		inner.errs = append(inner.errs, acceptError(errno))
+	}
+	inner.errs = append(inner.errs, nil)
+	var log bytes.Buffer
+	now := time.Duration(0)
+	failures := netretry.NewFailures("accept", time.Second, zerolog.New(&log), func() time.Duration { return now })
+	l := netretry.NewListener(inner, netretry.Backoff{First: time.Nanosecond, Most: time.Nanosecond}, failures)
+	c, err := l.Accept()
+	require.NoError(t, err)
+	require.NoError(t, c.Close())
+	require.EqualValues(t, len(errnos), failures.Count())
+	require.Equal(t, 1, strings.Count(log.String(), "\n"))
+	now = time.Second
+	failures.Note(acceptError(syscall.EMFILE))
+	require.Equal(t, 2, strings.Count(log.String(), "\n"), "a period later")
+	require.NoError(t, l.Close())
+	_, err = l.Accept()
+	require.ErrorIs(t, err, net.ErrClosed)
+}
+
+// A listener that is closed while it waits to try again does not wait on.
+func TestCloseEndsABackoff(t *testing.T) {
+	inner := &failing{closed: make(chan struct{}), errs: []error{acceptError(syscall.ENOMEM)}}
+	failures := netretry.NewFailures("accept", time.Second, zerolog.Nop(), func() time.Duration { return 0 })
+	l := netretry.NewListener(inner, netretry.Backoff{First: time.Hour, Most: time.Hour}, failures)
+	ended := make(chan error, 1)
+	go func() {
+		_, err := l.Accept()
+		ended <- err
+	}()
+	require.Eventually(t, func() bool { return failures.Count() == 1 }, 20*time.Second, time.Millisecond)
+	require.NoError(t, l.Close())
+	select {
+	case err := <-ended:
+		require.ErrorIs(t, err, net.ErrClosed)
+	case <-time.After(20 * time.Second):
+		require.Fail(t, "it waits on")
+	}
+}
+
+func TestBackoff(t *testing.T) {
+	b := netretry.Backoff{First: 5, Most: 30}
+	for failures, want := range map[int]time.Duration{1: 5, 2: 10, 3: 20, 4: 30, 5: 30, 1 << 40: 30} {
+		require.Equal(t, want, b.After(failures), "after %d failures", failures)
+	}
+}
+
+// A call at the start is made again while it may succeed a moment later, for so long and no longer.
+func TestWithin(t *testing.T) {
+	short, other := acceptError(syscall.EMFILE), errors.New("other")
+	for name, c := range map[string]struct {
+		errs  []error
+		limit time.Duration
+		want  error
+	}{
+		"at once":       {[]error{nil}, time.Hour, nil},
+		"in the end":    {[]error{short, short, nil}, time.Hour, nil},
+		"not worth it":  {[]error{short, other}, time.Hour, other},
+		"for too long":  {nil, time.Millisecond, short},
+		"not to be had": {nil, 0, short},
+	} {
+		calls := 0
+		err := netretry.Within(c.limit, netretry.Backoff{First: time.Nanosecond, Most: time.Nanosecond}, netretry.IsMomentary,
+			func() error {
+				if calls++; c.errs == nil {
+					return short
+				}
+				return c.errs[calls-1]
+			})
+		require.Equal(t, c.want, err, name)
+		if c.errs != nil {
+			require.Equal(t, len(c.errs), calls, name)
+		}
+	}
+}
+
+func TestClasses(t *testing.T) {
+	for errno, want := range map[syscall.Errno][2]bool{
+		syscall.EMFILE: {true, false}, syscall.ENFILE: {true, false}, syscall.ENOBUFS: {true, false},
+		syscall.ENOMEM: {true, false}, syscall.EADDRNOTAVAIL: {true, false}, syscall.EAGAIN: {true, false},
+		syscall.ENETUNREACH: {false, true}, syscall.EHOSTUNREACH: {false, true}, syscall.EHOSTDOWN: {false, true},
+		syscall.EPERM: {false, true}, syscall.ENETDOWN: {false, true},
+		syscall.ECONNREFUSED: {false, false}, syscall.ECONNRESET: {false, false}, syscall.ETIMEDOUT: {false, false},
+	} {
+		err := acceptError(errno)
+		require.Equal(t, want, [2]bool{netretry.IsShortage(err), netretry.IsUnreachable(err)}, errno.Error())
+	}
+	require.True(t, netretry.IsShortage(netretry.ErrShortage))
+	require.False(t, netretry.IsMomentary(nil))
+}
