--- a/cmd/capercove/main.go
+++ b/cmd/capercove/main.go
@@ -34,6 +34,7 @@
 	"capercove/internal/intake"
 	"capercove/internal/limits"
 	"capercove/internal/management"
+	"capercove/internal/netretry"
 	"capercove/internal/pcap"
 	"capercove/internal/peers"
 	"capercove/internal/server"
@@ -153,7 +154,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	p.loop = server.New(l, log, listener)
+	p.loop = server.New(l, log, listener, nil)
 	p.core = core.New(settings(cfg), cfg.Seed, l, log, clock.Monotonic(), func() { p.loop.Do(p.core.Flush) }, p.loop.Accept)
 	p.pool = server.NewPool(p.loop, l, log, p.core)
 	in := intake.New(p.core)
@@ -189,9 +190,13 @@
 		if p.flight, err = flight.NewFront(l, log, p.core, in, p.loop.Do, backend); err != nil {
 			return err
 		}
+		calls, err := listen(l, own.Flight.Listen, flight.Listen)
+		if err != nil {
+			return fmt.Errorf("flight.listen: %w", err)
+		}
 		go func() {
-			if err := p.flight.Serve(own.Flight.Listen); err != nil {
-				log.Fatal().Err(err).Msg("flight: listen")
+			if err := p.flight.Serve(calls); err != nil {
+				log.Error().Err(err).Msg("flight: serve")
 			}
 		}()
 	}
@@ -204,12 +209,12 @@
 		p.loop.Do(func() { p.core.Ban(banned) })
 	})
 	if cfg.Management != "" {
-		operators, err := net.Listen("tcp", cfg.Management)
+		operators, err := listen(l, cfg.Management, listenTCP)
 		if err != nil {
 			return fmt.Errorf("management: %w", err)
 		}
 		go func() {
-			log.Fatal().Err(management.New(l, log, operator{p}).Serve(operators)).Msg("management")
+			log.Error().Err(management.New(l, log, operator{p}).Serve(operators)).Msg("management: serve")
 		}()
 	}
 	if own.Store.Enabled {
@@ -266,6 +271,18 @@
 	return nil
 }
 
+func listenTCP(address string) (net.Listener, error) { return net.Listen("tcp", address) }
+
+// listen listens on an address. What may be over in a moment, as a want of descriptors or an address that another
+// process is about to give up, is waited for a little.
+func listen(l limits.Limits, address string, on func(string) (net.Listener, error)) (listener net.Listener, err error) {
+	err = netretry.Within(l.StartRetry, netretry.BackoffOf(l), netretry.IsMomentary, func() (err error) {
+		listener, err = on(address)
+		return err
+	})
+	return listener, err
+}
+
 // join lets the pooler take part in the fleet.
 func (p *program) join() (err error) {
 	cfg, own := p.config, p.own.Fleet
@@ -563,7 +580,7 @@
 
 func (p *program) counters(what string) {
 	line := p.log.Info().Interface("core", p.core.Count).Interface("front", p.front.Count).
-		Interface("pool", p.pool.Count).Int("open", p.core.Open())
+		Interface("pool", p.pool.Count).Int64("accepts_failed", p.loop.AcceptsFailed()).Int("open", p.core.Open())
 	if p.beside != nil {
 		line = line.Int("takes", p.beside.Takes())
 	}
--- a/cmd/capercove/main_test.go
+++ b/cmd/capercove/main_test.go
@@ -1,14 +1,20 @@
 package main_test
 
 import (
+	"context"
+	"fmt"
+	"net"
+	"net/netip"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"regexp"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
+	"golang.org/x/sys/unix"
 
 	"capercove/internal/testbed"
 )
@@ -76,6 +82,51 @@
 	}
 }
 
+// An address that another process has and keeps ends the start with status 1, and the key and the address are named.
+func TestTakenAddress(t *testing.T) {
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer taken.Close()
+	for key, place := range map[string]string{"listen": "LISTEN", "management": "MANAGEMENT", "flight.listen": "FLIGHT"} {
+		dir := t.TempDir()
+		addr := map[string]string{"LISTEN": testbed.Free(t), "MANAGEMENT": testbed.Free(t), "FLIGHT": testbed.Free(t)}
+		addr[place] = taken.Addr().String()
+		config := fmt.Sprintf(`{"name":"n0","listen":%q,"management":%q,"discovery":"127.0.0.1:2","seed":"1f",`+
+			`"limits":{"memory_mb":192,"sockets":1024},"known":{"members":[]},"settings":`, addr["LISTEN"], addr["MANAGEMENT"]) +
+			testbed.Settings + `}`
+		path, own := filepath.Join(dir, "config.json"), filepath.Join(dir, "own.toml")
+		require.NoError(t, os.WriteFile(path, []byte(config), 0o600))
+		tables := fmt.Sprintf("[flight]\nlisten = %q\nserver_port = 1\n", addr["FLIGHT"])
+		require.NoError(t, os.WriteFile(own, []byte(tables), 0o600))
+		ctx, cancel := context.WithTimeout(t.Context(), testbed.Patience)
+		defer cancel()
+		program := exec.CommandContext(ctx, testbed.Binary(t))
+		program.Env = append(os.Environ(), "GW_CONFIG="+path, "CAPERCOVE_CONFIG="+own, "TMPDIR="+dir)
+		out, err := program.CombinedOutput()
+		require.Error(t, err, key)
+		require.Equal(t, 1, program.ProcessState.ExitCode(), "%s: %s", key, out)
+		named := `(?m)^capercove: .*` + regexp.QuoteMeta(key) + `: .*` + regexp.QuoteMeta(taken.Addr().String())
+		require.Regexp(t, named, string(out), key)
+	}
+}
+
+// An address that another process gives up a moment later does not end the start.
+func TestAddressThatIsTakenForAMoment(t *testing.T) {
+	const moment = 300 * time.Millisecond
+	b := testbed.Start(t, testbed.WithFlight, func(b *testbed.Bed) {
+		for _, addr := range []string{b.Addr, b.Management, b.Flight} {
+			at, err := netip.ParseAddrPort(addr)
+			require.NoError(t, err)
+			fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+			require.NoError(t, err)
+			require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}))
+			time.AfterFunc(moment, func() { unix.Close(fd) }) // it never listens: whoever calls is refused
+		}
+	})
+	require.True(t, b.Client().Ask(b.Statement("read", "k", testbed.Patience)).Complete)
+	b.Eventually(func() bool { code, _ := b.Call("GET", "/api/ready"); return code == 200 }, "operators are answered")
+}
+
 // The sub-commands check files and tell the version, and anything else is a usage error; none of them serves.
 func TestCommands(t *testing.T) {
 	run := func(args ...string) (string, int) {
--- a/internal/flight/front.go
+++ b/internal/flight/front.go
@@ -24,6 +24,7 @@
 	"capercove/internal/core"
 	"capercove/internal/intake"
 	"capercove/internal/limits"
+	"capercove/internal/netretry"
 	"capercove/internal/tenant"
 )
 
@@ -75,8 +76,8 @@
 	return f, nil
 }
 
-// Serve listens until Stop.
-func (f *Front) Serve(listen string) error {
+// Listen listens on the address of the front.
+func Listen(address string) (net.Listener, error) {
 	// At an upgrade the new process listens here beside the old one.
 	shared := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 		failed := c.Control(func(fd uintptr) {
@@ -84,10 +85,13 @@
 		})
 		return errors.Join(failed, err)
 	}}
-	l, err := shared.Listen(context.Background(), "tcp", listen)
-	if err != nil {
-		return err
-	}
+	return shared.Listen(context.Background(), "tcp", address)
+}
+
+// Serve answers calls on a listener until Stop. An accept that fails does not end it.
+func (f *Front) Serve(l net.Listener) error {
+	accepts := netretry.NewFailures("flight: accept", f.limits.LogEvery, f.log, f.core.Now)
+	l = netretry.NewListener(l, netretry.BackoffOf(f.limits), accepts)
 	// Against running out of descriptors.
 	return f.server.Serve(netutil.LimitListener(l, f.limits.FlightClients))
 }
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -20,6 +20,7 @@
 	"capercove/internal/core"
 	"capercove/internal/intake"
 	"capercove/internal/limits"
+	"capercove/internal/netretry"
 	"capercove/internal/statement"
 )
 
@@ -68,8 +69,12 @@
 	return s
 }
 
-// Serve answers calls on an address until the program ends.
+// Serve answers calls on a listener until the program ends. An accept that fails does not end it.
 func (s *Server) Serve(l net.Listener) error {
+	begun := time.Now()
+	clock := func() time.Duration { return time.Since(begun) }
+	accepts := netretry.NewFailures("management: accept", s.limits.LogEvery, s.log, clock)
+	l = netretry.NewListener(l, netretry.BackoffOf(s.limits), accepts)
 	// Against running out of descriptors: callers that finish no call give way to others in time.
 	return s.http.Serve(netutil.LimitListener(l, s.limits.Operators))
 }
--- a/internal/server/crossings_test.go
+++ b/internal/server/crossings_test.go
@@ -278,9 +278,9 @@
 // its client is not given that; behind an answer or an end the rest may still go out, so that the write may have run and is sent to
 // nobody else; behind a reset nothing goes out: the write never ran, and is sent again.
 func TestBreaksInsideAStatement(t *testing.T) {
-	dial := `c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)`
+	dial := `c, err := p.loop.dialer.DialContext(ctx, "tcp", addr)`
 	program := testbed.Variant(t, testbed.Edit{File: "internal/server/pool.go", // so that the rest of a statement has to wait
-		Old: dial, New: dial + "; if err == nil { c.(*net.TCPConn).SetWriteBuffer(4 << 10) }"})
+		Old: dial, New: dial + "; if err == nil { c.(interface{ SetWriteBuffer(int) error }).SetWriteBuffer(4 << 10) }"})
 	value := func(v string) []byte { return pg.AppendValue(pg.AppendParameter(nil, "mode", "read-write"), v) }
 	for what, test := range map[string]struct {
 		do    func(c *net.TCPConn)
@@ -400,13 +400,17 @@
 // of it reaches a database.
 func TestConnectionThatCrossesTheEnd(t *testing.T) {
 	program := testbed.Variant(t,
-		testbed.Edit{File: "internal/server/eventloop.go", Old: "d.client.EnrollContext(c, accepted{})", New: `if taken.Add(1) > 2 { // the test's own
-					print("held back\n")
-					<-kept
-				}
-				d.client.EnrollContext(c, accepted{})`},
-		testbed.Edit{File: "internal/server/eventloop.go", Old: "d.listener.Close() // It waits", New: "close(kept); d.listener.Close() // It waits"},
-		testbed.Edit{File: "internal/server/eventloop.go", Old: "// accepted marks", New: `var (
+		testbed.Edit{File: "internal/server/accept.go", Old: "	a := &accepted{}\n", New: `	a := &accepted{}
+	if taken.Add(1) > 2 { // the test's own
+		print("held back\n")
+		<-kept
+	}
+`},
+		testbed.Edit{File: "internal/server/accept.go", Old: "d.listener.Close() // It waits",
+			New: "close(kept); d.listener.Close() // It waits"},
+		testbed.Edit{File: "internal/server/accept.go", Old: `"golang.org/x/sys/unix"`,
+			New: "\"sync/atomic\"\n\n\t\"golang.org/x/sys/unix\""},
+		testbed.Edit{File: "internal/server/accept.go", Old: "// accepted marks", New: `var (
 	taken atomic.Int64
 	kept  = make(chan struct{})
 )
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -11,7 +11,6 @@
 	"os"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"github.com/panjf2000/gnet/v2"
@@ -21,6 +20,7 @@
 
 	"capercove/internal/core"
 	"capercove/internal/limits"
+	"capercove/internal/netretry"
 )
 
 // EventLoop runs the event loop.
@@ -32,22 +32,38 @@
 
 	limits    limits.Limits
 	log       zerolog.Logger
-	listener  net.Listener
+	listener  *netretry.Listener
+	listen    func() error // begins to listen
+	accepts   *netretry.Failures
+	backoff   netretry.Backoff
+	dialer    *net.Dialer
 	client    *gnet.Client // gnet's name for a loop that takes connections as they are, and has no listener
 	loop      gnet.EventLoop
 	started   chan struct{}
 	stopped   chan struct{}
+	failed    chan error  // why it cannot begin to serve
 	alarm     *time.Timer // set for the wheel's next timer
 	ticking   atomic.Bool
 	due       time.Duration // when the next tick is to come
 	used      time.Duration // CPU time at the last one
 	accepting sync.WaitGroup
-	warned    atomic.Int64 // time of the last line on an accept that failed
 }
 
-// New returns an event loop for clients of a listener.
-func New(l limits.Limits, log zerolog.Logger, listener net.Listener) *EventLoop {
-	return &EventLoop{limits: l, log: log, listener: listener, started: make(chan struct{}), stopped: make(chan struct{})}
+// New returns an event loop for clients of a listener. The dialer makes all connections to databases; nil is the
+// system's.
+func New(l limits.Limits, log zerolog.Logger, listener net.Listener, dialer *net.Dialer) *EventLoop {
+	d := &EventLoop{limits: l, log: log, backoff: netretry.BackoffOf(l), dialer: dialer,
+		listen: func() error { return nil }, started: make(chan struct{}), stopped: make(chan struct{}),
+		failed: make(chan error, 1)}
+	if dialer == nil {
+		d.dialer = &net.Dialer{}
+	}
+	if lazy, ok := listener.(*lazyListener); ok {
+		d.listen = lazy.Listen
+	}
+	d.accepts = netretry.NewFailures("accept", l.LogEvery, log, func() time.Duration { return d.Core.Now() })
+	d.listener = netretry.NewListener(listener, d.backoff, d.accepts)
+	return d
 }
 
 // Listen takes over the listening socket that is inherited as a descriptor, or else listens on the address from the
@@ -75,32 +91,52 @@
 		}
 	})
 	defer d.alarm.Stop()
-	if d.client, err = gnet.NewClient(d, gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-		gnet.WithSocketSendBuffer(d.limits.SocketBytes), gnet.WithSocketRecvBuffer(d.limits.SocketBytes),
-		gnet.WithLogger(quiet{d.log})); err != nil {
+	if err := netretry.Within(d.limits.StartRetry, d.backoff, netretry.Always, d.begin); err != nil {
 		return err
 	}
-	if err := d.client.Start(); err != nil {
-		return err
-	}
-	if err := d.meet(); err != nil {
+	if err := netretry.Within(d.limits.StartRetry, d.backoff, netretry.Always, d.meet); err != nil {
 		return err
 	}
 	d.Do(start)
 	d.Do(d.wind)
-	<-d.stopped
-	return d.client.Stop()
+	select {
+	case <-d.stopped:
+	case err = <-d.failed:
+	}
+	return errors.Join(err, d.client.Stop())
 }
 
+// begin makes the loop and sets it going.
+func (d *EventLoop) begin() (err error) {
+	d.client, err = gnet.NewClient(d, gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
+		gnet.WithSocketSendBuffer(d.limits.SocketBytes), gnet.WithSocketRecvBuffer(d.limits.SocketBytes),
+		gnet.WithLogger(quiet{d.log}))
+	if err != nil {
+		return err
+	}
+	return d.client.Start()
+}
+
+// errUnwatched tells that gnet has taken a connection and could not have it watched: epoll_ctl failed, and gnet drops
+// why.
+var errUnwatched = fmt.Errorf("the event loop cannot watch the socket: %w", netretry.ErrShortage)
+
 // meet finds the loop: gnet hands it out only with a socket. This one sends nothing and is closed at once. It is UDP over
 // the listener's own address: platforms that grant the IP families alone refuse a pair of Unix sockets.
 func (d *EventLoop) meet() error {
-	c, err := net.Dial("udp", d.listener.Addr().String())
+	c, err := d.dialer.Dial("udp", d.listener.Addr().String())
 	if err != nil {
 		return fmt.Errorf("a socket to meet the loop: %w", err)
 	}
-	_, err = d.client.Enroll(c)
-	return err
+	if _, err = d.client.Enroll(c); err != nil {
+		return fmt.Errorf("a socket to meet the loop: %w", err)
+	}
+	select {
+	case <-d.started:
+		return nil
+	default:
+		return errUnwatched
+	}
 }
 
 // wind lets the wheel's timers come. Against a tick every few milliseconds in each of many idle poolers: the loop sleeps
@@ -112,43 +148,6 @@
 	})
 }
 
-// Accept begins to take clients in.
-func (d *EventLoop) Accept() {
-	for range d.limits.Accepting { // Each waits for the loop: a few at once, as each holds two descriptors.
-		d.accepting.Add(1)
-		go func() {
-			defer d.accepting.Done()
-			for {
-				c, err := d.listener.Accept()
-				switch {
-				case errors.Is(err, net.ErrClosed):
-					return
-				case errors.Is(err, syscall.EADDRINUSE), errors.Is(err, syscall.EADDRNOTAVAIL), errors.Is(err, syscall.EACCES):
-					d.log.Fatal().Err(err).Msg("listen")
-				case err != nil: // Against a busy loop, and a log of nothing else, while descriptors are short.
-					now, last := int64(d.Core.Now()), d.warned.Load()
-					if now-last >= int64(d.limits.LogEvery) && d.warned.CompareAndSwap(last, now) {
-						d.log.Warn().Err(err).Msg("accept")
-					}
-					time.Sleep(d.limits.Tick)
-				default:
-					d.client.EnrollContext(c, accepted{})
-				}
-			}
-		}()
-	}
-}
-
-// Refuse stops to accept, and calls then on the loop when all that was accepted is on it. What is not accepted by then
-// is left to whom else the listener belongs to.
-func (d *EventLoop) Refuse(then func()) {
-	go func() {
-		d.listener.Close() // It waits for an accept that is under way; the loop must not.
-		d.accepting.Wait()
-		d.Do(then)
-	}()
-}
-
 // watch logs when the loop stood still. With little CPU used meanwhile, the process was not let run.
 func (d *EventLoop) watch() {
 	var use unix.Rusage
@@ -189,14 +188,12 @@
 	closed(err error)
 }
 
-// accepted marks a client's connection that is yet to be taken in.
-type accepted struct{}
-
 func (d *EventLoop) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	switch s := c.Context().(type) {
 	case *serverConn:
-		return s.opened(c), gnet.None
-	case accepted:
+		s.opened(c)
+	case *accepted:
+		s.opened = true
 		c.SetContext(d.Front.accept(c))
 	default:
 		d.loop = c.EventLoop()
--- a/internal/server/lazylistener.go
+++ b/internal/server/lazylistener.go
@@ -23,6 +23,12 @@
 	return &lazyListener{addr: to}, nil
 }
 
+// Listen begins to listen, if it has not yet. Its errors are those of the address; those of Accept after it are not.
+func (l *lazyListener) Listen() error {
+	_, err := l.listening()
+	return err
+}
+
 // listening returns the listener, which it makes the first time. One that cannot be made, as while descriptors are short, is
 // tried again by the next Accept.
 func (l *lazyListener) listening() (net.Listener, error) {
--- a/internal/server/pool.go
+++ b/internal/server/pool.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"net"
 	"slices"
 	"syscall"
 	"time"
@@ -322,7 +321,7 @@
 	addr, loop := s.addr, p.loop.loop
 	// gnet's own Register dials with no time-out and cannot be cancelled; Enroll takes a connection as it is.
 	go func() {
-		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+		c, err := p.loop.dialer.DialContext(ctx, "tcp", addr)
 		if err == nil {
 			var opened <-chan gnet.RegisteredResult
 			if opened, err = loop.Enroll(gnet.NewContext(context.Background(), l), c); err == nil {
@@ -390,14 +389,14 @@
 	return l.pool.core.Now()-l.used < l.pool.limits.ServerIdle && l.addr == l.server.addr && silent(l.conn)
 }
 
-// opened starts a connection that has come up.
-func (l *serverConn) opened(c gnet.Conn) []byte {
+// opened starts a connection that has come up. It writes the startup itself: gnet would drop the error.
+func (l *serverConn) opened(c gnet.Conn) {
 	l.conn = c
 	if l.dead { // given up while the loop was taking it in
 		c.Close()
-		return nil
+		return
 	}
-	return pg.AppendStartup(nil, "capercove", "core")
+	c.Write(pg.AppendStartup(nil, "capercove", "core"))
 }
 
 // send writes a job's statement.
