--- a/choice/api.go
+++ b/choice/api.go
@@ -136,7 +136,7 @@
 	NoConnect         // no connection; it never ran
 	BrokenOff         // the connection broke; it may have run
 	Cancelled         // it may have run
-	NotSent           // the request was over before the attempt was sent
+	NotSent           // never sent: the request was over, or this machine lacked something; tells nothing of the node
 	TurnedAway        // a write at a replica or a read too fresh for the node; it never ran
 	NoProcess         // no connection, as the node's machine says that nothing listens; it never ran
 )
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -457,6 +457,7 @@
 		if !n.mute {
 			r.revive(n)
 		}
+	case o.Status == NotSent: // it tells nothing of the node
 	default:
 		n.died = n.died || o.Status == NoProcess
 		if n.fails++; n.fails >= 2 {
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -778,3 +778,18 @@
 		t.Fatal("one that comes back is as a new one, and cold as it is listed")
 	}
 }
+
+// A probe that was never sent, as the router's own machine lacked something, tells nothing of the node, however often;
+// one that found nobody does.
+func TestProbesThatWereNeverSent(t *testing.T) {
+	for _, c := range []struct {
+		status Status
+		want   []ActionKind
+	}{{NotSent, []ActionKind{Send}}, {NoConnect, nil}} {
+		h := newHarness(t, settings())
+		for range 8 {
+			h.step(Event{Kind: ProbeDone, Outcome: Outcome{Node: 1, Status: c.status}})
+		}
+		h.want(fmt.Sprint("a write after probes of status ", c.status), h.arrive(7, classWrite), c.want...)
+	}
+}
--- /dev/null
+++ b/internal/server/dial_test.go
@@ -0,0 +1,80 @@
+package server_test
+
+import (
+	"fmt"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"capercove/internal/testbed"
+)
+
+// repeat returns an error so many times.
+func repeat(n int, err error) (errs []error) {
+	for range n {
+		errs = append(errs, err)
+	}
+	return errs
+}
+
+// dialErrors are the errors of a dial that tell of this machine, or may.
+var dialErrors = map[string]struct {
+	errno syscall.Errno
+	short bool // it tells nothing of the database, however long it lasts
+}{
+	"EMFILE": {syscall.EMFILE, true}, "ENFILE": {syscall.ENFILE, true}, "ENOBUFS": {syscall.ENOBUFS, true},
+	"ENOMEM": {syscall.ENOMEM, true}, "EADDRNOTAVAIL": {syscall.EADDRNOTAVAIL, true}, "EAGAIN": {syscall.EAGAIN, true},
+	"ENETUNREACH": {syscall.ENETUNREACH, false}, "ENETDOWN": {syscall.ENETDOWN, false},
+	"EHOSTUNREACH": {syscall.EHOSTUNREACH, false}, "EHOSTDOWN": {syscall.EHOSTDOWN, false},
+	"EPERM": {syscall.EPERM, false},
+}
+
+// Dials that fail for a moment for a reason on this machine are made again: each request is served, and the database
+// blamed for none of them.
+func TestDialsThatFailForAMoment(t *testing.T) {
+	for name, c := range dialErrors {
+		t.Run(name, func(t *testing.T) {
+			const requests, fails = 6, 12
+			db := newPrimary(t, atOnce)
+			p := newPooler(t, 10*testbed.Patience, listenTCP(t), db.addr, failures("tcp", repeat(fails, c.errno)...))
+			var asked []asker
+			for i := range requests {
+				asked = append(asked, p.ask(fmt.Sprint("r", i), 10*testbed.Patience))
+			}
+			for _, a := range asked {
+				require.Equal(t, "served", a.next(t).end)
+			}
+			core, pool := p.count()
+			require.Zero(t, core.NoConnect)
+			require.EqualValues(t, requests, core.Served)
+			require.Equal(t, requests, db.count(""))
+			for pool.Short+pool.Unreachable == 0 { // the failures may be told behind the first success
+				_, pool = p.count()
+			}
+			require.Equal(t, [2]bool{c.short, !c.short}, [2]bool{pool.Short > 0, pool.Unreachable > 0})
+		})
+	}
+}
+
+// A want on this machine that lasts ends each attempt as never sent, an address that stays unreachable as no
+// connection. Neither dials in a busy loop, and the request is refused: it never ran.
+func TestDialsThatFailOn(t *testing.T) {
+	for name, c := range dialErrors {
+		t.Run(name, func(t *testing.T) {
+			const connect, wait, most = 100 * time.Millisecond, time.Second, 60
+			p := newPooler(t, connect, listenTCP(t), "127.0.0.1:1", failures("tcp", repeat(10*most, c.errno)...))
+			require.Equal(t, "refused", p.ask("a", wait).next(t).end)
+			core, pool := p.count()
+			require.Less(t, pool.Dials, int64(most), "it waits longer each time")
+			require.Zero(t, core.TimedOut)
+			if c.short {
+				require.Zero(t, core.NoConnect)
+				require.Positive(t, core.NotSent)
+				return
+			}
+			require.Positive(t, core.NoConnect)
+		})
+	}
+}
--- a/internal/server/longreader.go
+++ b/internal/server/longreader.go
@@ -6,6 +6,7 @@
 	"os"
 
 	"capercove/choice"
+	"capercove/internal/netretry"
 )
 
 var errLong = errors.New("a report of this length")
@@ -46,7 +47,7 @@
 				l.traffic(buf[:n])
 			}
 			if err != nil && !l.dead {
-				l.broken()
+				l.broken(err)
 			}
 		})
 	}
@@ -57,6 +58,17 @@
 	close(h.next)
 }
 
+// unread ends a connection whose long answer cannot be read apart. The request has run.
+func (l *serverConn) unread(err error) {
+	if !netretry.IsShortage(err) {
+		l.malformed(err)
+		return
+	}
+	l.pool.Count.Short++
+	l.pool.short.Note(err)
+	l.pool.abort(l.job, choice.Cancelled) // it tells nothing of the database
+}
+
 // passOn gives a piece of a long answer to the client. It returns false if that ended the connection.
 func (l *serverConn) passOn(piece []byte) bool {
 	p, a := l.pool, l.job.attempt
@@ -67,7 +79,7 @@
 	if l.long == nil {
 		p.Count.Long++
 		if err := l.readApart(); err != nil {
-			l.malformed(err)
+			l.unread(err)
 			return false
 		}
 	}
--- a/internal/server/pool.go
+++ b/internal/server/pool.go
@@ -13,6 +13,7 @@
 	"capercove/choice"
 	"capercove/internal/core"
 	"capercove/internal/limits"
+	"capercove/internal/netretry"
 	"capercove/internal/pg"
 	"capercove/internal/wheel"
 )
@@ -30,11 +31,16 @@
 	conns   int            // open and dialled, over all servers
 	keep    map[string]int // idle connections to each database by its name, where poolers divide them; nil: IdleEach
 	logged  time.Duration  // when a bad reply was last logged
+	backoff netretry.Backoff
+	short   *netretry.Failures // dials that failed for want of something on this machine
 }
 
 // PoolCounters count connections to databases.
 type PoolCounters struct {
 	Dials, DialsFailed, Reused, Stale, Expired, Evicted, Divided, TooLate, Capped, Unasked, BadReplies, Long int64
+	// Short are the dials that failed for want of something on this machine, Unreachable those whose address no packet
+	// got to.
+	Short, Unreachable int64
 }
 
 // database is one database.
@@ -45,6 +51,9 @@
 	waiting []*job
 	conns   map[*serverConn]struct{}
 	dialing int
+	redial  *wheel.Timer // set while dials that failed for a moment wait to be made again; nothing is dialled until then
+	failed  int          // rounds of such dials in a row
+	short   bool         // the last one failed for want of something on this machine
 }
 
 // job is an attempt or, with no attempt, a probe.
@@ -74,7 +83,9 @@
 }
 
 func NewPool(d *EventLoop, l limits.Limits, log zerolog.Logger, c *core.Core) *Pool {
-	p := &Pool{loop: d, limits: l, log: log, core: c, servers: map[choice.NodeID]*database{}}
+	p := &Pool{loop: d, limits: l, log: log, core: c, servers: map[choice.NodeID]*database{},
+		backoff: netretry.BackoffOf(l)}
+	p.short = netretry.NewFailures("dial: short of system resources", l.LogEvery, log, c.Now)
 	p.expire()
 	return p
 }
@@ -106,21 +117,25 @@
 			}
 		}
 	}
-	if m.Addr != "" {
+	if m.Addr != "" && m.Addr != s.addr {
 		s.addr = m.Addr
+		s.forgive()
 	}
 	if m.State == choice.Gone { // Against jobs that wait for dials that were just closed: the router knows others.
 		for len(s.waiting) > 0 {
 			p.abort(s.waiting[0], choice.NotSent)
 		}
 	}
-	for s.dialing < len(s.waiting) { // those whose dials were closed wait for one to where the database is now
-		p.dial(s)
-	}
+	p.dialAll(s) // those whose dials were closed wait for one to where the database is now
 }
 
 // Forgotten drops what is held of a database that has been gone for long.
-func (p *Pool) Forgotten(m *core.Member) { delete(p.servers, m.ID) }
+func (p *Pool) Forgotten(m *core.Member) {
+	if s := p.servers[m.ID]; s != nil {
+		s.forgive()
+	}
+	delete(p.servers, m.ID)
+}
 
 // Retune takes in how long databases take to connect and keep idle connections. What waits already waits as before.
 func (p *Pool) Retune(l limits.Limits) {
@@ -189,11 +204,9 @@
 	}
 	s.waiting = append(s.waiting, j)
 	j.timer = p.core.Wheel.At(j.asked+p.limits.ConnectTimeout, func() {
-		p.abort(j, choice.NoConnect)
+		p.abort(j, s.unconnected())
 	})
-	if s.dialing < len(s.waiting) {
-		p.dial(s)
-	}
+	p.dialOne(s)
 }
 
 // abort ends a job as it is.
@@ -295,6 +308,20 @@
 
 // ---- Connections
 
+// dialAll opens a connection for each job that waits for one.
+func (p *Pool) dialAll(s *database) {
+	for s.dialing < len(s.waiting) && s.redial == nil {
+		p.dial(s)
+	}
+}
+
+// dialOne opens a connection if a job has none to wait for.
+func (p *Pool) dialOne(s *database) {
+	if s.dialing < len(s.waiting) && s.redial == nil {
+		p.dial(s)
+	}
+}
+
 // dial opens a connection for the jobs that wait.
 func (p *Pool) dial(s *database) {
 	if p.conns >= p.limits.Servers && !p.evict() { // Against running out of descriptors.
@@ -314,9 +341,8 @@
 	l.timer = p.core.Wheel.At(p.core.Now()+p.limits.ConnectTimeout, func() {
 		p.Count.DialsFailed++
 		l.close()
-		if s.dialing < len(s.waiting) { // for a job that came later
-			p.dial(s)
-		}
+		p.recovered(s) // whatever is wrong, nothing on this machine is short
+		p.dialOne(s)   // for a job that came later
 	})
 	addr, loop := s.addr, p.loop.loop
 	// gnet's own Register dials with no time-out and cannot be cancelled; Enroll takes a connection as it is.
@@ -327,21 +353,89 @@
 			if opened, err = loop.Enroll(gnet.NewContext(context.Background(), l), c); err == nil {
 				err = (<-opened).Err
 			}
+			if err == nil && l.conn == nil { // set on the loop before the result was sent
+				err = errUnwatched
+			}
 		}
 		if err != nil {
-			why := choice.NoConnect
-			if errors.Is(err, syscall.ECONNREFUSED) { // a machine that is cut off does not say this
-				why = choice.NoProcess
-			}
 			p.loop.Do(func() {
 				if !l.dead {
-					p.refused(l, why)
+					p.dialFailed(l, err)
 				}
 			})
 		}
 	}()
 }
 
+// dialFailed decides what the failure of a dial says of the database.
+func (p *Pool) dialFailed(l *serverConn, err error) {
+	switch {
+	case netretry.IsShortage(err): // nothing at all
+		p.Count.Short++
+		p.short.Note(err)
+		p.dialAgain(l, true)
+	case netretry.IsUnreachable(err): // nothing if it lasts a moment; else it is not to be had, as if it were silent
+		p.Count.Unreachable++
+		p.dialAgain(l, false)
+	case errors.Is(err, syscall.ECONNREFUSED): // a machine that is cut off does not say this
+		p.refused(l, choice.NoProcess)
+	default:
+		p.refused(l, choice.NoConnect)
+	}
+}
+
+// dialAgain takes a connection out that did not come up, and dials again a little later for the jobs that wait. Those
+// whose time is over by then are handed back now.
+func (p *Pool) dialAgain(l *serverConn, short bool) {
+	p.Count.DialsFailed++
+	s := l.server
+	l.close()
+	s.short = short
+	if s.redial != nil {
+		return
+	}
+	s.failed++
+	at := p.core.Now() + p.backoff.After(s.failed)
+	s.redial = p.core.Wheel.At(at, func() {
+		if s.redial = nil; len(s.waiting) == 0 {
+			s.forgive()
+		}
+		p.dialAll(s)
+	})
+	for _, j := range slices.Clone(s.waiting) {
+		switch a := j.attempt; {
+		case a == nil: // a probe has the whole of its time
+		case a.Until <= at:
+			p.abort(j, s.unconnected())
+		case a.By > 0 && a.By <= at: // it has not had time enough to tell anything
+			p.abort(j, choice.NotSent)
+		}
+	}
+}
+
+// recovered notes that dials fail for a moment no longer. The jobs that wait for that are dialled for at once.
+func (p *Pool) recovered(s *database) {
+	if s.forgive() {
+		p.dialAll(s)
+	}
+}
+
+// forgive forgets dials that failed for a moment. It returns whether jobs waited for them to be made again.
+func (s *database) forgive() (waited bool) {
+	waited = s.redial != nil
+	s.redial.Stop()
+	s.redial, s.failed, s.short = nil, 0, false
+	return waited
+}
+
+// unconnected is the status of a job that has got no connection in its time.
+func (s *database) unconnected() choice.Status {
+	if s.short {
+		return choice.NotSent
+	}
+	return choice.NoConnect
+}
+
 // refused takes a connection out that did not come up. The job that has waited longest has lost its turn.
 func (p *Pool) refused(l *serverConn, why choice.Status) {
 	p.Count.DialsFailed++
@@ -352,6 +446,7 @@
 		s.dequeue(j)
 		p.finish(j, why, nil)
 	}
+	p.recovered(s)
 }
 
 // evict closes the idle connection that was used least lately.
@@ -521,6 +616,7 @@
 		l.ready = true
 		l.server.dialing--
 		l.release()
+		p.recovered(l.server)
 	default:
 		j := l.job
 		l.job = nil
@@ -538,11 +634,11 @@
 }
 
 // broken ends a connection that failed under what it carried.
-func (l *serverConn) broken() {
+func (l *serverConn) broken(err error) {
 	j := l.job
 	l.job = nil
 	if !l.ready {
-		l.pool.refused(l, choice.NoConnect)
+		l.pool.dialFailed(l, err)
 		return
 	}
 	l.close()
@@ -570,7 +666,7 @@
 		l.pool.finish(j, choice.NoConnect, nil)
 		return
 	}
-	l.broken()
+	l.broken(err)
 }
 
 // close takes a connection out of the pool and closes it.
