--- a/internal/server/dial_test.go
+++ b/internal/server/dial_test.go
@@ -2,11 +2,15 @@
 
 import (
 	"fmt"
+	"net"
+	"strings"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
+	"golang.org/x/sys/unix"
 
 	"capercove/internal/testbed"
 )
@@ -78,3 +82,32 @@
 		})
 	}
 }
+
+// A database that takes in no more of a statement, until the system gives the connection up (ETIMEDOUT), has not been
+// sent its last byte: the write never ran, and is sent again on another connection.
+func TestTimeoutInsideAStatement(t *testing.T) {
+	var conns atomic.Int32
+	stuck := make(chan struct{})
+	t.Cleanup(func() { close(stuck) })
+	db := newPrimary(t, func(net.Conn) {
+		if conns.Add(1) == 1 {
+			<-stuck
+		}
+	})
+	p := newPooler(t, 10*testbed.Patience, listenTCP(t), db.addr, func(network, _ string, c syscall.RawConn) error {
+		if network == "udp4" {
+			return nil
+		}
+		return c.Control(func(fd uintptr) {
+			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_SNDBUF, 4<<10)
+			if conns.Load() == 0 {
+				unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, 100)
+			}
+		})
+	})
+	require.Equal(t, "served", p.ask(strings.Repeat("ab", 60<<10), 10*testbed.Patience).next(t).end)
+	core, _ := p.count()
+	require.EqualValues(t, 1, core.NoConnect)
+	require.Zero(t, core.Broken)
+	require.Equal(t, 1, db.count(""))
+}
--- a/internal/server/pool.go
+++ b/internal/server/pool.go
@@ -9,6 +9,7 @@
 
 	"github.com/panjf2000/gnet/v2"
 	"github.com/rs/zerolog"
+	"golang.org/x/sys/unix"
 
 	"capercove/choice"
 	"capercove/internal/core"
@@ -657,16 +658,31 @@
 	if l.dead || l.long != nil {
 		return
 	}
-	unsent := l.writes || l.conn.OutboundBuffered() > 0 &&
-		(errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE))
-	if l.job != nil && unsent { // The connection broke before the last byte was written: it never ran.
-		j := l.job
-		l.job = nil
-		l.close()
-		l.pool.finish(j, choice.NoConnect, nil)
+	if l.job == nil || !l.keepUnwritten() {
+		l.broken(err)
 		return
 	}
-	l.broken(err)
+	j := l.job
+	l.job = nil
+	l.close()
+	status := choice.NoConnect
+	if netretry.IsShortage(err) {
+		l.pool.Count.Short++
+		l.pool.short.Note(err)
+		status = choice.NotSent
+	}
+	l.pool.finish(j, status, nil)
+}
+
+// keepUnwritten tells whether a part of the statement, its last byte with it, has not been handed to the system and
+// never will be: the statement never ran, whatever ended the connection. gnet still writes what it holds after it has
+// told of a close, so the socket's sending side is ended first. A byte that the system has may arrive.
+func (l *serverConn) keepUnwritten() bool {
+	if !l.writes && l.conn.OutboundBuffered() == 0 {
+		return false
+	}
+	err := unix.Shutdown(l.conn.Fd(), unix.SHUT_WR)
+	return err == nil || err == unix.ENOTCONN // not connected any more: no write succeeds on it
 }
 
 // close takes a connection out of the pool and closes it.
