--- a/cmd/capercove/main.go
+++ b/cmd/capercove/main.go
@@ -185,7 +185,7 @@
 		func() { p.loop.Do(p.core.ListFailed) })
 	watchers := []core.Watcher{p.pool}
 	if own.Flight.Listen != "" {
-		backend := flight.NewBackend(own.Flight, l, log, p.core, p.loop.Do)
+		backend := flight.NewBackend(own.Flight, l, log, p.core, p.loop.Do, nil)
 		watchers = append(watchers, backend)
 		if p.flight, err = flight.NewFront(l, log, p.core, in, p.loop.Do, backend); err != nil {
 			return err
--- a/internal/flight/backend.go
+++ b/internal/flight/backend.go
@@ -4,6 +4,8 @@
 	"context"
 	"errors"
 	"io"
+	"net"
+	"sync/atomic"
 	"time"
 
 	"github.com/apache/arrow-go/v18/arrow/flight"
@@ -30,6 +32,7 @@
 	core   *core.Core
 	do     func(func()) // runs on the core's goroutine
 	conns  map[choice.NodeID]*conn
+	dials  dials
 }
 
 // conn is a connection to a database, which carries many calls. It is closed when the last one has ended.
@@ -39,12 +42,16 @@
 	uses    int
 	used    time.Duration // when it was last taken into use
 	retired bool
+	short   atomic.Bool     // the last dial failed for want of something on this machine, and is made again
 	here    context.Context // over once the database is gone, banned or elsewhere: nothing is begun on it from then on
 	leave   context.CancelFunc
 }
 
-func NewBackend(cfg Config, l limits.Limits, log zerolog.Logger, c *core.Core, do func(func())) *Backend {
-	return &Backend{config: cfg, limits: l, log: log, core: c, do: do, conns: map[choice.NodeID]*conn{}}
+// NewBackend returns a backend. The dialer makes all its connections; nil is the system's.
+func NewBackend(cfg Config, l limits.Limits, log zerolog.Logger, c *core.Core, do func(func()),
+	dialer *net.Dialer) *Backend {
+	return &Backend{config: cfg, limits: l, log: log, core: c, do: do, conns: map[choice.NodeID]*conn{},
+		dials: newDials(l, log, c, dialer)}
 }
 
 // Changed drops the connection to a database that is gone, banned or elsewhere. What has been sent on it goes on. What still waits for it
@@ -84,14 +91,18 @@
 		return nil, errFull
 	}
 	addr := b.config.addr(m.Name, m.Addr)
+	c := &conn{addr: addr, used: now}
 	// No retries of the library's, by service config or by itself (see oneTry): the router alone sends again.
 	cc, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) {
+			return b.dials.dial(ctx, addr, &c.short)
+		}),
 		grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(), grpc.WithStatsHandler(oneTry{}),
 		grpc.WithNoProxy(), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(b.limits.FlightMessage)))
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{addr: addr, grpc: cc, used: now}
+	c.grpc = cc
 	c.here, c.leave = context.WithCancel(context.Background())
 	b.conns[m.ID] = c
 	return c, nil
@@ -171,6 +182,7 @@
 			t.cancel()
 		}
 	case *stats.OutPayload:
+		t.handed.Store(true)
 		t.b.do(func() { t.b.core.Written(t.a) })
 	}
 }
@@ -185,7 +197,8 @@
 	cancel context.CancelFunc
 	a      *core.Attempt
 	s      *statement
-	heard  bool // the database has answered
+	heard  bool        // the database has answered
+	handed atomic.Bool // a message of it has been handed to the connection, and may arrive
 	note   choice.Evidence
 
 	unusable bool // it cannot use the statement
@@ -193,7 +206,7 @@
 
 func (t *try) carry() (choice.Status, any) {
 	up := t.connect()
-	if !up && t.conn.here.Err() == nil {
+	if !up && t.conn.here.Err() == nil && !t.conn.short.Load() {
 		return choice.NoConnect, nil
 	}
 	if !up || !t.ask(t.maySend) {
@@ -214,7 +227,11 @@
 		err = t.get(ctx, client, d)
 	}
 	t.unusable = status.Code(err) == codes.InvalidArgument
-	return outcome(err), answer
+	result := outcome(err)
+	if result == choice.BrokenOff && !t.handed.Load() { // the connection went before anything was written on it
+		result = choice.NoConnect
+	}
+	return result, answer
 }
 
 // connect brings the connection up. What fails here has never run.
--- a/internal/flight/backend_test.go
+++ b/internal/flight/backend_test.go
@@ -29,7 +29,7 @@
 // No more connections to databases than the limit are held: one without a call gives way, the one used least lately first, and if all
 // carry calls there is none for another database.
 func TestConnectionsToDatabasesAreBounded(t *testing.T) {
-	b := NewBackend(Config{ServerPort: 1}, limits.Limits{FlightServers: 3}, zerolog.Nop(), nil, func(f func()) { f() })
+	b := NewBackend(Config{ServerPort: 1}, limits.Limits{FlightServers: 3}, zerolog.Nop(), nil, runAtOnce, nil)
 	member := func(id choice.NodeID) *core.Member {
 		return &core.Member{Node: choice.Node{ID: id, State: choice.Ready}, Name: fmt.Sprint(id), Addr: "127.0.0.1:2"}
 	}
