--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -226,10 +226,18 @@
 }
 
 // silent tells whether a connection is open with nothing to read: the peer has neither closed nor spoken.
-func silent(c gnet.Conn) bool {
+func silent(c gnet.Conn) bool { return peekedNothing(c.Fd(), unix.Recvfrom) }
+
+// peekedNothing tells whether recvfrom says that there is nothing to read. An interrupted call says nothing yet: taken
+// for an answer, a sound connection to a database would be closed, and a client without a request could not be.
+func peekedNothing(fd int, recvfrom func(fd int, p []byte, flags int) (int, unix.Sockaddr, error)) bool {
 	var b [1]byte
-	_, _, err := unix.Recvfrom(c.Fd(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-	return err == unix.EAGAIN
+	for {
+		_, _, err := recvfrom(fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		if err != unix.EINTR {
+			return err == unix.EAGAIN
+		}
+	}
 }
 
 // quiet passes gnet's log on.
--- /dev/null
+++ b/internal/server/silent_test.go
@@ -0,0 +1,30 @@
+package server
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"golang.org/x/sys/unix"
+)
+
+// A peek that is interrupted tells nothing of the connection, and is made again.
+func TestPeekThatIsInterrupted(t *testing.T) {
+	for name, c := range map[string]struct {
+		errs   []error
+		silent bool
+	}{
+		"nothing to read":         {[]error{unix.EAGAIN}, true},
+		"interrupted":             {[]error{unix.EINTR, unix.EINTR, unix.EAGAIN}, true},
+		"interrupted, then bytes": {[]error{unix.EINTR, nil}, false},
+		"broken":                  {[]error{unix.ECONNRESET}, false},
+		"bytes, or closed":        {[]error{nil}, false},
+	} {
+		calls := 0
+		peek := func(int, []byte, int) (int, unix.Sockaddr, error) {
+			calls++
+			return 0, nil, c.errs[calls-1]
+		}
+		require.Equal(t, c.silent, peekedNothing(0, peek), name)
+		require.Equal(t, len(c.errs), calls, name)
+	}
+}
