--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -23,6 +23,7 @@
 	"go.etcd.io/bbolt"
 
 	"capercove/internal/limits"
+	"capercove/internal/netretry"
 )
 
 // Store holds JSON values by key.
@@ -345,6 +346,15 @@
 	if err != nil {
 		return fmt.Errorf("store: api: %w", err)
 	}
+	r.serveOn(l)
+	return nil
+}
+
+// serveOn answers calls on a listener until Close. An accept that fails does not end it.
+func (r *replicated) serveOn(l net.Listener) {
+	begun := time.Now()
+	accepts := netretry.NewFailures("store: accept", r.limits.LogEvery, r.log, func() time.Duration { return time.Since(begun) })
+	l = netretry.NewListener(l, netretry.BackoffOf(r.limits), accepts)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/store", func(w http.ResponseWriter, _ *http.Request) {
 		r.stamp(w)
@@ -390,8 +400,7 @@
 	mux.HandleFunc("GET /v1/watch", r.watch)
 	r.serveMembers(mux)
 	r.http = &http.Server{Handler: mux, ReadHeaderTimeout: r.limits.StoreWait}
-	go r.http.Serve(l)
-	return nil
+	go r.http.Serve(l) // it ends with Close alone
 }
 
 // watch answers what has become of the keys of a name since a revision, as this pooler has it, once there is something, or after the
