--- a/internal/contract/fleet_test.go
+++ b/internal/contract/fleet_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pair is two poolers that talk and take machines out together, before a primary and two replicas. The first one keeps the
-// record, in a store of its own.
+// pair is two poolers that talk and take machines out together, before a primary and two replicas. The first one keeps
+// the record, in a store of its own.
 type pair struct {
 	first, second *pooler
 	databases     []*standIn
@@ -111,8 +111,8 @@
 	return path
 }
 
-// Two poolers see each other and take a replica out by hand. On the way stand the names of all that the management address
-// shows, and the words, flags, outputs and statuses of the sub-commands.
+// Two poolers see each other and take a replica out by hand. On the way stand the names of all that the management
+// address shows, and the words, flags, outputs and statuses of the sub-commands.
 func TestFleetAndWorks(t *testing.T) {
 	t.Parallel()
 	p := startPair(t)
@@ -265,8 +265,8 @@
 	{regexp.MustCompile(`(?s)(DATABASE IS SAID TO BY\n).*`), "$1"},
 }
 
-// steady masks what differs from run to run: times, addresses, digests, the widths of columns, and which databases poolers
-// have something to say of just then.
+// steady masks what differs from run to run: times, addresses, digests, the widths of columns, and which databases
+// poolers have something to say of just then.
 func steady(text string) string {
 	text = regexp.MustCompile(` +`).ReplaceAllString(text, " ")
 	text = regexp.MustCompile(`(?m) $`).ReplaceAllString(text, "")
--- a/internal/contract/management_test.go
+++ b/internal/contract/management_test.go
@@ -58,8 +58,8 @@
 	return all.String()
 }
 
-// The management address of a pooler with all subsystems off: paths, methods, statuses, content types and texts; the names
-// of its figures; and what discovery is asked.
+// The management address of a pooler with all subsystems off: paths, methods, statuses, content types and texts; that
+// the counters are printed; and what discovery is asked.
 func TestManagementAlone(t *testing.T) {
 	t.Parallel()
 	primary, replica := newStandIn(t, "db-0", true), newStandIn(t, "db-1", false)
--- a/internal/contract/postgres_test.go
+++ b/internal/contract/postgres_test.go
@@ -29,8 +29,8 @@
 
 const longEnough = 5000 // milliseconds
 
-// scripted are what clients send, each on a connection of its own. Bytes are read until as many ReadyForQuery have come,
-// or to the connection's end where ready is negative.
+// scripted are what clients send, each on a connection of its own. Bytes are read until as many ReadyForQuery have
+// come, or to the connection's end where ready is negative.
 var scripted = []struct {
 	name  string
 	sent  string
@@ -79,8 +79,8 @@
 
 var started = startup("user\x00client\x00database\x00core\x00")
 
-// What clients get and what databases are sent, byte for byte, for a fixed script. Masked are the time left that databases
-// are told (d=), and the time to come back (field D of 53300): both depend on the clock.
+// What clients get and what databases are sent, byte for byte, for a fixed script. Masked are the time left that
+// databases are told (d=), and the time to come back (field D of 53300): both depend on the clock.
 func TestPostgresWire(t *testing.T) {
 	t.Parallel()
 	database := newStandIn(t, "db-0", true)
--- a/internal/contract/shape_test.go
+++ b/internal/contract/shape_test.go
@@ -42,8 +42,8 @@
 	return names(value)
 }
 
-// goldenNames waits until all names of a golden file are there. More may be there: names are added, but neither changed nor
-// taken away. Where the file is written anew, the names are those of the first look that is complete.
+// goldenNames waits until all names of a golden file are there. More may be there: names are added, but neither changed
+// nor taken away. Where the file is written anew, the names are those of the first look that is complete.
 func goldenNames(t *testing.T, file string, complete func(found []string) bool, look func() []string) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
