--- a/internal/flight/front.go
+++ b/internal/flight/front.go
@@ -210,7 +210,8 @@
 			bad <- err
 			return
 		}
-		asked.Expires -= f.core.Now() - sent
+		// What the connection tells is not enough after a stall: other frames may have come since.
+		asked.Expires -= max(f.core.Now()-sent, f.core.Unread(begun))
 		q, asked.Client = asked, c
 		f.core.Submit(q)
 	})
--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -240,10 +240,10 @@
 	k.read()
 }
 
-// timeUnread is how long bytes that are read now have lain in the kernel: the first ones while the connection waited to be accepted, others
-// while the loop stood still.
+// timeUnread is how long bytes that are read now have lain in the kernel: the first ones while the connection waited
+// to be accepted, others while the loop stood still.
 func (k *clientConn) timeUnread() time.Duration {
-	stalled := k.front.core.Unread()
+	stalled := k.front.core.Unread(k.front.core.Now())
 	if k.heard && stalled == 0 {
 		return 0
 	}
@@ -494,8 +494,8 @@
 // tooMuchHeld is why a connection is closed that makes the program hold too many bytes.
 const tooMuchHeld = "more is sent or left unread than is held"
 
-// relieve closes the connection that holds most while all together hold too much. Against one that holds little and loses its answers
-// because of what others hold.
+// relieve closes the connection that holds most while all together hold too much. Against one that holds little and
+// loses its answers because of what others hold.
 func (f *Front) relieve() {
 	for f.held > f.limits.ClientBytes {
 		var most *clientConn
@@ -611,7 +611,8 @@
 		}
 		switch k.read(); {
 		case k.gone || k.closing:
-		case k.conn.OutboundBuffered() > 0 || !silent(k.conn): // what lies unread is refused, and flush ends it when all is out
+		case k.conn.OutboundBuffered() > 0 || !silent(k.conn):
+			// What lies unread is refused, and flush ends the connection when all is out.
 			k.used = true
 			k.later()
 		default:
