--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -31,7 +31,8 @@
 	Piece(data []byte, more func()) bool
 }
 
-// Leaver is a client that can look whether its user has closed or cancelled, where the front may not have heard of it yet.
+// Leaver is a client that can look whether its user has closed or cancelled, where the front may not have heard of
+// it yet.
 type Leaver interface{ HasLeft() bool }
 
 // Failure tells why a request failed.
--- a/internal/core/off.go
+++ b/internal/core/off.go
@@ -98,8 +98,8 @@
 	return !a.done && !a.Request.done && now < a.Until && (a.By == 0 || now <= a.By) && c.may(a.Member)
 }
 
-// leaveUnheard ends a request whose client has gone, before its front has heard of that. Against an attempt for a client whose close
-// lies unread: behind its requests that are read first, or because the process was not let run.
+// leaveUnheard ends a request whose client has gone, before its front has heard of that. Against an attempt for a
+// client whose close lies unread: behind its requests that are read first, or because the process was not let run.
 func (c *Core) leaveUnheard(q *Request) {
 	if q.done {
 		return
--- a/internal/flight/backend.go
+++ b/internal/flight/backend.go
@@ -311,7 +311,8 @@
 	}
 }
 
-// allowed asks whether the statement may be sent now, with all in mind that the client has sent by now, such as its cancelling.
+// allowed asks whether the statement may be sent now, with all in mind that the client has sent by now, such as its
+// cancelling.
 func (t *try) allowed() bool {
 	t.s.call.socket.settle(t.ctx, t.b.limits.FlightSettle)
 	return t.ask(t.maySend)
--- a/internal/flight/clientsocket.go
+++ b/internal/flight/clientsocket.go
@@ -50,7 +50,8 @@
 	return socket, nil
 }
 
-// clientSocket is a client's connection that tells whether gRPC has taken in all that came on it, such as the cancelling of a call.
+// clientSocket is a client's connection that tells whether gRPC has taken in all that came on it, such as the
+// cancelling of a call.
 type clientSocket struct {
 	*net.TCPConn
 	raw     syscall.RawConn
@@ -120,8 +121,8 @@
 	return age
 }
 
-// settle waits until all that came by now from the client has been handled, for so long at most: a call's cancelling may lie unread where
-// the process was not let run.
+// settle waits until all that came by now from the client has been handled, for so long at most: a call's cancelling
+// may lie unread where the process was not let run.
 func (c *clientSocket) settle(ctx context.Context, most time.Duration) {
 	if c == nil {
 		return
--- a/internal/flight/clientsocket_test.go
+++ b/internal/flight/clientsocket_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Until the reader has come back for more, what it has read may be a cancelling that is yet to be handled; an end is seen at once where
-// nothing lies before it, and else as soon as that is read.
+// Until the reader has come back for more, what it has read may be a cancelling that is yet to be handled; an end is
+// seen at once where nothing lies before it, and else as soon as that is read.
 func TestWhatLiesUnreadOfAClient(t *testing.T) {
 	const patience = 20 * time.Second
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/flight/departure_test.go
+++ b/internal/flight/departure_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// What a database is told of the client's time is what is left of it, however it was spent: between its ticket and the fetching of
-// that, or unread while the program was not let run.
+// What a database is told of the client's time is what is left of it, however it was spent: between its ticket and
+// the fetching of that, or unread while the program was not let run.
 func TestTimeTold(t *testing.T) {
 	const wait, spent, slack = 10 * testbed.Patience, 2 * time.Second, 150 * time.Millisecond
 	millis := strconv.FormatInt(wait.Milliseconds(), 10)
@@ -76,8 +76,8 @@
 	}
 }
 
-// A client cancels a call, or closes its connection, while the program is not let run, and the database breaks its connection: when the
-// program goes on, whichever it sees first, the call is not sent again.
+// A client cancels a call, or closes its connection, while the program is not let run, and the database breaks its
+// connection: when the program goes on, whichever it sees first, the call is not sent again.
 func TestCancelThatLiesUnread(t *testing.T) {
 	for name, leave := range map[string]func(c client, cancel func()){
 		"cancelled": func(_ client, cancel func()) { cancel() },
--- a/internal/server/closing_test.go
+++ b/internal/server/closing_test.go
@@ -12,8 +12,8 @@
 	"capercove/internal/testbed"
 )
 
-// Clients that send ahead make the program hold as much as it may: a client that adds a little keeps its connection and gets its answers,
-// and one of those that hold most is closed.
+// Clients that send ahead make the program hold as much as it may: a client that adds a little keeps its connection
+// and gets its answers, and one of those that hold most is closed.
 func TestMemoryThatOthersHold(t *testing.T) {
 	const limit, most = 8, 12 << 20 // commands that are taken in; bytes that are held for all clients
 	program := testbed.Variant(t, testbed.Edit{File: "internal/limits/limits.go",
@@ -44,7 +44,8 @@
 	require.Equal(t, "from db-0", string(c.Next().Value))
 }
 
-// At the end of the program a client has yet to read its answer, and asks once more: it reads the answer, and that it is refused.
+// At the end of the program a client has yet to read its answer, and asks once more: it reads the answer, and that
+// it is refused.
 func TestRequestBehindAnUnreadAnswerAtTheEnd(t *testing.T) {
 	edit := func(old, new string) testbed.Edit {
 		return testbed.Edit{File: "internal/limits/limits.go", Old: old, New: new}
@@ -53,7 +54,8 @@
 		edit("AnswerWhole:   64 << 10", "AnswerWhole:   8 << 20"), // so that there is much to be read
 		edit("MessageBytes:  256 << 10", "MessageBytes:  8 << 20"),
 		edit("OutputBytes:   1 << 20", "OutputBytes:   64 << 20"),
-		edit("StopLeaving:    100 * time.Millisecond", "StopLeaving:    time.Hour"), // so that nothing is taken from the signal on
+		// Nothing is taken from the signal on.
+		edit("StopLeaving:    100 * time.Millisecond", "StopLeaving:    time.Hour"),
 		edit("Stop:           stop,", "Stop:           time.Hour,"))
 	b := testbed.Start(t, testbed.WithProgram(program))
 	c := b.Client()
--- a/internal/server/departure_test.go
+++ b/internal/server/departure_test.go
@@ -21,8 +21,8 @@
 // lostAfter is how long after a client's close an attempt may still begin.
 const lostAfter = 100 * time.Millisecond
 
-// pause stops the program, and returns when the system has. What is done until the returned function lets it go on lies unread in the
-// kernel.
+// pause stops the program, and returns when the system has. What is done until the returned function lets it go on
+// lies unread in the kernel.
 func pause(b *testbed.Bed) (resume func()) {
 	b.Signal(syscall.SIGSTOP)
 	b.Eventually(func() bool {
@@ -49,8 +49,8 @@
 	return n
 }
 
-// A client closes while the program is not let run, whatever of its requests was in which place by then: nothing is begun for it when the
-// program goes on, however its close lies behind bytes that are read first.
+// A client closes while the program is not let run, whatever of its requests was in which place by then: nothing is
+// begun for it when the program goes on, however its close lies behind bytes that are read first.
 func TestCloseThatLiesUnread(t *testing.T) {
 	const limit = 8 // commands of a connection that are taken in at once
 	for name, test := range map[string]struct {
@@ -133,8 +133,8 @@
 	}).Core.Fronts["postgres"].Taken
 }
 
-// A request that lay unread, as the program was not let run or could not accept its connection, has the less of its client's time left: the
-// database is told so.
+// A request that lay unread, as the program was not let run or could not accept its connection, has the less of its
+// client's time left: the database is told so.
 func TestTimeThatLiesUnread(t *testing.T) {
 	const wait, spent, slack = 10 * testbed.Patience, time.Second, 150 * time.Millisecond
 	for name, test := range map[string]struct {
@@ -168,7 +168,8 @@
 	}
 }
 
-// withoutDescriptors lets the program open nothing until the returned function is called: what connects waits in the kernel.
+// withoutDescriptors lets the program open nothing until the returned function is called: what connects waits in the
+// kernel.
 func withoutDescriptors(b *testbed.Bed) (resume func()) {
 	var before unix.Rlimit
 	limit := func(now, old *unix.Rlimit) {
@@ -194,8 +195,8 @@
 	return 0
 }
 
-// A client that ends its own side has gone: its end looks no other than that of one that has closed, whose attempts may not go on. It is
-// closed, and what it asked is given up.
+// A client that ends its own side has gone: its end looks no other than that of one that has closed, whose attempts
+// may not go on. It is closed, and what it asked is given up.
 func TestClientThatEndsItsSide(t *testing.T) {
 	b := testbed.Start(t)
 	c := b.Client()
--- a/internal/server/ending_test.go
+++ b/internal/server/ending_test.go
@@ -26,8 +26,8 @@
 	sent     int
 }
 
-// keepAsking sends several statements at once, again and again, of which one is never answered by its database, on new connections too,
-// until the program lets nobody in.
+// keepAsking sends several statements at once, again and again, of which one is never answered by its database, on
+// new connections too, until the program lets nobody in.
 func (a *asked) keepAsking() {
 	for {
 		c, let := a.b.Reach(testbed.Patience)
@@ -64,8 +64,8 @@
 	return true
 }
 
-// The program is told to end while statements hang, clients send several commands at once, deadlines are short, and it is held up for
-// a moment at some point of that: whatever reached a database has had its answer when it ends.
+// The program is told to end while statements hang, clients send several commands at once, deadlines are short, and
+// it is held up for a moment at some point of that: whatever reached a database has had its answer when it ends.
 func TestShortDeadlinesAtTheEnd(t *testing.T) {
 	const heldUp = 150 * time.Millisecond
 	for name, test := range map[string]struct {
@@ -110,8 +110,8 @@
 		`"aimMs":1000,"deadlineMs":3000`, short).Replace(b.Settings)
 }
 
-// Connections come with their first bytes as the program, held up, is told to end, and takes nothing more from then on: none is ended by
-// it with no answer. What it has not accepted is reset.
+// Connections come with their first bytes as the program, held up, is told to end, and takes nothing more from then
+// on: none is ended by it with no answer. What it has not accepted is reset.
 func TestFirstBytesAtTheEnd(t *testing.T) {
 	program := testbed.Variant(t, testbed.Edit{File: "internal/limits/limits.go",
 		Old: "StopLeaving:    100 * time.Millisecond", New: "StopLeaving:    time.Hour"})
--- a/internal/server/fulltable_test.go
+++ b/internal/server/fulltable_test.go
@@ -18,7 +18,8 @@
 	for range 56 {
 		c := b.Dial()
 		busy = append(busy, c)
-		_, err := c.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), b.Statement("report", "hang", 4*testbed.Patience)))
+		startup := pg.AppendStartup(nil, "client", "core")
+		_, err := c.Write(pg.AppendQuery(startup, b.Statement("report", "hang", 4*testbed.Patience)))
 		require.NoError(b.T, err)
 		first := make([]byte, 1)
 		_, err = c.Read(first)
@@ -31,11 +32,12 @@
 	return nil
 }
 
-// However many connections come at once while there is no room, each reads that it is refused, also behind others that were reset before
-// the program took them in.
+// However many connections come at once while there is no room, each reads that it is refused, also behind others
+// that were reset before the program took them in.
 func TestRefusedAtAFullTable(t *testing.T) {
-	const many = 12                                                               // more than have room beside the table
-	program := testbed.Variant(t, testbed.Edit{File: "internal/limits/limits.go", // so that it ends only when it holds no connection
+	const many = 12 // more than have room beside the table
+	// It ends only when it holds no connection.
+	program := testbed.Variant(t, testbed.Edit{File: "internal/limits/limits.go",
 		Old: "Stop:           stop,", New: "Stop:           time.Hour,"})
 	b := testbed.Start(t, testbed.WithProgram(program), func(b *testbed.Bed) { b.Sockets = 128 })
 	busy := fillTable(b)
--- a/internal/server/socketstate.go
+++ b/internal/server/socketstate.go
@@ -7,7 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// hungUp tells whether the peer has closed or reset a connection, also while bytes that it sent before are still unread.
+// hungUp tells whether the peer has closed or reset a connection, also while bytes that it sent before are still
+// unread.
 func hungUp(c gnet.Conn) bool {
 	var b [1]byte
 	n, _, err := unix.Recvfrom(c.Fd(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -22,8 +23,8 @@
 	return err == nil && n > 0 && poll[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// sinceLastData returns how long ago the last bytes of a connection came to this machine, read or not; ok is false if the system does not
-// tell.
+// sinceLastData returns how long ago the last bytes of a connection came to this machine, read or not; ok is false
+// if the system does not tell.
 func sinceLastData(c gnet.Conn) (age time.Duration, ok bool) {
 	info, err := unix.GetsockoptTCPInfo(c.Fd(), unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
--- a/internal/testbed/database.go
+++ b/internal/testbed/database.go
@@ -137,7 +137,8 @@
 	return d.ended
 }
 
-// Told is how many milliseconds the pooler said last, over Flight, that it waits for the answer to a statement; empty: nothing.
+// Told is how many milliseconds the pooler said last, over Flight, that it waits for the answer to a statement;
+// empty: nothing.
 func (d *Database) Told(sql string) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
