--- /dev/null
+++ b/internal/clockoffset/clockoffset.go
@@ -0,0 +1,272 @@
+// Package clockoffset estimates what the databases' clocks show minus what this process's clock shows. The process's clock takes
+// the wall clock at its start for its epoch, and the wall clock may have been wrong then, by seconds or an hour.
+//
+// The evidence is the positions that databases tell. A position is a time by the databases' clocks up to which all commits are
+// applied, so it never lies in their future: one that was received at a time bounds the offset from below. The answer of a
+// primary, which stands at the present, and even more a write's commit, was made between the send and the answer, and so bounds
+// the offset from both sides. As in Marzullo's algorithm the offset lies where most of these intervals overlap.
+//
+// While the process's own clock agrees with the evidence the offset is exactly zero. It is pure: no clock, no I/O, no goroutine.
+package clockoffset
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	// Tolerance is how far a position may lie ahead of the databases' present, and the own clock may be off, without being
+	// taken for wrong. It is half of the slack that limits in time have.
+	Tolerance = 25 * time.Millisecond
+	// Unknown is the Latest of bounds of which only the lower one is known. It is longer ago than any data, and small enough
+	// to be added to times since the Unix epoch.
+	Unknown = time.Duration(1 << 61)
+
+	precision   = 5 * time.Millisecond   // of positions and clock readings: rounding, and skew between databases
+	quorum      = 3                      // samples that have to agree, and by which an estimate has to be outvoted
+	spread      = 100 * time.Millisecond // from the first answer of them to the last send: one moment proves no clock
+	cluster     = 10 * time.Second       // contradictions no further apart than this agree with each other
+	windowSize  = 8                      // samples kept of each kind
+	kinds       = 3
+	intervalEnd = time.Duration(math.MaxInt64)
+)
+
+// Bounds are the least and the greatest that the offset may be. The zero value is that of clocks that agree.
+type Bounds struct {
+	Earliest time.Duration // at least this much is to be added to the own clock
+	Latest   time.Duration // at most this much; Unknown if there is no telling
+}
+
+// Kind tells what a position proves.
+type Kind uint8
+
+// The kinds of samples.
+const (
+	Reported Kind = iota // a position that was true at some time before it was received
+	Primary              // a primary's position, taken while it answered
+	Commit               // the commit of a write that was answered
+)
+
+// Sample is one position that a database told, and when it was asked for and received by the own clock.
+type Sample struct {
+	Kind           Kind
+	Position       time.Duration
+	Sent, Received time.Duration
+}
+
+// interval is where the offset lies if the sample is true.
+type interval struct {
+	Sample
+	lower, upper time.Duration
+}
+
+func (s Sample) interval() interval {
+	i := interval{Sample: s, lower: s.Position - s.Received - precision, upper: intervalEnd}
+	if s.Kind != Reported {
+		i.upper = s.Position - s.Sent + precision
+	}
+	return i
+}
+
+// contradictsZero tells whether the sample cannot be true if the clocks agree.
+func (i interval) contradictsZero() bool {
+	return i.lower > Tolerance-precision || i.upper < precision-Tolerance
+}
+
+// window holds the last samples of one kind.
+type window struct {
+	samples []interval
+	next    int
+}
+
+// Estimator keeps the last samples and the present estimate. The zero value takes the clocks to agree.
+type Estimator struct {
+	windows [kinds]window
+	bounds  Bounds
+	dissent int // samples that cannot be true if the clocks agree
+}
+
+// Bounds returns the present estimate.
+func (e *Estimator) Bounds() Bounds { return e.bounds }
+
+// Dissent is how many of the samples that are kept cannot be true if the clocks agree.
+func (e *Estimator) Dissent() int { return e.dissent }
+
+// Add takes in a sample, and tells whether the bounds have changed by it.
+func (e *Estimator) Add(s Sample) (changed bool) {
+	if s.Position <= 0 || s.Sent > s.Received {
+		return false
+	}
+	e.keep(s.interval())
+	if e.dissent == 0 && e.bounds == (Bounds{}) {
+		return false
+	}
+	before := e.bounds
+	e.bounds = e.estimate()
+	return e.bounds != before
+}
+
+// keep puts a sample in the place of the oldest of its kind.
+func (e *Estimator) keep(i interval) {
+	w := &e.windows[i.Kind]
+	if len(w.samples) < windowSize {
+		w.samples = append(w.samples, i)
+	} else {
+		if w.samples[w.next].contradictsZero() {
+			e.dissent--
+		}
+		w.samples[w.next] = i
+		w.next = (w.next + 1) % windowSize
+	}
+	if i.contradictsZero() {
+		e.dissent++
+	}
+}
+
+// estimate keeps the present bounds unless others are supported by so many samples more that none is moved by a few wrong ones.
+func (e *Estimator) estimate() Bounds {
+	present := e.bounds
+	if present.Latest == Unknown {
+		present = Bounds{}
+	}
+	best := e.overlap()
+	if best.agreed() && best.score(e) >= e.score(present)+quorum {
+		return best.bounds()
+	}
+	if present == (Bounds{}) {
+		if e.contradicted() {
+			return Bounds{Latest: Unknown}
+		}
+		return present
+	}
+	overlaps := best.lower <= present.Latest && best.upper >= present.Earliest
+	if best.agreed() && overlaps && best.upper-best.lower < (present.Latest-present.Earliest)/2 {
+		return best.bounds()
+	}
+	return present
+}
+
+// score is how many samples support bounds, less the positions that would lie in the future under them.
+func (e *Estimator) score(b Bounds) int {
+	score := 0
+	for k := range e.windows {
+		for _, i := range e.windows[k].samples {
+			tooLate, tooEarly := i.lower > b.Latest+Tolerance-precision, i.upper < b.Earliest-Tolerance+precision
+			switch {
+			case i.Kind == Reported && tooLate:
+				score--
+			case i.Kind != Reported && !tooLate && !tooEarly:
+				score++
+			}
+		}
+	}
+	return score
+}
+
+// contradicted tells whether positions lie ahead of the own clock that agree with each other, and more than answers say that it
+// is right.
+func (e *Estimator) contradicted() bool {
+	var ahead []time.Duration
+	support := 0
+	for k := range e.windows {
+		for _, i := range e.windows[k].samples {
+			if i.lower > Tolerance-precision {
+				ahead = append(ahead, i.lower)
+			} else if i.Kind != Reported && !i.contradictsZero() {
+				support++
+			}
+		}
+	}
+	if len(ahead) < quorum || len(ahead) <= support {
+		return false
+	}
+	slices.Sort(ahead)
+	for i := quorum - 1; i < len(ahead); i++ {
+		if ahead[i]-ahead[i-quorum+1] <= cluster {
+			return true
+		}
+	}
+	return false
+}
+
+// overlap is where most intervals overlap, and what they are.
+type overlap struct {
+	lower, upper time.Duration
+	support      []interval
+}
+
+// overlap finds the best one by Marzullo's algorithm; of several as good, the latest, under which data is older.
+func (e *Estimator) overlap() (best overlap) {
+	var all []interval
+	for _, k := range []Kind{Primary, Commit} {
+		all = append(all, e.windows[k].samples...)
+	}
+	slices.SortStableFunc(all, func(a, b interval) int { return cmp.Compare(b.lower, a.lower) })
+	for _, candidate := range all { // the best begins where an interval begins
+		found := overlap{lower: candidate.lower, upper: candidate.upper}
+		for _, i := range all {
+			if i.lower <= candidate.lower && i.upper >= candidate.lower {
+				found.support = append(found.support, i)
+				found.upper = min(found.upper, i.upper)
+			}
+		}
+		if len(found.support) > len(best.support) {
+			best = found
+		}
+	}
+	return best
+}
+
+// agreed tells whether enough answers agree, from more than one moment: a position that stands still agrees with itself for one.
+func (o overlap) agreed() bool {
+	if len(o.support) < quorum {
+		return false
+	}
+	firstAnswer, lastSend := intervalEnd, time.Duration(0)
+	for _, i := range o.support {
+		firstAnswer, lastSend = min(firstAnswer, i.Received), max(lastSend, i.Sent)
+	}
+	return lastSend-firstAnswer >= spread
+}
+
+func (o overlap) score(e *Estimator) int {
+	score := len(o.support)
+	for _, i := range e.windows[Reported].samples {
+		if i.lower > o.upper+Tolerance-precision {
+			score--
+		}
+	}
+	return score
+}
+
+// bounds is exactly zero if that lies in the overlap. Towards the past, under which data is fresher, a commit has to agree:
+// against a primary whose position lags.
+func (o overlap) bounds() Bounds {
+	b := Bounds{Earliest: o.lower, Latest: o.upper}
+	if o.lower <= Tolerance-precision && o.upper >= precision-Tolerance {
+		return Bounds{}
+	}
+	if o.upper < 0 && !slices.ContainsFunc(o.support, func(i interval) bool { return i.Kind == Commit }) {
+		b.Latest = 0
+	}
+	return b
+}
+
+// Instant is a point in time by the own clock, by the databases', or by both; then the later one counts. It keeps what was told
+// as it was told, so that it is right under each later estimate of the offset. The zero value is before all.
+type Instant struct{ Own, Remote time.Duration }
+
+// By returns the instant by the databases' clocks.
+func (i Instant) By(offset time.Duration) time.Duration {
+	if i.Own == 0 {
+		return i.Remote
+	}
+	return max(i.Remote, i.Own+offset)
+}
+
+// Later returns an instant that is as late as both.
+func (i Instant) Later(other Instant) Instant {
+	return Instant{Own: max(i.Own, other.Own), Remote: max(i.Remote, other.Remote)}
+}
