--- a/choice/api.go
+++ b/choice/api.go
@@ -5,7 +5,11 @@
 // no clock, no goroutine and no I/O, so equal calls give equal actions.
 package choice
 
-import "time"
+import (
+	"time"
+
+	"capercove/internal/clockoffset"
+)
 
 // RequestID names a request. A client's own retry carries a new one.
 type RequestID uint64
@@ -98,6 +102,7 @@
 
 	Bans     map[NodeID]time.Duration // BansChanged: the whole set, with the clock time of each ban
 	Settings *Settings                // SettingsChanged; it must not change any more
+	Clock    clockoffset.Bounds       // ClockOffset: what the nodes' clock shows minus this router's
 }
 
 type EventKind uint8
@@ -114,6 +119,7 @@
 	AnswerBegan     // an attempt answers at length, all others are called off: the deadline no longer binds, its node's work is done
 	BansChanged     // by the operators
 	SettingsChanged // requests that arrived before keep their class
+	ClockOffset     // the nodes' clock has been found to differ from the router's; until then the two agree
 )
 
 // Arrival is a request as its client sent it.
@@ -122,7 +128,7 @@
 	Session              uint64        // 0: none
 	Expires              time.Duration // from now
 	Work                 time.Duration // expected work; 0 if unknown
-	LastWrite            time.Duration // clock time of the session's last commit, as carried; 0: none
+	LastWrite            time.Duration // the nodes' clock at the session's last commit, as carried; 0: none
 }
 
 // Status is how an attempt or a probe ended.
@@ -160,7 +166,7 @@
 // Evidence is what a node tells about itself: with an answer as of the answer, in a report as of a while ago.
 type Evidence struct {
 	Role     Role
-	Position time.Duration // clock time up to which all commits are applied; of a write, its commit; 0: none
+	Position time.Duration // the nodes' clock up to which all commits are applied; of a write, its commit; 0: none
 	Waits    bool          // it tells how many requests wait there for others to end
 	Waiting  float64       // ... so many
 }
@@ -177,8 +183,8 @@
 type Node struct {
 	ID      NodeID
 	State   NodeState
-	Primary bool // the list's hint
-	Started time.Duration
+	Primary bool          // the list's hint
+	Started time.Duration // by the nodes' clock
 	Zone    int
 	Group   int
 }
@@ -198,7 +204,7 @@
 	Node    NodeID        // Send, Probe
 	Attempt int           // Cancel
 	After   time.Duration // Send: its time-out, 0 for the client's; Refuse: when to retry, 0 for no advice; SetTimer
-	By      time.Duration // Send: clock time after which it must not be written any more; 0: none
+	By      time.Duration // Send: time of the router's clock after which it must not be written any more; 0: none
 }
 
 type ActionKind uint8
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,6 +1,7 @@
 package choice
 
-// The types, events and actions are in api.go. Every decision and every tuned value is in this file.
+// The types, events and actions are in api.go, comparisons with the nodes' clock in remotetime.go. Every
+// other decision and every tuned value is in this file.
 
 import (
 	"cmp"
@@ -9,12 +10,16 @@
 	"time"
 
 	"capercove/internal/capacity"
+	"capercove/internal/clockoffset"
 	"capercove/internal/quota"
 	"capercove/internal/session"
 )
 
 const ms = time.Millisecond
 
+// listedAt is when the list's word on roles is taken to be from: before all evidence.
+const listedAt time.Duration = 1
+
 // Tuned values. Times are on the router's clock, bounds in requests in flight.
 const (
 	tickEvery     = 10 * ms   // how often held and overdue requests are looked at
@@ -64,10 +69,11 @@
 	walked             uint64        // last walk of the ring that looked at it
 	toldOff            time.Duration // when it was first listed as draining or gone; 0: it is ready
 	drained            bool          // it has been listed as draining
-	coldAt             time.Duration // when it started, as far as known; 0: long ago
+	coldAt             time.Duration // when this router found that it had restarted; 0: never
+	startedAt          time.Duration // its last start as listed, by the nodes' clock; 0: long ago
 	position, provenAt time.Duration // last proven position, which never goes back; when that was learned
 	role               Role
-	roleAt             time.Duration // time of the evidence for role
+	roleAt             clockoffset.Instant // time of the evidence for role
 
 	inFlight                 int
 	mean                     float64       // of inFlight, over presumeOver
@@ -114,9 +120,9 @@
 	class             *Class
 	group             *group
 	arrived, deadline time.Duration
-	letGo             time.Duration // held no longer: half its time until it has reached a node
-	worth, room       float64       // share of the dearest's; multiple of a bound that it may fill
-	need              time.Duration // position that a session or fresh read must see
+	letGo             time.Duration       // held no longer: half its time until it has reached a node
+	worth, room       float64             // share of the dearest's; multiple of a bound that it may fill
+	need              clockoffset.Instant // position that a session or fresh read must see
 	tries             []attempt
 	out, asked, most  int           // attempts that are out; probes made for it; attempts it may have
 	mayRun            bool          // an attempt is out or ended without proof that it never ran
@@ -130,7 +136,8 @@
 	set                Settings
 	seed               uint64
 	now                time.Duration
-	nodes              []*node // by ID
+	offset             clockoffset.Bounds // of the nodes' clock, of which positions and starts are times
+	nodes              []*node            // by ID
 	byID               map[NodeID]*node
 	groups             []*group // by number
 	requests           map[RequestID]*request
@@ -177,6 +184,8 @@
 			r.list(e.Nodes, e.Kind == ListFull)
 		case BansChanged:
 			r.ban(e.Bans)
+		case ClockOffset:
+			r.setOffset(e.Clock)
 		case ListFailed:
 			over := r.askOver()
 			wait := time.Duration(mix(r.seed^uint64(now)) % uint64(over))
@@ -265,12 +274,10 @@
 		r.nodes = append(r.nodes, n)
 		slices.SortFunc(r.nodes, func(a, b *node) int { return cmp.Compare(a.ID, b.ID) })
 	} else if e.Started > n.Started { // It restarted: what was known of its process is void.
-		n.role, n.roleAt = Replica, max(n.roleAt, e.Started)
+		n.role, n.roleAt = Replica, n.roleAt.Later(r.told(e.Started))
 		n.down, n.fails, n.unproven = false, 0, true
 	}
-	if e.Started > 0 && e.Started+r.set.ColdTime > r.now {
-		n.coldAt = max(n.coldAt, e.Started)
-	}
+	n.startedAt = max(n.startedAt, e.Started)
 	n.Node = e
 	switch {
 	case e.State == Ready:
@@ -282,7 +289,7 @@
 	// The list's word counts only for a node that has not spoken for itself: a list far behind would call a
 	// deposed primary back, and reads there would be stale.
 	if e.Primary && r.set.ListRole && n.role == RoleUnknown {
-		n.role, n.roleAt = Primary, 1
+		n.role, n.roleAt = Primary, clockoffset.Instant{Remote: listedAt}
 	}
 }
 
@@ -338,11 +345,14 @@
 // ---- Evidence
 
 // learn takes in what a node said of itself. Positions never go back; the newest word on the role wins.
-func (r *Router) learn(n *node, e Evidence, at time.Duration) {
+func (r *Router) learn(n *node, e Evidence, at clockoffset.Instant) {
 	if e.Position > 0 {
-		n.position, n.provenAt = max(n.position, e.Position), r.now
+		if r.plausible(e.Position) { // Else it is spoilt, or the clocks differ and that is yet to be found.
+			n.position = max(n.position, e.Position)
+		}
+		n.provenAt = r.now
 	}
-	if e.Role != RoleUnknown && at >= n.roleAt {
+	if e.Role != RoleUnknown && at.By(r.offset.Earliest) >= r.roleTime(n) {
 		n.role, n.roleAt = e.Role, at
 	}
 	if e.Waits && r.warmth(n) == 1 {
@@ -354,7 +364,7 @@
 func (r *Router) primary(g *group) *node {
 	var p *node
 	for _, n := range g.members {
-		if n.role == Primary && (p == nil || n.roleAt > p.roleAt) {
+		if n.role == Primary && (p == nil || r.roleTime(n) > r.roleTime(p)) {
 			p = n
 		}
 	}
@@ -364,15 +374,6 @@
 	return p
 }
 
-// warmth is the share of its capacity that a node has at the least.
-func (r *Router) warmth(n *node) float64 {
-	age := r.now - n.coldAt
-	if n.coldAt == 0 || age >= r.set.ColdTime {
-		return 1
-	}
-	return r.set.ColdShare + (1-r.set.ColdShare)*float64(max(age, 0))/float64(r.set.ColdTime)
-}
-
 // coldRoom keeps a cold node from being pushed over: its sends in a fall window stay in this router's part of
 // multiple x present capacity x window. The capacity is what it completes on a warm node, or what the cold
 // one answered in the last window, if more: it can surely do that, however little is asked elsewhere. Of a
@@ -414,23 +415,6 @@
 	return n.d * r.warmth(n)
 }
 
-// fresh tells whether the node's proven position is recent enough for the read. Where nodes check, one is
-// taken to follow as closely as when it last spoke, be that long ago: a wrong guess costs one attempt.
-func (r *Router) fresh(n *node, q *request) bool {
-	position := n.position
-	if r.set.StaleReads == StaleRejected && q.class.Read != FreshRead {
-		position += r.now - n.provenAt
-	}
-	switch q.class.Read {
-	case AnyRead:
-		return true
-	case BoundedRead:
-		return r.now-position <= q.class.MaxAge
-	default:
-		return position >= q.need
-	}
-}
-
 // ---- Health
 
 // suspect takes a node out. A mute one left requests unanswered, whatever its probes say: a process can be up
@@ -452,7 +436,7 @@
 	case n == nil:
 		return
 	case o.Status == OK:
-		r.learn(n, o.Report, o.Report.Position)
+		r.learn(n, o.Report, r.told(o.Report.Position))
 		n.heard, r.nextTick = r.now, r.now // held reads may wait for this proof
 		if !n.mute {
 			r.revive(n)
@@ -474,7 +458,7 @@
 		return
 	}
 	n.down, n.unproven = false, true
-	if died && !n.mute && r.now-max(n.downAt, n.position) > restarted {
+	if died && !n.mute && min(r.now-n.downAt, r.latestNow()-n.position) > restarted {
 		n.coldAt = r.now
 	}
 }
@@ -498,10 +482,10 @@
 	case class.Read == AnyRead && class.Aim > r.tightest: // It may hold the log up too long: at few nodes.
 		q.Session, q.room = uint64(a.Class)+1, anyRoom
 	case class.Read == FreshRead:
-		q.need = r.now
+		q.need = clockoffset.Instant{Own: r.now}
 	case class.Read == SessionRead:
-		if q.need = a.LastWrite; r.set.KeepSessions {
-			q.need = max(q.need, r.writes.Need(a.Session, r.now))
+		if q.need.Remote = a.LastWrite; r.set.KeepSessions {
+			q.need = q.need.Later(r.writes.Need(a.Session, r.now))
 		}
 	}
 	r.requests[id] = q
@@ -542,8 +526,8 @@
 // attemptDone books an outcome. It returns the request if it is still to be placed.
 func (r *Router) attemptDone(id RequestID, o *Outcome) *request {
 	if n := r.byID[o.Node]; n != nil {
-		r.learn(n, o.Note, r.now)
-		r.learn(n, o.Report, o.Report.Position)
+		r.learn(n, o.Note, clockoffset.Instant{Own: r.now})
+		r.learn(n, o.Report, r.told(o.Report.Position))
 	}
 	q := r.requests[id]
 	if q == nil || o.Attempt >= len(q.tries) || !q.tries[o.Attempt].pending {
@@ -563,7 +547,11 @@
 		r.sample(n, q, o)
 	}
 	if q.class.Read == Write {
-		r.writes.Ended(q.Session, !o.Status.NeverRan(), cmp.Or(o.Note.Position, r.now))
+		commit := clockoffset.Instant{Remote: o.Note.Position}
+		if commit.Remote == 0 {
+			commit.Own = r.now
+		}
+		r.writes.Ended(q.Session, !o.Status.NeverRan(), commit)
 	}
 	if q.done || o.Final {
 		r.end(q)
@@ -631,7 +619,7 @@
 	}
 	var by time.Duration // Proof of freshness may run out while a connection is opened.
 	if q.class.Read == BoundedRead && n.role != Primary && r.set.StaleReads == StaleAnswered {
-		by = n.position + q.class.MaxAge
+		by = n.position + q.class.MaxAge - r.offset.Latest
 	}
 	r.emit(Action{Kind: Send, Request: q.id, Node: n.ID, By: by})
 }
@@ -783,11 +771,11 @@
 	if r.set.StaleReads == StaleRejected {
 		return r.doubt == nil || n.position > r.doubt.position
 	}
-	lag, last, wait, all := n.provenAt-n.position, n.probed, again, time.Duration(r.set.Routers)
+	lag, last, wait, all := r.lag(n), n.probed, again, time.Duration(r.set.Routers)
 	if !n.probing { // What it said just now will not have changed, all the less the further it was behind.
 		last, wait = max(last, n.provenAt), max(again, lag*all/(all+lagWait))
 	}
-	nearer := r.doubt == nil || lag+q.class.MaxAge < r.doubt.provenAt-r.doubt.position
+	nearer := r.doubt == nil || lag+q.class.MaxAge < r.lag(r.doubt)
 	return nearer && r.set.CanProbe && (r.now-last < wait) == n.probing
 }
 
@@ -903,5 +891,5 @@
 		r.rate += 3 * smooth * (float64(completed)/float64(warm)/loopPeriod.Seconds() - r.rate)
 	}
 	r.layRings()
-	r.writes.Forget(r.now - keepWrites)
+	r.writes.Forget(r.now-keepWrites, r.offset.Earliest)
 }
--- a/choice/seen.go
+++ b/choice/seen.go
@@ -8,8 +8,9 @@
 	Health   Health
 	Cold     bool
 	Primary  bool          // by what nodes said, not by the list
-	Position time.Duration // the last proven one; 0: none
+	Position time.Duration // the last proven one, by the nodes' clock; 0: none
 	Heard    time.Duration // the last answer or report; 0: none
+	Behind   time.Duration // how far its position was behind the nodes' clock then, at the most; of no meaning without a position
 }
 
 // Health is how a node does.
@@ -32,8 +33,9 @@
 		if n.State == Gone {
 			continue
 		}
-		s := Seen{ID: n.ID, Cold: r.warmth(n) < 1, Primary: n.role == Primary && n.roleAt > 1, Position: n.position,
+		s := Seen{ID: n.ID, Cold: r.warmth(n) < 1, Primary: n.role == Primary && r.roleTime(n) > listedAt, Position: n.position,
 			Heard: max(n.answered, n.provenAt)}
+		s.Behind = s.Heard + r.offset.Latest - s.Position
 		switch {
 		case n.down && n.mute:
 			s.Health = Mute
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,6 +12,7 @@
 	"github.com/rs/zerolog"
 
 	"capercove/choice"
+	"capercove/internal/clockoffset"
 	"capercove/internal/limits"
 	"capercove/internal/pending"
 	"capercove/internal/wheel"
@@ -92,6 +93,7 @@
 	routed   int // the router's class
 	door     doorState
 	entered  time.Duration // past the door
+	writes   bool          // its class, or its route, is that of writes
 	ran      bool          // an attempt may have run
 	took     time.Duration // the last attempt that was answered, or not in time
 	began    *Attempt      // the attempt whose answer is already on its way to the client
@@ -140,6 +142,9 @@
 	Blind                               int64 // ... sent all the same, as nothing else of the group is left
 	Routers                             int   // that this one reckons with, itself among them
 	Lists, ListsFailed, Batches, Events int64
+	ClockAhead                          int64   // ms that the databases' clock is ahead of this process's, at the most; 0: they agree
+	ClockDissent                        int     // of the last positions, those that do not fit clocks that agree
+	ClockMoves                          int64   // how often the estimate of that has changed
 	Unlisted                            int64   // entries that were left out, as more are not remembered
 	Size                                float64 // of the databases, as the router takes them; 1 where none tells
 }
@@ -157,43 +162,45 @@
 	Wheel *wheel.Wheel
 	Count Counters
 
-	limits   limits.Limits
-	log      zerolog.Logger
-	clock    func() time.Duration
-	wake     func() // asks for a Flush soon
-	awake    bool
-	router   *choice.Router
-	lister   Lister
-	prober   Prober
-	watchers []Watcher
-	settings *Settings
-	figures  atomic.Pointer[Figures]
-	bans     map[choice.NodeID]time.Duration // by the operators, and those that are kept off
-	banned   map[choice.NodeID]time.Duration // of them, by the operators
-	off      Off
-	offSince map[choice.NodeID]time.Duration // of what is kept off: from when it would have been banned
-	lapse    *wheel.Timer                    // of what is known of it
-	asks     map[int]int64                   // requests by group, where the figures tell what the router sees
-	ready    func()                          // called once; nil from then on
-	readyBy  time.Duration
-	routes   bool                  // the router knows each class as a write and as a read too
-	out      map[choice.NodeID]int // attempts that are out, of requests that teach
-	listed   bool                  // the list has come
-	relisted bool                  // ... since members were last forgotten
-	crowded  time.Duration         // when entries that were left out were last logged
-	stopping bool
-	ended    bool                   // nothing is taken any more
-	observed bool                   // the figures tell what the router sees
-	routers  int                    // that share the databases, as is known of the fleet; 0: as in the settings
-	asking   map[choice.NodeID]bool // probes that are out on other poolers' word
-	members  map[choice.NodeID]*Member
-	requests map[choice.RequestID]*Request
-	names    map[string]struct{} // of the open requests
-	last     choice.RequestID
-	door     *fair                           // nil: all come in at once
-	held     pending.Queue[choice.RequestID] // with the router, and sent nowhere yet
-	events   []choice.Event
-	actions  []choice.Action
+	limits       limits.Limits
+	log          zerolog.Logger
+	clock        func() time.Duration
+	wake         func() // asks for a Flush soon
+	awake        bool
+	router       *choice.Router
+	lister       Lister
+	prober       Prober
+	watchers     []Watcher
+	settings     *Settings
+	figures      atomic.Pointer[Figures]
+	bans         map[choice.NodeID]time.Duration // by the operators, and those that are kept off
+	banned       map[choice.NodeID]time.Duration // of them, by the operators
+	off          Off
+	offSince     map[choice.NodeID]time.Duration // of what is kept off: from when it would have been banned
+	lapse        *wheel.Timer                    // of what is known of it
+	asks         map[int]int64                   // requests by group, where the figures tell what the router sees
+	ready        func()                          // called once; nil from then on
+	readyBy      time.Duration
+	routes       bool                  // the router knows each class as a write and as a read too
+	out          map[choice.NodeID]int // attempts that are out, of requests that teach
+	listed       bool                  // the list has come
+	relisted     bool                  // ... since members were last forgotten
+	crowded      time.Duration         // when entries that were left out were last logged
+	stopping     bool
+	ended        bool                   // nothing is taken any more
+	observed     bool                   // the figures tell what the router sees
+	routers      int                    // that share the databases, as is known of the fleet; 0: as in the settings
+	asking       map[choice.NodeID]bool // probes that are out on other poolers' word
+	members      map[choice.NodeID]*Member
+	requests     map[choice.RequestID]*Request
+	names        map[string]struct{} // of the open requests
+	last         choice.RequestID
+	offset       clockoffset.Estimator
+	offsetLogged time.Duration                   // when a change of its estimate was last logged
+	door         *fair                           // nil: all come in at once
+	held         pending.Queue[choice.RequestID] // with the router, and sent nowhere yet
+	events       []choice.Event
+	actions      []choice.Action
 }
 
 // Settings are the router's, with the names of its classes. They are never changed, only replaced as a whole.
@@ -297,7 +304,7 @@
 	expires := max(q.Expires-c.limits.Margin, 0)
 	q.deadline, q.aim = c.clock()+expires, c.settings.Classes[q.Class].Aim
 	c.requests[q.id] = q
-	q.routed = c.route(q)
+	q.routed, q.writes = c.route(q), c.routesAsWrite(q)
 	c.names[q.Name] = struct{}{}
 	// Against a request without an answer, whatever the router or a backend forgets.
 	q.guard = c.Wheel.At(q.deadline+c.limits.Overdue, func() {
@@ -448,6 +455,7 @@
 		took = a.first - a.sent
 	}
 	c.learn(a, status, took)
+	c.answered(a, status, note)
 	if !q.done {
 		switch {
 		case q.began != nil && q.began != a: // the answer is another attempt's
@@ -490,6 +498,7 @@
 		c.Count.ProbesFailed++
 	}
 	delete(c.asking, m.ID)
+	c.reported(took, report)
 	c.push(choice.Event{Kind: choice.ProbeDone, Outcome: choice.Outcome{Node: m.ID, Status: status, Took: took,
 		Report: report}})
 }
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -42,6 +42,14 @@
 	return q.Class + int(q.Route)*len(c.settings.Classes)
 }
 
+// routesAsWrite tells whether a request goes to the primary alone, for what it may change there.
+func (c *Core) routesAsWrite(q *Request) bool {
+	if c.routes && q.Route != AsLabelled {
+		return q.Route == AsWrite
+	}
+	return c.settings.Classes[q.Class].Read == choice.Write
+}
+
 // routed are the settings as the router has them: with the routers that are there, and with each class as it is, then each as a
 // write, then each as a read.
 func (c *Core) routed() choice.Settings {
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -54,8 +54,8 @@
 	down   bool // discovery is
 }
 
-// New returns a fleet with its poolers, which have started.
-func New(w *scenario.Scenario, loop *sim.Virtual) (*Fleet, error) {
+// New returns a fleet with its poolers, which have started. Their clocks are ahead of the databases' by so much, or behind.
+func New(w *scenario.Scenario, loop *sim.Virtual, ahead time.Duration) (*Fleet, error) {
 	f := &Fleet{Fleet: emulator.New(w, loop), loop: loop, rng: rand.New(rand.NewPCG(w.Seed, 0x6d6f64656c))}
 	f.Changed = f.changed
 	f.Listing = func(x scenario.Fault) {
@@ -85,11 +85,12 @@
 		return nil, err
 	}
 	zones := w.Zones()
+	clock := func() time.Duration { return loop.Now() + ahead }
 	for i := range w.Poolers {
 		p := &Pooler{fleet: f, name: scenario.PoolerName(i), zone: zones[i%len(zones)], up: true,
 			asked: map[*load.Request]*answer{}, told: map[string]emulator.State{}}
 		l := limits.For(limits.Machine{MemoryMB: 192, Sockets: 1024}, facts.Connect, facts.Keepalive, 3*time.Second)
-		p.Core = core.New(core.Settings{Settings: settings, Names: facts.Classes}, w.Seed*7919+uint64(i), l, zerolog.Nop(), loop.Now,
+		p.Core = core.New(core.Settings{Settings: settings, Names: facts.Classes}, w.Seed*7919+uint64(i), l, zerolog.Nop(), clock,
 			func() { loop.At(loop.Now(), p.Core.Flush) }, func() {})
 		p.intake = intake.New(p.Core)
 		if own.Door.Enabled {
@@ -235,7 +236,7 @@
 			p.fleet.loop.At(p.fleet.loop.Now()+p.network(), func() { end(choice.NoProcess, choice.Evidence{}, nil) })
 			return
 		}
-		if a.By > 0 && p.fleet.loop.Now() > a.By {
+		if a.By > 0 && p.Core.Now() > a.By {
 			end(choice.NotSent, choice.Evidence{}, nil)
 			return
 		}
@@ -341,9 +342,12 @@
 }
 
 // Run plays a scenario in virtual time.
-func Run(w *scenario.Scenario) (*load.Driver, *Fleet, error) {
+func Run(w *scenario.Scenario) (*load.Driver, *Fleet, error) { return RunAhead(w, 0) }
+
+// RunAhead plays a scenario with poolers whose clocks are ahead of the databases' by so much, or behind.
+func RunAhead(w *scenario.Scenario, ahead time.Duration) (*load.Driver, *Fleet, error) {
 	loop := sim.NewVirtual(1_700_000_000 * time.Second)
-	f, err := New(w, loop)
+	f, err := New(w, loop, ahead)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/works/driver/look.go
+++ b/internal/works/driver/look.go
@@ -75,7 +75,7 @@
 		m := &works.Machine{Name: d.Name, Group: d.Group, Zone: l.zone(d.Zone), Size: 1, Primary: d.Primary, Warm: !d.Cold && !cold[d.Name],
 			Cut: all[d.Zone] > 1 && silent[d.Zone] == all[d.Zone]}
 		m.Up = d.Health == choice.Sound && now-d.Heard < heardLately && 2*bad[d.Name] < max(2, len(seen.Live))
-		m.Fresh = d.Position > 0 && d.Heard-d.Position <= l.fresh
+		m.Fresh = d.Position > 0 && d.Behind <= l.fresh
 		seen.Machines[d.Name] = m
 	}
 	return seen
