--- a/internal/testbed/database.go
+++ b/internal/testbed/database.go
@@ -41,6 +41,7 @@
 
 	t       *testing.T
 	primary atomic.Bool
+	ahead   atomic.Int64 // ms, see ClockAhead
 	stats   atomic.Value // string, see Tell
 	mu      sync.Mutex
 	got     []string
@@ -248,7 +249,12 @@
 
 func (d *Database) mode() string { return d.entry("").Mode }
 
-func now() int64 { return time.Now().UnixMilli() }
+// position is a time by the database's own clock, in Unix milliseconds.
+func (d *Database) position() int64 { return time.Now().UnixMilli() + d.ahead.Load() }
+
+// ClockAhead sets the clock that the database tells positions by ahead, or behind; with other databases that are further ahead, it
+// lags.
+func (d *Database) ClockAhead(by time.Duration) { d.ahead.Store(by.Milliseconds()) }
 
 // tracked is a listener whose connections Cut breaks.
 type tracked struct {
@@ -330,7 +336,7 @@
 		if d.primary.Load() {
 			x1 = 1
 		}
-		return pg.AppendValue(nil, fmt.Sprintf("x0=%.3f,x1=%d,util=0.1", float64(now())/1000, x1)), ""
+		return pg.AppendValue(nil, fmt.Sprintf("x0=%.3f,x1=%d,util=0.1", float64(d.position())/1000, x1)), ""
 	}
 	d.work(sql)
 	switch word = d.note(sql); word {
@@ -363,7 +369,7 @@
 	if report, told := d.stats.Load().(string); told {
 		b = pg.AppendParameter(b, "stats", report)
 	}
-	return pg.AppendParameter(pg.AppendParameter(b, "mode", d.mode()), "wal_time", fmt.Sprint(now()))
+	return pg.AppendParameter(pg.AppendParameter(b, "mode", d.mode()), "wal_time", fmt.Sprint(d.position()))
 }
 
 func (d *Database) failure(code string) []byte {
@@ -401,7 +407,7 @@
 
 // begin does what a statement's word says, up to its answer.
 func (s *flightServer) begin(ctx context.Context, sql string) (word string, err error) {
-	grpc.SetTrailer(ctx, metadata.Pairs(wire.KeyMode, s.d.mode(), wire.KeyWALTime, fmt.Sprint(now())))
+	grpc.SetTrailer(ctx, metadata.Pairs(wire.KeyMode, s.d.mode(), wire.KeyWALTime, fmt.Sprint(s.d.position())))
 	switch word = s.d.note(sql); word {
 	case "full":
 		return word, wire.Refusal(0)
