--- a/choice/choice.go
+++ b/choice/choice.go
@@ -388,7 +388,7 @@
 		n.cold.Warm()
 		return true
 	}
-	left := n.cold.Left(r.now, n.coldAt, r.set.FallWindow, r.set.FallMultiple,
+	left := n.cold.Left(r.now, r.coldSince(n), r.set.FallWindow, r.set.FallMultiple,
 		warmth*r.rate*r.set.FallWindow.Seconds(), coldLeast/float64(r.set.Routers))
 	own := mix(r.seed ^ uint64(n.ID)) // Turns begin at another time at each router, not all at once.
 	turn := mix(own ^ uint64(coldTurns*(r.now+time.Duration(own%uint64(r.set.FallWindow)))/r.set.FallWindow))
--- a/choice/remotetime.go
+++ b/choice/remotetime.go
@@ -57,6 +57,15 @@
 	return r.set.ColdShare + (1-r.set.ColdShare)*float64(age)/float64(r.set.ColdTime)
 }
 
+// coldSince is the earliest moment, by the router's clock, at which the present process of a node can have begun to answer.
+func (r *Router) coldSince(n *node) time.Duration {
+	since := n.coldAt
+	if n.startedAt > 0 {
+		since = max(since, n.startedAt-r.offset.Earliest)
+	}
+	return since
+}
+
 // fresh tells whether the node's proven position is recent enough for the read. Where nodes check, one is
 // taken to follow as closely as when it last spoke, be that long ago: a wrong guess costs one attempt.
 func (r *Router) fresh(n *node, q *request) bool {
--- a/choice/remotetime_test.go
+++ b/choice/remotetime_test.go
@@ -197,3 +197,17 @@
 		}
 	}
 }
+
+// Answers count towards a cold node's budget only from the start of its present process on, which the list tells by the nodes' clock.
+func TestAnswersOfTheProcessBeforeAStart(t *testing.T) {
+	for name, offset := range map[string]time.Duration{"clocks agree": 0, "the own clock is ahead": -time.Hour, "the own clock is behind": time.Hour} {
+		t.Run(name, func(t *testing.T) {
+			r := New(Settings{Routers: 1, Classes: []Class{{Worth: 1}}, ColdTime: time.Minute}, 1)
+			r.now = 2 * time.Hour
+			r.setOffset(clockoffset.Bounds{Latest: offset, Earliest: offset})
+			start := r.now - time.Second
+			r.entry(Node{ID: 1, State: Ready, Started: start + offset})
+			require.Equal(t, start, r.coldSince(r.byID[1]))
+		})
+	}
+}
