--- a/cmd/capercove/command.go
+++ b/cmd/capercove/command.go
@@ -11,8 +11,8 @@
 
 	"capercove/internal/config"
 	"capercove/internal/config/tables"
-	"capercove/internal/fleet/gossip"
-	"capercove/internal/works/driver"
+	"capercove/internal/maintenance/agent"
+	"capercove/internal/membership/gossip"
 )
 
 // command runs a sub-command, if there is one: with no argument the program serves. It returns the exit status.
@@ -36,7 +36,7 @@
 		fmt.Fprintln(out, "good")
 		return 0, true
 	case args[0] == "works":
-		if status, ok := driver.Command(args[1:], out); ok {
+		if status, ok := agent.Command(args[1:], out); ok {
 			return status, true
 		}
 	case args[0] == "fleet":
--- a/cmd/capercove/main.go
+++ b/cmd/capercove/main.go
@@ -20,20 +20,20 @@
 
 	"github.com/rs/zerolog"
 
-	"capercove/choice"
-	"capercove/internal/bans"
+	"capercove/internal/admission"
 	"capercove/internal/clock"
 	"capercove/internal/config"
 	"capercove/internal/config/tables"
 	"capercove/internal/core"
 	"capercove/internal/discovery"
-	"capercove/internal/door"
+	"capercove/internal/exclusion"
 	"capercove/internal/fdshare"
-	"capercove/internal/fleet/gossip"
 	"capercove/internal/flight"
 	"capercove/internal/intake"
 	"capercove/internal/limits"
+	"capercove/internal/maintenance/agent"
 	"capercove/internal/management"
+	"capercove/internal/membership/gossip"
 	"capercove/internal/netretry"
 	"capercove/internal/pcap"
 	"capercove/internal/peers"
@@ -41,7 +41,7 @@
 	"capercove/internal/statement"
 	"capercove/internal/store"
 	"capercove/internal/tenant"
-	"capercove/internal/works/driver"
+	"capercove/routing"
 )
 
 func main() {
@@ -60,15 +60,15 @@
 	Flight     flight.Config    `toml:"flight"`
 	Store      store.Config     `toml:"store"`
 	Pcap       pcap.Config      `toml:"pcap"`
-	Door       door.Config      `toml:"door"`
+	Door       admission.Config `toml:"door"`
 	Statements statement.Config `toml:"statements"`
 	Fleet      gossip.Config    `toml:"fleet"`
-	Works      driver.Config    `toml:"works"`
+	Works      agent.Config     `toml:"works"`
 }
 
 // defaults is what an empty file means: all off.
 func defaults() file {
-	return file{Pcap: pcap.Defaults(), Door: door.Defaults(), Statements: statement.Defaults(), Works: driver.Defaults()}
+	return file{Pcap: pcap.Defaults(), Door: admission.Defaults(), Statements: statement.Defaults(), Works: agent.Defaults()}
 }
 
 // load reads the operators' file over the defaults.
@@ -109,7 +109,7 @@
 	shared bool          // the clients' listener is others' too
 	limits limits.Limits
 	watch  *discovery.Watch
-	bans   *bans.File
+	bans   *exclusion.File
 	own    file // as config
 	intake *intake.Intake
 	loop   *server.EventLoop
@@ -120,7 +120,7 @@
 	store  store.Store
 	fleet  *gossip.Gossip
 	peers  *peers.Peers
-	works  *driver.Driver
+	works  *agent.Driver
 	tap    *pcap.Writer
 	stops  chan struct{}   // closed on SIGTERM
 	beside *fdshare.Beside // the loop's to begin with, then the goroutine's that settles; nil where it stands alone
@@ -202,9 +202,9 @@
 		}()
 	}
 	p.core.Attach(p.watch, p.pool, watchers...)
-	p.bans = bans.Open(bans.Config{Dir: os.TempDir(), Pooler: cfg.Name, Files: bans.System{}, Now: now, Stamp: clock.Now,
-		Wall: clock.Wall, Limits: l, Log: log, Changed: func(set bans.Set) {
-			banned := map[choice.NodeID]time.Duration{}
+	p.bans = exclusion.Open(exclusion.Config{Dir: os.TempDir(), Pooler: cfg.Name, Files: exclusion.System{}, Now: now, Stamp: clock.Now,
+		Wall: clock.Wall, Limits: l, Log: log, Changed: func(set exclusion.Set) {
+			banned := map[routing.NodeID]time.Duration{}
 			for name, at := range set {
 				banned[discovery.ID(name)] = at
 			}
@@ -299,7 +299,7 @@
 }
 
 // work lets the pooler take part in taking machines out.
-func (p *program) work() *driver.Driver {
+func (p *program) work() *agent.Driver {
 	cfg := p.config
 	fresh := time.Second // where no class says how old its data may be
 	for _, class := range cfg.Settings.Classes {
@@ -311,7 +311,7 @@
 	if host, _, err := net.SplitHostPort(p.own.Fleet.Listen); err == nil {
 		from = net.ParseIP(host)
 	}
-	return driver.Start(p.own.Works, driver.Pooler{Name: cfg.Name, Core: p.core, Do: p.loop.Do, Store: p.store,
+	return agent.Start(p.own.Works, agent.Pooler{Name: cfg.Name, Core: p.core, Do: p.loop.Do, Store: p.store,
 		Client: store.NewClient(p.own.records(), p.limits.StoreWait, from), Fleet: p.fleet.State, Incarnation: p.fleet.Incarnation, Joined: p.fleet.Joined,
 		Zones: cfg.Facts.Zones, Fresh: fresh, Clock: p.core.Now, Log: p.log})
 }
@@ -363,7 +363,7 @@
 }
 
 func (o operator) Works(bears float64) any {
-	found := make(chan *driver.Driver, 1)
+	found := make(chan *agent.Driver, 1)
 	o.p.loop.Do(func() { found <- o.p.works })
 	if d := <-found; d != nil {
 		return d.Show(bears)
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -8,8 +8,8 @@
 	"io"
 	"os"
 
-	"capercove/choice"
 	"capercove/internal/wire"
+	"capercove/routing"
 )
 
 func main() {
@@ -21,7 +21,7 @@
 
 func run(in io.Reader, out io.Writer) error {
 	decoder := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
-	routers := map[uint32]*choice.Router{}
+	routers := map[uint32]*routing.Router{}
 	var replies []wire.Reply
 	var frame []byte
 	for {
@@ -38,7 +38,7 @@
 				delete(routers, instance.ID)
 			}
 			if instance.Start != nil {
-				routers[instance.ID] = choice.New(instance.Start.Settings, instance.Start.Seed)
+				routers[instance.ID] = routing.New(instance.Start.Settings, instance.Start.Seed)
 			}
 			if router := routers[instance.ID]; router != nil {
 				actions := router.Step(batch.Now, instance.Events, nil)
--- a/internal/door/door.go
+++ b/internal/admission/admission.go
@@ -1,4 +1,4 @@
-// Package door decides which of the requests that have come in go on to the router, and when: it keeps tenants, and the
+// Package admission decides which of the requests that have come in go on to the router, and when: it keeps tenants, and the
 // clients of each, to their fair shares of what stands behind it, and tells those that it turns away when to come back.
 //
 // A Door is driven by Step alone. It has no clock, goroutine or I/O, so equal calls give equal actions. Every offer ends
@@ -9,7 +9,7 @@
 // not make one wait for the other. At a lane, tenants take turns by start-time fair queuing (Goyal, Vin, Cheng 1996), each
 // turn charged with the cost of the request in seconds of work; the clients of a tenant take turns in the same way. How
 // much is inside a lane at once is bounded by a limit that follows the latency there (limiter.go).
-package door
+package admission
 
 import (
 	"math/rand/v2"
--- a/internal/door/measure_test.go
+++ b/internal/admission/measure_test.go
@@ -1,4 +1,4 @@
-package door_test
+package admission_test
 
 import (
 	"fmt"
@@ -128,7 +128,7 @@
 	var out strings.Builder
 	out.WriteString("# The door, measured\n\nOne pooler, a primary and a replica with 4 cores each on loopback, open loop, 20 s a row. The quiet tenant asks for\n" +
 		"20 reads a second (49 to 85 ms); the loud one for 40 and then 120, or for 2 and then 6 reports (810 to 1400 ms).\n" +
-		"Made again by `CAPERCOVE_MEASURE=$PWD/docs/measured/door.md go test -count=1 -timeout 20m -run TestMeasure ./internal/door`.\n\n" +
+		"Made again by `CAPERCOVE_MEASURE=$PWD/docs/measured/door.md go test -count=1 -timeout 20m -run TestMeasure ./internal/admission`.\n\n" +
 		"## A quiet tenant beside a loud one: share of its reads in time\n\n" +
 		"| loud tenant | door off | aimd | gradient | the loud one's share, off | with the gradient |\n| --- | --- | --- | --- | --- | --- |\n")
 	one := func(limit string, loud float64, class string, takes func(*rand.Rand) int) (quiet, other *load) {
--- a/internal/door/process_test.go
+++ b/internal/admission/process_test.go
@@ -1,4 +1,4 @@
-package door_test
+package admission_test
 
 import (
 	"context"
--- a/internal/door/queue.go
+++ b/internal/admission/queue.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import (
 	"slices"
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,10 +10,10 @@
 	"os"
 	"strconv"
 
-	"capercove/choice"
 	"capercove/internal/discovery"
 	"capercove/internal/limits"
 	"capercove/internal/wire"
+	"capercove/routing"
 )
 
 // Config is what one pooler is started with.
@@ -24,7 +24,7 @@
 	Seed                    uint64
 	Machine                 limits.Machine
 	Known                   discovery.List
-	Settings                choice.Settings
+	Settings                routing.Settings
 	Facts                   wire.Facts
 
 	shape any // of the file
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -11,11 +11,11 @@
 
 	"github.com/rs/zerolog"
 
-	"capercove/choice"
 	"capercove/internal/clockoffset"
 	"capercove/internal/limits"
 	"capercove/internal/pending"
-	"capercove/internal/wheel"
+	"capercove/internal/timerwheel"
+	"capercove/routing"
 )
 
 // Client gets the one final answer of a request.
@@ -66,7 +66,7 @@
 
 // Member is a database of the list.
 type Member struct {
-	choice.Node
+	routing.Node
 	Name, Addr string
 	Banned     bool          // by the operators; its primary's writes go on for part of the grace
 	OutSince   time.Duration // when the list first said that it drains, or is gone for good; 0: it is neither
@@ -89,7 +89,7 @@
 	Tenant       int           // whose it is, and which client's of theirs, for the door
 	Caller       uint64
 
-	id       choice.RequestID
+	id       routing.RequestID
 	deadline time.Duration
 	aim      time.Duration // of its class as it came
 	attempts []*Attempt
@@ -102,7 +102,7 @@
 	took     time.Duration // the last attempt that was answered, or not in time
 	began    *Attempt      // the attempt whose answer is already on its way to the client
 	done     bool
-	guard    *wheel.Timer
+	guard    *timerwheel.Timer
 	count    *Answers
 }
 
@@ -117,7 +117,7 @@
 	number int
 	sent   time.Duration
 	first  time.Duration // its answer's first piece; 0 for one that comes whole
-	timer  *wheel.Timer
+	timer  *timerwheel.Timer
 	others int // attempts out at its database when it was sent, of requests that teach
 	done   bool
 	whole  bool // it has been written whole
@@ -137,7 +137,7 @@
 	Relieved                            int64                          // refused as too many waited, sent nowhere yet
 	Overdue                             int64                          // failed by the core's own guard: a fault in this program
 	Attempts, Cancelled                 int64
-	Served, Errors, Full, TimedOut      int64 // how attempts ended, as choice.Status
+	Served, Errors, Full, TimedOut      int64 // how attempts ended, as routing.Status
 	NoConnect, NoProcess                int64
 	Broken, NotSent, Turned             int64
 	Probes, ProbesFailed                int64
@@ -155,16 +155,16 @@
 }
 
 // outcome is the counter of a status.
-func (c *Counters) outcome(s choice.Status) *int64 {
-	return [...]*int64{choice.OK: &c.Served, choice.NodeError: &c.Errors, choice.NodeFull: &c.Full,
-		choice.TimedOut: &c.TimedOut, choice.NoConnect: &c.NoConnect, choice.NoProcess: &c.NoProcess,
-		choice.BrokenOff: &c.Broken,
-		choice.Cancelled: &c.Cancelled, choice.NotSent: &c.NotSent, choice.TurnedAway: &c.Turned}[s]
+func (c *Counters) outcome(s routing.Status) *int64 {
+	return [...]*int64{routing.OK: &c.Served, routing.NodeError: &c.Errors, routing.NodeFull: &c.Full,
+		routing.TimedOut: &c.TimedOut, routing.NoConnect: &c.NoConnect, routing.NoProcess: &c.NoProcess,
+		routing.BrokenOff: &c.Broken,
+		routing.Cancelled: &c.Cancelled, routing.NotSent: &c.NotSent, routing.TurnedAway: &c.Turned}[s]
 }
 
 // Core owns the router, the tables and the timers.
 type Core struct {
-	Wheel *wheel.Wheel
+	Wheel *timerwheel.Wheel
 	Count Counters
 
 	limits       limits.Limits
@@ -172,56 +172,56 @@
 	clock        func() time.Duration
 	wake         func() // asks for a Flush soon
 	awake        bool
-	router       *choice.Router
+	router       *routing.Router
 	lister       Lister
 	prober       Prober
 	watchers     []Watcher
 	settings     *Settings
 	figures      atomic.Pointer[Figures]
-	bans         map[choice.NodeID]time.Duration // by the operators, and those that are kept off
-	banned       map[choice.NodeID]time.Duration // of them, by the operators
+	bans         map[routing.NodeID]time.Duration // by the operators, and those that are kept off
+	banned       map[routing.NodeID]time.Duration // of them, by the operators
 	off          Off
-	offSince     map[choice.NodeID]time.Duration // of what is kept off: from when it would have been banned
-	lapse        *wheel.Timer                    // of what is known of it
-	asks         map[int]int64                   // requests by group, where the figures tell what the router sees
-	ready        func()                          // called once; nil from then on
+	offSince     map[routing.NodeID]time.Duration // of what is kept off: from when it would have been banned
+	lapse        *timerwheel.Timer                // of what is known of it
+	asks         map[int]int64                    // requests by group, where the figures tell what the router sees
+	ready        func()                           // called once; nil from then on
 	readyBy      time.Duration
-	routes       bool                  // the router knows each class as a write and as a read too
-	out          map[choice.NodeID]int // attempts that are out, of requests that teach
-	listed       bool                  // the list has come
-	relisted     bool                  // ... since members were last forgotten
-	crowded      time.Duration         // when entries that were left out were last logged
-	stall        stall                 // the last one
+	routes       bool                   // the router knows each class as a write and as a read too
+	out          map[routing.NodeID]int // attempts that are out, of requests that teach
+	listed       bool                   // the list has come
+	relisted     bool                   // ... since members were last forgotten
+	crowded      time.Duration          // when entries that were left out were last logged
+	stall        stall                  // the last one
 	stopping     bool
-	ended        bool                   // nothing is taken any more
-	observed     bool                   // the figures tell what the router sees
-	routers      int                    // that share the databases, as is known of the fleet; 0: as in the settings
-	asking       map[choice.NodeID]bool // probes that are out on other poolers' word
-	members      map[choice.NodeID]*Member
-	requests     map[choice.RequestID]*Request
+	ended        bool                    // nothing is taken any more
+	observed     bool                    // the figures tell what the router sees
+	routers      int                     // that share the databases, as is known of the fleet; 0: as in the settings
+	asking       map[routing.NodeID]bool // probes that are out on other poolers' word
+	members      map[routing.NodeID]*Member
+	requests     map[routing.RequestID]*Request
 	names        map[string]struct{} // of the open requests
-	last         choice.RequestID
+	last         routing.RequestID
 	offset       clockoffset.Estimator
-	offsetLogged time.Duration                   // when a change of its estimate was last logged
-	door         *fair                           // nil: all come in at once
-	held         pending.Queue[choice.RequestID] // with the router, and sent nowhere yet
-	events       []choice.Event
-	actions      []choice.Action
+	offsetLogged time.Duration                    // when a change of its estimate was last logged
+	door         *fair                            // nil: all come in at once
+	held         pending.Queue[routing.RequestID] // with the router, and sent nowhere yet
+	events       []routing.Event
+	actions      []routing.Action
 }
 
 // Settings are the router's, with the names of its classes. They are never changed, only replaced as a whole.
 type Settings struct {
-	choice.Settings
+	routing.Settings
 	Names []string
 }
 
 // New returns a core that calls ready once it is able to serve. The clock must be monotonic; it counts from the Unix
 // epoch, as positions do.
 func New(s Settings, seed uint64, l limits.Limits, log zerolog.Logger, clock func() time.Duration, wake, ready func()) *Core {
-	return &Core{Wheel: wheel.New(l.Tick, l.Slots, clock()), limits: l, log: log, clock: clock, wake: wake,
-		router: choice.New(s.Settings, seed), settings: &s, ready: ready, members: map[choice.NodeID]*Member{},
-		out: map[choice.NodeID]int{}, offSince: map[choice.NodeID]time.Duration{},
-		requests: map[choice.RequestID]*Request{}, names: map[string]struct{}{},
+	return &Core{Wheel: timerwheel.New(l.Tick, l.Slots, clock()), limits: l, log: log, clock: clock, wake: wake,
+		router: routing.New(s.Settings, seed), settings: &s, ready: ready, members: map[routing.NodeID]*Member{},
+		out: map[routing.NodeID]int{}, offSince: map[routing.NodeID]time.Duration{},
+		requests: map[routing.RequestID]*Request{}, names: map[string]struct{}{},
 		Count: Counters{Fronts: map[string]map[string]*Answers{}, Routers: s.Routers}}
 }
 
@@ -243,7 +243,7 @@
 }
 
 // Class returns the number and the settings of a request's class. A class has its number until the next Retune.
-func (c *Core) Class(name string) (number int, class *choice.Class, known bool) {
+func (c *Core) Class(name string) (number int, class *routing.Class, known bool) {
 	if number = slices.Index(c.settings.Names, name); number < 0 {
 		return 0, nil, false
 	}
@@ -253,7 +253,7 @@
 // Members returns the names of the databases that are not gone, sorted.
 func (c *Core) Members() (names []string) {
 	for _, m := range c.members {
-		if m.State != choice.Gone {
+		if m.State != routing.Gone {
 			names = append(names, m.Name)
 		}
 	}
@@ -277,7 +277,7 @@
 	return open
 }
 
-func (c *Core) push(e choice.Event) {
+func (c *Core) push(e routing.Event) {
 	c.events = append(c.events, e)
 	c.rouse()
 }
@@ -320,7 +320,7 @@
 			c.finish(q)
 			q.count.Failed++
 			q.Client.Failed(Late)
-			c.push(choice.Event{Kind: choice.ClientGone, Request: q.id})
+			c.push(routing.Event{Kind: routing.ClientGone, Request: q.id})
 		}
 	})
 	if c.door != nil {
@@ -334,7 +334,7 @@
 // arrive hands a request to the router.
 func (c *Core) arrive(q *Request, expires time.Duration) {
 	c.held.Enter(q.id)
-	c.events = append(c.events, choice.Event{Kind: choice.RequestArrived, Request: q.id, Arrival: choice.Arrival{
+	c.events = append(c.events, routing.Event{Kind: routing.RequestArrived, Request: q.id, Arrival: routing.Arrival{
 		Class: q.routed, Group: q.Group, Session: q.Session, Expires: expires, Work: q.Work, LastWrite: q.LastWrite}})
 }
 
@@ -345,7 +345,7 @@
 	}
 	q.count.Gone++
 	c.finish(q)
-	c.push(choice.Event{Kind: choice.ClientGone, Request: q.id})
+	c.push(routing.Event{Kind: routing.ClientGone, Request: q.id})
 }
 
 // Abandon gives all that is open its answer, as the program is about to end, and refuses what is submitted from then on. Against
@@ -364,7 +364,7 @@
 				q.Client.Failed(Broke)
 			}
 			if routed {
-				c.push(choice.Event{Kind: choice.ClientGone, Request: q.id})
+				c.push(routing.Event{Kind: routing.ClientGone, Request: q.id})
 			}
 		}
 	}
@@ -405,7 +405,7 @@
 	q.began = a
 	for _, other := range q.attempts { // Against a second copy that ends or mixes with the answer.
 		if other != a {
-			c.cancel(other, choice.Cancelled)
+			c.cancel(other, routing.Cancelled)
 		}
 	}
 	return true
@@ -422,14 +422,14 @@
 	if a.first == 0 {
 		a.first = now
 		q.guard.Stop()
-		c.push(choice.Event{Kind: choice.AnswerBegan, Request: q.id, Outcome: choice.Outcome{Attempt: a.number}})
+		c.push(routing.Event{Kind: routing.AnswerBegan, Request: q.id, Outcome: routing.Outcome{Attempt: a.number}})
 		q.ran, q.took = true, now-a.sent
 		c.outside(q) // what is left is the client's time, not the databases'
 	}
 	silent := func() { // Against a database that stops halfway.
 		a.timer.Stop()
 		a.timer = c.Wheel.At(min(c.clock()+c.limits.PieceWait, a.first+c.limits.AnswerLongest),
-			func() { c.cancel(a, choice.TimedOut) })
+			func() { c.cancel(a, routing.TimedOut) })
 	}
 	s, ok := q.Client.(Streamer)
 	if !ok || s.Piece(data, func() {
@@ -442,12 +442,12 @@
 		return true, true
 	}
 	a.timer.Stop() // the client's own progress is timed by its front
-	a.timer = c.Wheel.At(a.first+c.limits.AnswerLongest, func() { c.cancel(a, choice.TimedOut) })
+	a.timer = c.Wheel.At(a.first+c.limits.AnswerLongest, func() { c.cancel(a, routing.TimedOut) })
 	return false, true
 }
 
 // Done ends an attempt. With OK the answer goes to the client, if the request is not over.
-func (c *Core) Done(a *Attempt, status choice.Status, note choice.Evidence, answer any) {
+func (c *Core) Done(a *Attempt, status routing.Status, note routing.Evidence, answer any) {
 	if a.done {
 		return
 	}
@@ -465,17 +465,17 @@
 	if !q.done {
 		switch {
 		case q.began != nil && q.began != a: // the answer is another attempt's
-		case status == choice.OK:
+		case status == routing.OK:
 			c.finish(q)
 			q.count.Served++
 			q.Client.Served(answer)
 		case q.began != nil: // Against an answer cut halfway being sent again, or shown as whole.
 			c.finish(q)
 			q.count.Failed++
-			q.Client.Failed(failure(status == choice.TimedOut))
+			q.Client.Failed(failure(status == routing.TimedOut))
 		}
 	}
-	c.push(choice.Event{Kind: choice.AttemptDone, Request: q.id, Outcome: choice.Outcome{Node: a.Member.ID,
+	c.push(routing.Event{Kind: routing.AttemptDone, Request: q.id, Outcome: routing.Outcome{Node: a.Member.ID,
 		Attempt: a.number, Status: status, Took: took, Final: q.done, Note: note}})
 	c.forget(q)
 }
@@ -489,23 +489,23 @@
 
 // Unusable ends an attempt whose statement the database cannot use, and the request with it. Against a bad client's
 // request being sent again and again, each time at the cost of another database's good name.
-func (c *Core) Unusable(a *Attempt, note choice.Evidence) {
+func (c *Core) Unusable(a *Attempt, note routing.Evidence) {
 	if q := a.Request; !a.done && !q.done && (q.began == nil || q.began == a) {
 		c.finish(q)
 		q.count.Failed++
 		q.Client.Failed(Unusable)
 	}
-	c.Done(a, choice.TurnedAway, note, nil)
+	c.Done(a, routing.TurnedAway, note, nil)
 }
 
 // Probed ends a probe.
-func (c *Core) Probed(m *Member, status choice.Status, took time.Duration, report choice.Evidence) {
-	if status != choice.OK {
+func (c *Core) Probed(m *Member, status routing.Status, took time.Duration, report routing.Evidence) {
+	if status != routing.OK {
 		c.Count.ProbesFailed++
 	}
 	delete(c.asking, m.ID)
 	c.reported(took, report)
-	c.push(choice.Event{Kind: choice.ProbeDone, Outcome: choice.Outcome{Node: m.ID, Status: status, Took: took,
+	c.push(routing.Event{Kind: routing.ProbeDone, Outcome: routing.Outcome{Node: m.ID, Status: status, Took: took,
 		Report: report}})
 }
 
@@ -521,8 +521,8 @@
 func (c *Core) List(entries []Member, full bool) {
 	c.listed, c.relisted = true, true
 	c.Count.Lists++
-	nodes := make([]choice.Node, 0, len(entries))
-	listed := map[choice.NodeID]bool{}
+	nodes := make([]routing.Node, 0, len(entries))
+	listed := map[routing.NodeID]bool{}
 	for _, e := range entries {
 		if c.members[e.ID] == nil && len(c.members) >= c.limits.Members { // Against lists that name ever new ones.
 			c.leaveOut(e)
@@ -534,18 +534,18 @@
 	}
 	if full {
 		for id, m := range c.members {
-			if !listed[id] && m.State != choice.Gone {
+			if !listed[id] && m.State != routing.Gone {
 				gone := *m
-				gone.State = choice.Gone
+				gone.State = routing.Gone
 				c.change(gone)
 			}
 		}
 	}
-	kind := choice.ListChange
+	kind := routing.ListChange
 	if full {
-		kind = choice.ListFull
+		kind = routing.ListFull
 	}
-	c.push(choice.Event{Kind: kind, Nodes: nodes})
+	c.push(routing.Event{Kind: kind, Nodes: nodes})
 	if c.off.All { // what the list has brought, too
 		c.keepOff()
 	}
@@ -564,7 +564,7 @@
 func (c *Core) forgetGone() {
 	c.relisted = false
 	for id, m := range c.members {
-		if m.State == choice.Gone && !c.router.Knows(id) {
+		if m.State == routing.Gone && !c.router.Knows(id) {
 			delete(c.members, id)
 			for _, w := range c.watchers {
 				w.Forgotten(m)
@@ -582,7 +582,7 @@
 	since := m.OutSince
 	*m = e
 	_, m.Banned = c.bans[m.ID]
-	if m.OutSince = 0; e.State == choice.Draining || e.State == choice.Gone && (since > 0 || !c.settings.DrainOnly) {
+	if m.OutSince = 0; e.State == routing.Draining || e.State == routing.Gone && (since > 0 || !c.settings.DrainOnly) {
 		m.OutSince = cmp.Or(since, c.clock())
 	}
 	for _, w := range c.watchers {
@@ -593,7 +593,7 @@
 // ListFailed tells that a call for the list failed or that the watch broke.
 func (c *Core) ListFailed() {
 	c.Count.ListsFailed++
-	c.push(choice.Event{Kind: choice.ListFailed})
+	c.push(routing.Event{Kind: routing.ListFailed})
 }
 
 // ---- Time and decisions
@@ -607,7 +607,7 @@
 
 // Start gives the router its first turn; from then on its own timers drive it.
 func (c *Core) Start() {
-	c.push(choice.Event{Kind: choice.TimerFired})
+	c.push(routing.Event{Kind: routing.TimerFired})
 	c.readyBy = c.clock() + c.limits.ReadyWait
 	c.publish()
 }
@@ -641,7 +641,7 @@
 	for id, over := c.held.Over(c.limits.Held); over; id, over = c.held.Over(c.limits.Held) {
 		q := c.requests[id]
 		c.Count.Relieved++
-		c.push(choice.Event{Kind: choice.ClientGone, Request: id})
+		c.push(routing.Event{Kind: routing.ClientGone, Request: id})
 		c.shed(q)
 		after := c.advise(q, min(q.aim, c.settings.MaxRetryAfter))
 		c.finish(q)
@@ -650,15 +650,15 @@
 	}
 }
 
-func (c *Core) act(a choice.Action) {
+func (c *Core) act(a routing.Action) {
 	switch a.Kind {
-	case choice.Subscribe:
+	case routing.Subscribe:
 		c.lister.Subscribe()
 		return
-	case choice.SetTimer:
-		c.Wheel.At(c.clock()+a.After, func() { c.push(choice.Event{Kind: choice.TimerFired}) })
+	case routing.SetTimer:
+		c.Wheel.At(c.clock()+a.After, func() { c.push(routing.Event{Kind: routing.TimerFired}) })
 		return
-	case choice.Probe:
+	case routing.Probe:
 		c.Count.Probes++
 		c.prober.Probe(c.members[a.Node])
 		return
@@ -668,18 +668,18 @@
 		return // over, and nothing is out for it
 	}
 	switch a.Kind {
-	case choice.Send:
+	case routing.Send:
 		c.send(q, a)
-	case choice.Cancel:
-		c.cancel(q.attempts[a.Attempt], choice.Cancelled)
-	case choice.Refuse, choice.Fail:
+	case routing.Cancel:
+		c.cancel(q.attempts[a.Attempt], routing.Cancelled)
+	case routing.Refuse, routing.Fail:
 		if q.done {
 			return
 		}
 		c.shed(q)
 		a.After = c.advise(q, a.After)
 		c.finish(q)
-		if a.Kind == choice.Refuse && q.began == nil {
+		if a.Kind == routing.Refuse && q.began == nil {
 			q.count.Refused++
 			q.Client.Refused(a.After)
 		} else {
@@ -689,7 +689,7 @@
 	}
 }
 
-func (c *Core) send(q *Request, a choice.Action) {
+func (c *Core) send(q *Request, a routing.Action) {
 	now := c.clock()
 	try := &Attempt{Request: q, Member: c.members[a.Node], Until: q.deadline, By: a.By, number: len(q.attempts),
 		sent: now}
@@ -704,7 +704,7 @@
 		c.out[a.Node]++
 	}
 	if q.done || q.began != nil || !c.may(try.Member) {
-		c.Done(try, choice.NotSent, choice.Evidence{}, nil)
+		c.Done(try, routing.NotSent, routing.Evidence{}, nil)
 		return
 	}
 	c.Count.Attempts++
@@ -712,15 +712,15 @@
 		c.Count.Blind++
 	}
 	// Against peers that are cut off and never close.
-	try.timer = c.Wheel.At(try.Until, func() { c.cancel(try, choice.TimedOut) })
+	try.timer = c.Wheel.At(try.Until, func() { c.cancel(try, routing.TimedOut) })
 	q.Backend.Send(try)
 }
 
 // cancel ends the wait on an attempt: its connection is closed before anything else is sent for the request.
-func (c *Core) cancel(a *Attempt, status choice.Status) {
+func (c *Core) cancel(a *Attempt, status routing.Status) {
 	if a.done {
 		return
 	}
 	a.Request.Backend.Cancel(a)
-	c.Done(a, status, choice.Evidence{}, nil)
+	c.Done(a, status, routing.Evidence{}, nil)
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -7,9 +7,9 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"capercove/choice"
 	"capercove/internal/core"
 	"capercove/internal/limits"
+	"capercove/routing"
 )
 
 // world drives a core by hand: its clock, and databases that do as the test says.
@@ -32,28 +32,28 @@
 
 // Probe is answered at once: all keep up.
 func (w *world) Probe(m *core.Member) {
-	role := choice.Replica
+	role := routing.Replica
 	if m.ID == 1 {
-		role = choice.Primary
+		role = routing.Primary
 	}
-	w.core.Probed(m, choice.OK, 0, choice.Evidence{Role: role, Position: w.now})
+	w.core.Probed(m, routing.OK, 0, routing.Evidence{Role: role, Position: w.now})
 }
 
 func newWorld(t *testing.T) *world { return newWorldOf(t, func() {}) }
 
 func newWorldOf(t *testing.T, ready func()) *world {
 	w := &world{t: t, now: 1_800_000_000 * time.Second}
-	s := choice.Settings{Routers: 1, MaxAttempts: 4, CanCancel: true, CanProbe: true, CanHedge: true, DrainGrace: time.Second,
-		ColdShare: 0.2, ColdTime: 10 * time.Second, FallMultiple: 3, FallWindow: time.Second, Classes: []choice.Class{
-			{Read: choice.AnyRead, Aim: 200 * time.Millisecond, Deadline: 5 * time.Second, Worth: 1, LateWorth: 0.2}}}
+	s := routing.Settings{Routers: 1, MaxAttempts: 4, CanCancel: true, CanProbe: true, CanHedge: true, DrainGrace: time.Second,
+		ColdShare: 0.2, ColdTime: 10 * time.Second, FallMultiple: 3, FallWindow: time.Second, Classes: []routing.Class{
+			{Read: routing.AnyRead, Aim: 200 * time.Millisecond, Deadline: 5 * time.Second, Worth: 1, LateWorth: 0.2}}}
 	l := limits.For(limits.Machine{MemoryMB: 64, Sockets: 256}, 250*time.Millisecond, 15*time.Second, 5*time.Second)
 	w.core = core.New(core.Settings{Settings: s, Names: []string{"read"}}, 1, l, zerolog.Nop(),
 		func() time.Duration { return w.now }, func() {}, ready)
 	w.core.Attach(w, w, w)
 	w.core.Start()
 	var list []core.Member
-	for id := choice.NodeID(1); id <= 3; id++ {
-		list = append(list, core.Member{Node: choice.Node{ID: id, State: choice.Ready, Group: 1}})
+	for id := routing.NodeID(1); id <= 3; id++ {
+		list = append(list, core.Member{Node: routing.Node{ID: id, State: routing.Ready, Group: 1}})
 	}
 	w.core.List(list, true)
 	w.pass(50 * time.Millisecond)
@@ -96,10 +96,10 @@
 // comes of it changes nothing. It must neither end the answer nor be mixed into it.
 func TestSecondCopyOfALongAnswer(t *testing.T) {
 	for what, late := range map[string]func(w *world, b *core.Attempt){
-		"is answered":    func(w *world, b *core.Attempt) { w.core.Done(b, choice.OK, choice.Evidence{}, "whole") },
-		"fails":          func(w *world, b *core.Attempt) { w.core.Done(b, choice.NodeError, choice.Evidence{}, nil) },
-		"breaks":         func(w *world, b *core.Attempt) { w.core.Done(b, choice.BrokenOff, choice.Evidence{}, nil) },
-		"cannot be used": func(w *world, b *core.Attempt) { w.core.Unusable(b, choice.Evidence{}) },
+		"is answered":    func(w *world, b *core.Attempt) { w.core.Done(b, routing.OK, routing.Evidence{}, "whole") },
+		"fails":          func(w *world, b *core.Attempt) { w.core.Done(b, routing.NodeError, routing.Evidence{}, nil) },
+		"breaks":         func(w *world, b *core.Attempt) { w.core.Done(b, routing.BrokenOff, routing.Evidence{}, nil) },
+		"cannot be used": func(w *world, b *core.Attempt) { w.core.Unusable(b, routing.Evidence{}) },
 		"begins to pass": func(w *world, b *core.Attempt) {
 			_, ok := w.core.Piece(b, []byte("other"), func() {})
 			require.False(t, ok)
@@ -122,7 +122,7 @@
 			w.pass(6 * time.Second) // past the deadline, which binds no more
 			_, ok = w.core.Piece(a, []byte("three"), func() {})
 			require.True(t, ok, what)
-			w.core.Done(a, choice.OK, choice.Evidence{Role: choice.Replica, Position: w.now}, "")
+			w.core.Done(a, routing.OK, routing.Evidence{Role: routing.Replica, Position: w.now}, "")
 			w.core.Flush()
 			require.Equal(t, "one two three", c.pieces, what)
 			require.Equal(t, []string{"served "}, c.answers, what)
@@ -145,7 +145,7 @@
 		require.True(t, w.core.MaySend(w.out[0]))
 		return w, q, w.out[0]
 	}
-	listed := func(w *world, a *core.Attempt, state choice.NodeState) {
+	listed := func(w *world, a *core.Attempt, state routing.NodeState) {
 		m := *a.Member
 		m.State = state
 		w.core.List([]core.Member{m}, false)
@@ -159,7 +159,7 @@
 	w.now += 5 * time.Second
 	require.False(t, w.core.MaySend(a), "its time is up")
 
-	for _, state := range []choice.NodeState{choice.Draining, choice.Gone} {
+	for _, state := range []routing.NodeState{routing.Draining, routing.Gone} {
 		w, _, a = begin()
 		listed(w, a, state)
 		w.now += grace/2 - time.Millisecond
@@ -167,7 +167,7 @@
 		listed(w, a, state) // told again: it counts from the first time
 		w.now += time.Millisecond
 		require.False(t, w.core.MaySend(a), "half of the grace is over")
-		listed(w, a, choice.Ready)
+		listed(w, a, routing.Ready)
 		require.True(t, w.core.MaySend(a), "it serves again")
 	}
 }
@@ -215,7 +215,7 @@
 // An attempt that is stopped at the last moment takes none of those that are out at its database out of the count.
 func TestAttemptsOutAtADatabase(t *testing.T) {
 	w, l := newWorld(t), &learner{}
-	w.core.List([]core.Member{{Node: choice.Node{ID: 1, State: choice.Ready, Group: 1}}}, true)
+	w.core.List([]core.Member{{Node: routing.Node{ID: 1, State: routing.Ready, Group: 1}}}, true)
 	ask := func(name string) *core.Request {
 		q := &core.Request{Front: "test", Name: name, Group: 1, Expires: 5 * time.Second, Backend: w, Client: &client{}, Learner: l}
 		w.core.Submit(q)
@@ -224,14 +224,14 @@
 	}
 	ask("stays out")
 	require.Len(t, w.out, 1)
-	w.core.KeepOff(core.Off{Until: w.now + time.Millisecond, Then: map[choice.NodeID]bool{1: true}})
+	w.core.KeepOff(core.Off{Until: w.now + time.Millisecond, Then: map[routing.NodeID]bool{1: true}})
 	w.now += 2 * time.Millisecond // what is known has run out, and no timer has come yet
 	w.core.Leave(ask("is stopped"))
 	require.Len(t, w.out, 1)
 	w.core.KeepOff(core.Off{})
 	ask("is taught")
 	require.Len(t, w.out, 2)
-	w.core.Done(w.out[1], choice.OK, choice.Evidence{}, "")
+	w.core.Done(w.out[1], routing.OK, routing.Evidence{}, "")
 	require.Equal(t, []int{1}, l.others)
 }
 
@@ -240,34 +240,34 @@
 func TestDatabasesAreForgotten(t *testing.T) {
 	w := newWorld(t)
 	known := func() (n int) {
-		for id := choice.NodeID(1); id < 20000; id++ {
+		for id := routing.NodeID(1); id < 20000; id++ {
 			if w.core.Has(id) {
 				n++
 			}
 		}
 		return n
 	}
-	one := func(id choice.NodeID, state choice.NodeState) core.Member {
-		return core.Member{Node: choice.Node{ID: id, State: state, Group: 1}}
+	one := func(id routing.NodeID, state routing.NodeState) core.Member {
+		return core.Member{Node: routing.Node{ID: id, State: state, Group: 1}}
 	}
-	for id := choice.NodeID(10); id < 200; id++ {
+	for id := routing.NodeID(10); id < 200; id++ {
 		w.now += time.Minute
-		w.core.List([]core.Member{one(id, choice.Gone), one(id+1, choice.Ready)}, false)
+		w.core.List([]core.Member{one(id, routing.Gone), one(id+1, routing.Ready)}, false)
 		w.core.Flush()
 	}
 	require.LessOrEqual(t, known(), 3+1+11)
 	require.Equal(t, 3+191, known()+len(w.forgotten), "each of those that came is known or was forgotten")
-	w.core.List([]core.Member{one(10, choice.Ready)}, true)
+	w.core.List([]core.Member{one(10, routing.Ready)}, true)
 	w.core.Flush()
 	c := &client{}
 	w.core.Submit(&core.Request{Front: "test", Name: "x", Group: 1, Expires: 5 * time.Second, Backend: w, Client: c})
 	w.core.Flush()
 	require.Len(t, w.out, 1)
-	require.Equal(t, choice.NodeID(10), w.out[0].Member.ID)
+	require.Equal(t, routing.NodeID(10), w.out[0].Member.ID)
 
 	var many []core.Member
-	for id := choice.NodeID(1000); id < 10000; id++ {
-		many = append(many, one(id, choice.Ready))
+	for id := routing.NodeID(1000); id < 10000; id++ {
+		many = append(many, one(id, routing.Ready))
 	}
 	before := known()
 	w.core.List(many, false)
@@ -294,7 +294,7 @@
 	require.True(t, w.core.MaySend(w.out[0]))
 	c.left = true
 	require.False(t, w.core.MaySend(w.out[0]))
-	w.core.Done(w.out[0], choice.NotSent, choice.Evidence{}, nil)
+	w.core.Done(w.out[0], routing.NotSent, routing.Evidence{}, nil)
 	w.core.Leave(q) // the front hears of it
 	w.pass(time.Second)
 	require.Len(t, w.out, 1, "it is not sent again")
--- a/internal/core/door.go
+++ b/internal/core/door.go
@@ -3,17 +3,17 @@
 import (
 	"time"
 
-	"capercove/choice"
-	"capercove/internal/door"
+	"capercove/internal/admission"
+	"capercove/routing"
 )
 
 // fair is the door, where requests wait for their turn before the router sees them, and what is on its way to it.
 type fair struct {
-	door    *door.Door
-	config  door.Config
-	events  []door.Event
-	spare   []door.Event
-	actions []door.Action
+	door    *admission.Door
+	config  admission.Config
+	events  []admission.Event
+	spare   []admission.Event
+	actions []admission.Action
 }
 
 // doorState tells where a request is, as the door sees it.
@@ -26,35 +26,35 @@
 )
 
 // Fair puts a door before the router. It comes before the first request.
-func (c *Core) Fair(cfg door.Config, seed uint64) {
-	c.door = &fair{config: cfg, door: door.New(c.doorSettings(cfg), seed)}
+func (c *Core) Fair(cfg admission.Config, seed uint64) {
+	c.door = &fair{config: cfg, door: admission.New(c.doorSettings(cfg), seed)}
 }
 
 // Refair takes in other tenants, weights and limits, all at once. What is queued stays.
-func (c *Core) Refair(cfg door.Config) {
+func (c *Core) Refair(cfg admission.Config) {
 	if c.door == nil {
 		return
 	}
 	c.door.config = cfg
 	s := c.doorSettings(cfg)
-	c.tell(door.Event{Kind: door.Retuned, Settings: &s})
+	c.tell(admission.Event{Kind: admission.Retuned, Settings: &s})
 }
 
-func (c *Core) doorSettings(cfg door.Config) door.Settings {
+func (c *Core) doorSettings(cfg admission.Config) admission.Settings {
 	routed := c.routed()
-	classes := make([]door.Class, len(routed.Classes))
+	classes := make([]admission.Class, len(routed.Classes))
 	for i, class := range routed.Classes {
 		n := len(c.settings.Names)
-		classes[i] = door.Class{Name: c.settings.Names[i%n] + Route(i/n).String(), Aim: class.Aim,
-			Primary: class.Read == choice.Write || class.Read == choice.FreshRead}
+		classes[i] = admission.Class{Name: c.settings.Names[i%n] + Route(i/n).String(), Aim: class.Aim,
+			Primary: class.Read == routing.Write || class.Read == routing.FreshRead}
 	}
-	return cfg.Settings(classes, door.Settings{MaxRetryAfter: c.settings.MaxRetryAfter, Bounds: door.Bounds{Queue: c.limits.DoorQueue,
+	return cfg.Settings(classes, admission.Settings{MaxRetryAfter: c.settings.MaxRetryAfter, Bounds: admission.Bounds{Queue: c.limits.DoorQueue,
 		Lanes: c.limits.DoorLanes, Promises: c.limits.DoorPromises, LimitMin: float64(c.limits.DoorLeast),
 		LimitMax: float64(c.limits.DoorMost)}})
 }
 
 // tell notes an event for the door.
-func (c *Core) tell(e door.Event) {
+func (c *Core) tell(e admission.Event) {
 	c.door.events = append(c.door.events, e)
 	c.rouse()
 }
@@ -62,7 +62,7 @@
 // offer brings a request to the door.
 func (c *Core) offer(q *Request, expires time.Duration) {
 	q.door = doorQueued
-	c.tell(door.Event{Kind: door.Offered, Request: uint64(q.id), Offer: door.Offer{Tenant: q.Tenant, Class: q.routed,
+	c.tell(admission.Event{Kind: admission.Offered, Request: uint64(q.id), Offer: admission.Offer{Tenant: q.Tenant, Class: q.routed,
 		Group: q.Group, Client: q.Caller, Work: q.Work, Expires: expires}})
 }
 
@@ -70,15 +70,15 @@
 func (c *Core) outside(q *Request) {
 	switch q.door {
 	case doorQueued:
-		c.tell(door.Event{Kind: door.Left, Request: uint64(q.id)})
+		c.tell(admission.Event{Kind: admission.Left, Request: uint64(q.id)})
 	case doorInside:
-		c.tell(door.Event{Kind: door.Ended, Request: uint64(q.id), Outcome: door.Outcome{Ran: q.ran, Took: q.took}})
+		c.tell(admission.Event{Kind: admission.Ended, Request: uint64(q.id), Outcome: admission.Outcome{Ran: q.ran, Took: q.took}})
 	}
 	q.door = doorNone
 }
 
 // learn notes for the door, and for who learns what statements take, how an attempt ended.
-func (c *Core) learn(a *Attempt, status choice.Status, took time.Duration) {
+func (c *Core) learn(a *Attempt, status routing.Status, took time.Duration) {
 	q := a.Request
 	if q.Learner != nil {
 		c.teach(a, status, took)
@@ -86,11 +86,11 @@
 	if q.door != doorInside {
 		return
 	}
-	if status == choice.OK || status == choice.TimedOut {
+	if status == routing.OK || status == routing.TimedOut {
 		q.took = took
 	}
-	if status == choice.NodeFull {
-		c.tell(door.Event{Kind: door.Full, Request: uint64(q.id)})
+	if status == routing.NodeFull {
+		c.tell(admission.Event{Kind: admission.Full, Request: uint64(q.id)})
 	}
 	q.ran = q.ran || !status.NeverRan()
 }
@@ -98,7 +98,7 @@
 // shed tells the door that the router has refused a request as soon as it came: there was no room behind the door.
 func (c *Core) shed(q *Request) {
 	if q.door == doorInside && len(q.attempts) == 0 && c.clock()-q.entered <= c.limits.ShedWithin {
-		c.tell(door.Event{Kind: door.Full, Request: uint64(q.id)})
+		c.tell(admission.Event{Kind: admission.Full, Request: uint64(q.id)})
 	}
 }
 
@@ -125,15 +125,15 @@
 	clear(events) // they may hold settings
 	f.spare = events
 	for _, a := range f.actions {
-		if a.Kind == door.Wake {
-			c.Wheel.At(now+a.After, func() { c.tell(door.Event{Kind: door.Woken}) })
+		if a.Kind == admission.Wake {
+			c.Wheel.At(now+a.After, func() { c.tell(admission.Event{Kind: admission.Woken}) })
 			continue
 		}
-		q := c.requests[choice.RequestID(a.Request)]
+		q := c.requests[routing.RequestID(a.Request)]
 		if q == nil || q.door != doorQueued { // its client left in the same batch
 			continue
 		}
-		if a.Kind == door.Admit {
+		if a.Kind == admission.Admit {
 			q.door, q.routed, q.entered = doorInside, a.Class, now
 			c.arrive(q, q.deadline-now)
 			continue
@@ -147,11 +147,11 @@
 
 // DoorFigures are what operators are shown of the door.
 type DoorFigures struct {
-	Count   door.Count
+	Count   admission.Count
 	Queued  int
 	Sojourn map[string]float64 // quantiles in milliseconds of those who waited and were let in
-	Tenants []door.TenantFigures
-	Lanes   []door.LaneFigures
+	Tenants []admission.TenantFigures
+	Lanes   []admission.LaneFigures
 }
 
 // Door returns the figures of the door, nil if there is none.
--- a/internal/core/off.go
+++ b/internal/core/off.go
@@ -4,18 +4,18 @@
 	"maps"
 	"time"
 
-	"capercove/choice"
+	"capercove/routing"
 )
 
 // Off is what this pooler keeps off while machines are out for work, as far as it knows what is agreed. What it knows runs out. The
 // zero value keeps off nothing.
 type Off struct {
-	All   bool                   // all databases: nothing has been read yet
-	Now   map[choice.NodeID]bool // nothing new is sent there
-	Worn  map[choice.NodeID]bool // have been worked on: when they are let in again they may have been restarted, and are cold
-	Until time.Duration          // when that runs out; from then on it is
-	Then  map[choice.NodeID]bool
-	Blind map[choice.NodeID]bool // ... and these could be at work, but nothing else is left: what is sent there is counted
+	All   bool                    // all databases: nothing has been read yet
+	Now   map[routing.NodeID]bool // nothing new is sent there
+	Worn  map[routing.NodeID]bool // have been worked on: when they are let in again they may have been restarted, and are cold
+	Until time.Duration           // when that runs out; from then on it is
+	Then  map[routing.NodeID]bool
+	Blind map[routing.NodeID]bool // ... and these could be at work, but nothing else is left: what is sent there is counted
 }
 
 // KeepOff takes in what is kept off. It holds when this returns, as a ban does, but for no primary's writes any longer.
@@ -35,7 +35,7 @@
 	if c.lapsed() {
 		off = c.off.Then
 	} else if c.off.All {
-		off = map[choice.NodeID]bool{}
+		off = map[routing.NodeID]bool{}
 		for id := range c.members {
 			off[id] = true
 		}
@@ -59,7 +59,7 @@
 		}
 	}
 	if lifted {
-		c.push(choice.Event{Kind: choice.BansChanged, Bans: warm})
+		c.push(routing.Event{Kind: routing.BansChanged, Bans: warm})
 	}
 	c.keepOut()
 }
@@ -75,7 +75,7 @@
 		return
 	}
 	c.bans = all
-	c.push(choice.Event{Kind: choice.BansChanged, Bans: all})
+	c.push(routing.Event{Kind: routing.BansChanged, Bans: all})
 	c.Flush()
 	for _, m := range c.members {
 		if _, banned := all[m.ID]; banned != m.Banned {
@@ -127,8 +127,8 @@
 }
 
 // Out is how many attempts are out at each of some databases.
-func (c *Core) Out(at map[choice.NodeID]bool) map[choice.NodeID]int {
-	out := map[choice.NodeID]int{}
+func (c *Core) Out(at map[routing.NodeID]bool) map[routing.NodeID]int {
+	out := map[routing.NodeID]int{}
 	for _, q := range c.requests {
 		for _, a := range q.attempts {
 			if !a.done && at[a.Member.ID] {
--- a/internal/core/offset.go
+++ b/internal/core/offset.go
@@ -3,29 +3,29 @@
 import (
 	"time"
 
-	"capercove/choice"
 	"capercove/internal/clockoffset"
+	"capercove/routing"
 )
 
 // The core's clock counts from the wall clock at the start, which may have been wrong. What databases tell of their own
 // time, the positions in answers and reports, shows by how much.
 
 // answered takes in the position that came with an answer.
-func (c *Core) answered(a *Attempt, status choice.Status, note choice.Evidence) {
+func (c *Core) answered(a *Attempt, status routing.Status, note routing.Evidence) {
 	s := clockoffset.Sample{Position: note.Position, Sent: a.Request.attempts[0].sent, Received: c.clock()}
 	switch {
-	case status != choice.OK:
-	case a.Request.writes && note.Role != choice.Replica:
+	case status != routing.OK:
+	case a.Request.writes && note.Role != routing.Replica:
 		// A repeat may be told the commit of the first attempt: that is what Sent is of.
 		s.Kind = clockoffset.Commit
-	case note.Role == choice.Primary:
+	case note.Role == routing.Primary:
 		s.Kind = clockoffset.Primary
 	}
 	c.sample(s)
 }
 
 // reported takes in the position of a report, which is as of some time ago.
-func (c *Core) reported(took time.Duration, report choice.Evidence) {
+func (c *Core) reported(took time.Duration, report routing.Evidence) {
 	now := c.clock()
 	c.sample(clockoffset.Sample{Position: report.Position, Sent: now - took, Received: now})
 }
@@ -42,7 +42,7 @@
 	c.Count.ClockUnknown = b.Latest == clockoffset.Unknown
 	c.Count.ClockAhead = b.Earliest.Milliseconds()
 	c.logOffset(b)
-	c.push(choice.Event{Kind: choice.ClockOffset, Clock: b})
+	c.push(routing.Event{Kind: routing.ClockOffset, Clock: b})
 }
 
 // logOffset logs the estimate, or that there is none, once in a while.
--- a/internal/core/operators.go
+++ b/internal/core/operators.go
@@ -4,7 +4,7 @@
 	"maps"
 	"time"
 
-	"capercove/choice"
+	"capercove/routing"
 )
 
 // Figures are what operators are shown. A published one never changes.
@@ -84,11 +84,11 @@
 func (c *Core) TurnedDown() { c.Count.ReloadErrors++ }
 
 // Has tells whether any list has named the database.
-func (c *Core) Has(id choice.NodeID) bool { return c.members[id] != nil }
+func (c *Core) Has(id routing.NodeID) bool { return c.members[id] != nil }
 
 // Ban takes in which databases the operators keep out, each since when. It holds when this returns: what was decided
 // before and is not on its way yet is taken back by the backends.
-func (c *Core) Ban(bans map[choice.NodeID]time.Duration) {
+func (c *Core) Ban(bans map[routing.NodeID]time.Duration) {
 	c.banned = bans
 	c.keepOut()
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -1,12 +1,12 @@
 package core
 
-import "capercove/choice"
+import "capercove/routing"
 
 // What other poolers' words come down to, where poolers talk. None of it is evidence, and nothing waits for it.
 
 // Sight is what the router holds of a database by its own evidence.
 type Sight struct {
-	choice.Seen
+	routing.Seen
 	Name        string
 	Group, Zone int
 	MayAsk      bool // a probe may be sent there
@@ -31,7 +31,7 @@
 }
 
 func (c *Core) mayAsk(m *Member) bool {
-	return c.settings.CanProbe && m.State == choice.Ready && !m.Banned
+	return c.settings.CanProbe && m.State == routing.Ready && !m.Banned
 }
 
 // Share takes in how many routers share the databases, in place of the number in the settings; 0 is back to that.
@@ -50,7 +50,7 @@
 			continue
 		}
 		if c.asking == nil {
-			c.asking = map[choice.NodeID]bool{}
+			c.asking = map[routing.NodeID]bool{}
 		}
 		c.asking[id] = true
 		c.Count.Probes++
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"capercove/choice"
+	"capercove/routing"
 )
 
 // Route tells how a request is routed where what it does is not what its class says. Its class's aim, deadline and worth
@@ -47,12 +47,12 @@
 	if c.routes && q.Route != AsLabelled {
 		return q.Route == AsWrite
 	}
-	return c.settings.Classes[q.Class].Read == choice.Write
+	return c.settings.Classes[q.Class].Read == routing.Write
 }
 
 // routed are the settings as the router has them: with the routers that are there, and with each class as it is, then each as a
 // write, then each as a read.
-func (c *Core) routed() choice.Settings {
+func (c *Core) routed() routing.Settings {
 	s := c.settings.Settings
 	if c.routers > 0 {
 		s.Routers = c.routers
@@ -60,14 +60,14 @@
 	if !c.routes {
 		return s
 	}
-	all := make([]choice.Class, 0, int(routes)*len(s.Classes))
+	all := make([]routing.Class, 0, int(routes)*len(s.Classes))
 	for r := AsLabelled; r < routes; r++ {
 		for _, class := range s.Classes {
 			switch r {
 			case AsWrite:
-				class.Read, class.Effect = choice.Write, choice.Unsafe
+				class.Read, class.Effect = routing.Write, routing.Unsafe
 			case AsRead:
-				class.Read, class.Effect = choice.FreshRead, choice.Safe
+				class.Read, class.Effect = routing.FreshRead, routing.Safe
 			}
 			all = append(all, class)
 		}
@@ -80,20 +80,20 @@
 func (c *Core) retune() {
 	s := c.routed()
 	c.Count.Routers = s.Routers
-	c.push(choice.Event{Kind: choice.SettingsChanged, Settings: &s})
+	c.push(routing.Event{Kind: routing.SettingsChanged, Settings: &s})
 	if c.door != nil {
 		c.Refair(c.door.config)
 	}
 }
 
 // teach tells what an attempt took, if it was answered well.
-func (c *Core) teach(a *Attempt, status choice.Status, took time.Duration) {
+func (c *Core) teach(a *Attempt, status routing.Status, took time.Duration) {
 	if n := c.out[a.Member.ID] - 1; n > 0 {
 		c.out[a.Member.ID] = n
 	} else {
 		delete(c.out, a.Member.ID)
 	}
-	if status == choice.OK {
+	if status == routing.OK {
 		a.Request.Learner.Learned(took, a.others)
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -19,8 +19,8 @@
 
 	"github.com/rs/zerolog"
 
-	"capercove/choice"
 	"capercove/internal/limits"
+	"capercove/routing"
 )
 
 // List is one object of discovery: the whole list or the entries that changed.
@@ -41,8 +41,8 @@
 	Mode     string `json:"mode"`
 }
 
-var phases = map[string]choice.NodeState{
-	"SERVING": choice.Ready, "DRAINING": choice.Draining, "DELETED": choice.Gone,
+var phases = map[string]routing.NodeState{
+	"SERVING": routing.Ready, "DRAINING": routing.Draining, "DELETED": routing.Gone,
 }
 
 // Parse reads one object and checks it. One without a revision has revision 0.
@@ -74,19 +74,19 @@
 }
 
 // ID maps a database's name to the same number at every pooler.
-func ID(name string) choice.NodeID {
+func ID(name string) routing.NodeID {
 	h := fnv.New64a()
 	h.Write([]byte(name))
-	return choice.NodeID(h.Sum64())
+	return routing.NodeID(h.Sum64())
 }
 
 // Node is the entry as the router takes it. Zones are numbered as in the settings.
-func (e Entry) Node(zones []string) choice.Node {
+func (e Entry) Node(zones []string) routing.Node {
 	zone := slices.Index(zones, e.Locality)
 	if zone < 0 {
 		zone = len(zones) + int(uint32(ID(e.Locality))) // unknown to the settings, yet told apart
 	}
-	return choice.Node{ID: ID(e.ID), State: phases[e.Phase], Group: e.Cell, Zone: zone, Primary: e.Mode == "read-write",
+	return routing.Node{ID: ID(e.ID), State: phases[e.Phase], Group: e.Cell, Zone: zone, Primary: e.Mode == "read-write",
 		Started: time.Duration(e.UpSince) * time.Millisecond}
 }
 
--- a/internal/bans/change.go
+++ b/internal/exclusion/change.go
@@ -1,4 +1,4 @@
-package bans
+package exclusion
 
 import (
 	"cmp"
--- a/internal/bans/bans.go
+++ b/internal/exclusion/exclusion.go
@@ -1,4 +1,4 @@
-// Package bans keeps which databases the operators keep out. The set stands in a file that all processes of one pooler
+// Package exclusion keeps which databases the operators keep out. The set stands in a file that all processes of one pooler
 // share, so that it outlasts each of them, and each obeys it whichever was called.
 //
 // A change holds in this process at once, whatever becomes of the file, and is written again until it stands on disk.
@@ -9,7 +9,7 @@
 //   - .json.lock, locked by who changes these two;
 //   - .json.pending, a symbolic link whose text is the changes that are not on disk yet, for the other processes: it
 //     takes neither the lock nor a byte of a file (see handover.go).
-package bans
+package exclusion
 
 import (
 	"context"
--- a/internal/bans/bans_test.go
+++ b/internal/exclusion/exclusion_test.go
@@ -1,4 +1,4 @@
-package bans_test
+package exclusion_test
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"capercove/internal/bans"
 	"capercove/internal/clock"
+	"capercove/internal/exclusion"
 	"capercove/internal/limits"
 )
 
@@ -56,7 +56,7 @@
 // disk is the machine's, with faults: what fail returns an error for is not done. A write that fails leaves the first
 // bytes.
 type disk struct {
-	bans.System
+	exclusion.System
 	fail func(operation, path string) error
 	cut  int
 }
@@ -113,10 +113,10 @@
 
 // process is a File as one process of the pooler has it.
 type process struct {
-	*bans.File
+	*exclusion.File
 	m     *machine
 	mu    sync.Mutex
-	set   bans.Set
+	set   exclusion.Set
 	fault error // of the operations on the disk, where failing says so
 	kinds string
 	stop  func() // ends its watch
@@ -124,7 +124,7 @@
 
 func (m *machine) start() *process {
 	p := &process{m: m}
-	p.File = bans.Open(m.config(p, disk{fail: p.failing}))
+	p.File = exclusion.Open(m.config(p, disk{fail: p.failing}))
 	p.Look()
 	return p
 }
@@ -139,13 +139,13 @@
 	return p
 }
 
-func (m *machine) config(p *process, files bans.Files) bans.Config {
+func (m *machine) config(p *process, files exclusion.Files) exclusion.Config {
 	l := limits.For(limits.Machine{MemoryMB: 64, Sockets: 256}, time.Second, time.Second, time.Second)
 	l.BansAnswer, l.BansHandOver, l.BansRetryMost, l.Banned = 20*time.Millisecond, m.handOver, 50*time.Millisecond, 3
-	return bans.Config{Dir: m.dir, Pooler: "n0", Files: files, Stamp: m.stamp, Limits: l, Log: zerolog.Nop(),
+	return exclusion.Config{Dir: m.dir, Pooler: "n0", Files: files, Stamp: m.stamp, Limits: l, Log: zerolog.Nop(),
 		Now:  func() time.Duration { return time.Duration(m.up.Load()) + longAgo },
 		Wall: func() time.Time { return time.Unix(0, m.wall.Load()) },
-		Changed: func(set bans.Set) {
+		Changed: func(set exclusion.Set) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.set = set
@@ -397,7 +397,7 @@
 			before.stop()
 			var steps atomic.Int32
 			p := &process{m: m}
-			p.File = bans.Open(m.config(p, disk{cut: cut, fail: func(operation, _ string) error {
+			p.File = exclusion.Open(m.config(p, disk{cut: cut, fail: func(operation, _ string) error {
 				if operation != "read" && operation != "lock" && steps.Add(1) >= int32(step) {
 					return syscall.EINTR // nothing is done any more
 				}
@@ -464,7 +464,7 @@
 	for i := range 3 {
 		require.NoError(t, p.Change(fmt.Sprint("db-", i), true))
 	}
-	require.ErrorIs(t, p.Change("db-3", true), bans.ErrTooMany)
+	require.ErrorIs(t, p.Change("db-3", true), exclusion.ErrTooMany)
 	require.NoError(t, p.Change("db-0", true), "said twice")
 	require.NoError(t, p.Change("db-0", false))
 	require.NoError(t, p.Change("db-3", true))
--- a/internal/flight/backend.go
+++ b/internal/flight/backend.go
@@ -18,9 +18,9 @@
 	"google.golang.org/grpc/stats"
 	"google.golang.org/grpc/status"
 
-	"capercove/choice"
 	"capercove/internal/core"
 	"capercove/internal/limits"
+	"capercove/routing"
 )
 
 // Backend carries attempts to databases that speak Flight SQL. It implements core.Backend and core.Watcher. Its
@@ -31,7 +31,7 @@
 	log    zerolog.Logger
 	core   *core.Core
 	do     func(func()) // runs on the core's goroutine
-	conns  map[choice.NodeID]*conn
+	conns  map[routing.NodeID]*conn
 	dials  dials
 }
 
@@ -50,7 +50,7 @@
 // NewBackend returns a backend. The dialer makes all its connections; nil is the system's.
 func NewBackend(cfg Config, l limits.Limits, log zerolog.Logger, c *core.Core, do func(func()),
 	dialer *net.Dialer) *Backend {
-	return &Backend{config: cfg, limits: l, log: log, core: c, do: do, conns: map[choice.NodeID]*conn{},
+	return &Backend{config: cfg, limits: l, log: log, core: c, do: do, conns: map[routing.NodeID]*conn{},
 		dials: newDials(l, log, c, dialer)}
 }
 
@@ -59,7 +59,7 @@
 // that reaches whoever has its address now.
 func (b *Backend) Changed(m *core.Member) {
 	c := b.conns[m.ID]
-	if c != nil && (m.State == choice.Gone || m.Banned || c.addr != b.config.addr(m.Name, m.Addr)) {
+	if c != nil && (m.State == routing.Gone || m.Banned || c.addr != b.config.addr(m.Name, m.Addr)) {
 		c.leave()
 		b.retire(m.ID, c)
 	}
@@ -68,7 +68,7 @@
 // Forgotten has nothing to drop: the connection went when the database did.
 func (b *Backend) Forgotten(*core.Member) {}
 
-func (b *Backend) retire(id choice.NodeID, c *conn) {
+func (b *Backend) retire(id routing.NodeID, c *conn) {
 	if b.conns[id] == c {
 		delete(b.conns, id)
 	}
@@ -111,7 +111,7 @@
 // evict closes the connection without a call that was used least lately.
 func (b *Backend) evict() bool {
 	var oldest *conn
-	var of choice.NodeID
+	var of routing.NodeID
 	for id, c := range b.conns {
 		if c.uses == 0 && (oldest == nil || c.used < oldest.used) {
 			oldest, of = c, id
@@ -127,11 +127,11 @@
 func (b *Backend) Send(a *core.Attempt) {
 	c, err := b.conn(a.Member, b.core.Now())
 	if err != nil {
-		status := choice.NoConnect
+		status := routing.NoConnect
 		if errors.Is(err, errFull) { // it tells nothing of the database
-			status = choice.NotSent
+			status = routing.NotSent
 		}
-		b.core.Done(a, status, choice.Evidence{}, nil)
+		b.core.Done(a, status, routing.Evidence{}, nil)
 		return
 	}
 	c.uses++
@@ -143,7 +143,7 @@
 		cancel()
 		b.do(func() {
 			// Against a database that was cut off: its connection stays open and silent for ever.
-			if result == choice.TimedOut && !t.heard {
+			if result == routing.TimedOut && !t.heard {
 				b.retire(a.Member.ID, c)
 			}
 			if c.uses--; c.retired && c.uses == 0 {
@@ -199,19 +199,19 @@
 	s      *statement
 	heard  bool        // the database has answered
 	handed atomic.Bool // a message of it has been handed to the connection, and may arrive
-	note   choice.Evidence
+	note   routing.Evidence
 
 	unusable bool // it cannot use the statement
 }
 
-func (t *try) carry() (choice.Status, any) {
+func (t *try) carry() (routing.Status, any) {
 	up := t.connect()
 	if !up && t.conn.here.Err() == nil && !t.conn.short.Load() {
-		return choice.NoConnect, nil
+		return routing.NoConnect, nil
 	}
 	d, err := t.s.descriptor()
 	if !up || err != nil || !t.allowed() {
-		return choice.NotSent, nil
+		return routing.NotSent, nil
 	}
 	client := flight.NewFlightServiceClient(t.conn.grpc)
 	var answer any
@@ -222,8 +222,8 @@
 	}
 	t.unusable = status.Code(err) == codes.InvalidArgument
 	result := outcome(err)
-	if result == choice.BrokenOff && !t.handed.Load() { // the connection went before anything was written on it
-		result = choice.NoConnect
+	if result == routing.BrokenOff && !t.handed.Load() { // the connection went before anything was written on it
+		result = routing.NoConnect
 	}
 	return result, answer
 }
--- a/internal/flight/backend_test.go
+++ b/internal/flight/backend_test.go
@@ -8,9 +8,9 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"capercove/choice"
 	"capercove/internal/core"
 	"capercove/internal/limits"
+	"capercove/routing"
 )
 
 // A machine's descriptors are divided among all tables: what the Flight front may hold comes out of the same grant, with room left for
@@ -30,10 +30,10 @@
 // carry calls there is none for another database.
 func TestConnectionsToDatabasesAreBounded(t *testing.T) {
 	b := NewBackend(Config{ServerPort: 1}, limits.Limits{FlightServers: 3}, zerolog.Nop(), nil, runAtOnce, nil)
-	member := func(id choice.NodeID) *core.Member {
-		return &core.Member{Node: choice.Node{ID: id, State: choice.Ready}, Name: fmt.Sprint(id), Addr: "127.0.0.1:2"}
+	member := func(id routing.NodeID) *core.Member {
+		return &core.Member{Node: routing.Node{ID: id, State: routing.Ready}, Name: fmt.Sprint(id), Addr: "127.0.0.1:2"}
 	}
-	take := func(id choice.NodeID) *conn {
+	take := func(id routing.NodeID) *conn {
 		c, err := b.conn(member(id), time.Duration(len(b.conns)))
 		require.NoError(t, err)
 		c.uses++
@@ -47,7 +47,7 @@
 	two.used, one.used = 1, 2
 	take(4)
 	require.Len(t, b.conns, 3)
-	require.NotContains(t, b.conns, choice.NodeID(2), "used less lately than the other one")
+	require.NotContains(t, b.conns, routing.NodeID(2), "used less lately than the other one")
 	require.True(t, two.retired)
 	again := take(1)
 	require.Same(t, one, again)
--- a/internal/flight/dial_test.go
+++ b/internal/flight/dial_test.go
@@ -14,10 +14,10 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/connectivity"
 
-	"capercove/choice"
 	"capercove/internal/clock"
 	"capercove/internal/core"
 	"capercove/internal/limits"
+	"capercove/routing"
 )
 
 // failures is a dialer whose first dials fail, as many as are told.
@@ -36,7 +36,7 @@
 	l := limits.For(limits.Machine{MemoryMB: 64, Sockets: 256, Flight: true}, connect, time.Second, time.Second)
 	c := core.New(core.Settings{}, 1, l, zerolog.Nop(), clock.Monotonic(), func() {}, nil)
 	b := NewBackend(Config{Servers: map[string]string{"db": addr}}, l, zerolog.Nop(), c, do, dialer)
-	m := &core.Member{Node: choice.Node{ID: 1, State: choice.Ready}, Name: "db", Addr: addr}
+	m := &core.Member{Node: routing.Node{ID: 1, State: routing.Ready}, Name: "db", Addr: addr}
 	conn, err := b.conn(m, 0)
 	require.NoError(t, err)
 	t.Cleanup(func() { conn.grpc.Close() })
@@ -59,16 +59,16 @@
 		fails  int64
 		errno  syscall.Errno
 		up     bool
-		status choice.Status
+		status routing.Status
 	}{
 		"EMFILE for a moment":       {brief, syscall.EMFILE, true, 0},
 		"ENOBUFS for a moment":      {brief, syscall.ENOBUFS, true, 0},
 		"ENETUNREACH for a moment":  {brief, syscall.ENETUNREACH, true, 0},
-		"EMFILE for ever":           {forEver, syscall.EMFILE, false, choice.NotSent},
-		"ENOMEM for ever":           {forEver, syscall.ENOMEM, false, choice.NotSent},
-		"EADDRNOTAVAIL for ever":    {forEver, syscall.EADDRNOTAVAIL, false, choice.NotSent},
-		"EHOSTUNREACH for ever":     {forEver, syscall.EHOSTUNREACH, false, choice.NoConnect},
-		"ECONNREFUSED, as a server": {forEver, syscall.ECONNREFUSED, false, choice.NoConnect},
+		"EMFILE for ever":           {forEver, syscall.EMFILE, false, routing.NotSent},
+		"ENOMEM for ever":           {forEver, syscall.ENOMEM, false, routing.NotSent},
+		"EADDRNOTAVAIL for ever":    {forEver, syscall.EADDRNOTAVAIL, false, routing.NotSent},
+		"EHOSTUNREACH for ever":     {forEver, syscall.EHOSTUNREACH, false, routing.NoConnect},
+		"ECONNREFUSED, as a server": {forEver, syscall.ECONNREFUSED, false, routing.NoConnect},
 	} {
 		t.Run(name, func(t *testing.T) {
 			connect := patience
@@ -101,6 +101,6 @@
 		f()
 	})
 	status, _ := update.carry()
-	require.Equal(t, choice.NoConnect, status)
+	require.Equal(t, routing.NoConnect, status)
 	require.NoError(t, update.ctx.Err())
 }
--- a/internal/flight/protocol.go
+++ b/internal/flight/protocol.go
@@ -17,7 +17,7 @@
 	"google.golang.org/protobuf/types/known/anypb"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"capercove/choice"
+	"capercove/routing"
 )
 
 // Names of the call headers. A client sets the first six; a database answers with the last two, in the header
@@ -155,38 +155,38 @@
 
 // outcome tells what a database's error means for an attempt. Only codes that gRPC itself never makes up, or
 // that carry RetryInfo, prove that nothing ran.
-func outcome(err error) choice.Status {
+func outcome(err error) routing.Status {
 	if err == nil {
-		return choice.OK
+		return routing.OK
 	}
 	s := status.Convert(err)
 	switch s.Code() {
 	case codes.FailedPrecondition: // a write, and this is no primary, or too far behind
-		return choice.TurnedAway
+		return routing.TurnedAway
 	case codes.ResourceExhausted:
 		for _, d := range s.Details() {
 			if _, ok := d.(*errdetails.RetryInfo); ok {
-				return choice.NodeFull
+				return routing.NodeFull
 			}
 		}
-		return choice.NodeError
+		return routing.NodeError
 	case codes.DeadlineExceeded:
-		return choice.TimedOut
+		return routing.TimedOut
 	case codes.Unavailable, codes.Canceled:
-		return choice.BrokenOff
+		return routing.BrokenOff
 	}
-	return choice.NodeError
+	return routing.NodeError
 }
 
 // evidence reads what a database tells of itself with an answer.
-func evidence(mds ...metadata.MD) (e choice.Evidence) {
+func evidence(mds ...metadata.MD) (e routing.Evidence) {
 	for _, md := range mds {
 		if v := md.Get(KeyMode); len(v) > 0 {
 			switch v[0] {
 			case "read-write":
-				e.Role = choice.Primary
+				e.Role = routing.Primary
 			case "read-only":
-				e.Role = choice.Replica
+				e.Role = routing.Replica
 			}
 		}
 		if at, err := position(md.Get(KeyWALTime)); err == nil {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -7,9 +7,9 @@
 
 	"github.com/zeebo/xxh3"
 
-	"capercove/choice"
 	"capercove/internal/core"
 	"capercove/internal/tenant"
+	"capercove/routing"
 )
 
 // Ask is a statement as a front has read it.
@@ -87,7 +87,7 @@
 	if q.Expires == 0 {
 		q.Expires = class.Deadline
 	}
-	if class.Read == choice.Write || class.Read == choice.SessionRead {
+	if class.Read == routing.Write || class.Read == routing.SessionRead {
 		q.Session = a.Key
 	}
 	if in.reader != nil {
--- a/internal/intake/reader.go
+++ b/internal/intake/reader.go
@@ -5,9 +5,9 @@
 
 	"github.com/rs/zerolog"
 
-	"capercove/choice"
 	"capercove/internal/core"
 	"capercove/internal/statement"
+	"capercove/routing"
 )
 
 // reader reads the statements themselves, where the label is not to be believed.
@@ -74,7 +74,7 @@
 }
 
 // read looks at the statement of a request and says how it is to be routed.
-func (in *Intake) read(a *Ask, class *choice.Class, q *core.Request) *Problem {
+func (in *Intake) read(a *Ask, class *routing.Class, q *core.Request) *Problem {
 	r := in.reader
 	info := r.analyser.Read(a.SQL)
 	shape := r.shapes.Get(r.analyser.Shape(), &info)
@@ -92,7 +92,7 @@
 	}
 	mayWrite := info.MayWrite || a.Update
 	q.Learner = shape
-	switch labelled := class.Read == choice.Write; {
+	switch labelled := class.Read == routing.Write; {
 	case mayWrite && !labelled:
 		r.count.MayWrite++
 		r.disagrees(in.core.Now(), a.Class, shape, &info)
--- a/internal/works/driver/driver.go
+++ b/internal/maintenance/agent/agent.go
@@ -1,7 +1,7 @@
-// Package driver takes the works through at one pooler: it reads what is agreed, keeps the pooler off machines that are out, says when
+// Package agent takes the works through at one pooler: it reads what is agreed, keeps the pooler off machines that are out, says when
 // nothing is out there any more, and, at the pooler that leads the record, takes the plan further. What is decided is in package
 // works; no request waits for anything here.
-package driver
+package agent
 
 import (
 	"context"
@@ -15,13 +15,13 @@
 
 	"github.com/rs/zerolog"
 
-	"capercove/choice"
 	"capercove/internal/clock"
 	"capercove/internal/core"
 	"capercove/internal/discovery"
-	"capercove/internal/fleet/gossip"
+	"capercove/internal/maintenance"
+	"capercove/internal/membership/gossip"
 	"capercove/internal/store"
-	"capercove/internal/works"
+	"capercove/routing"
 )
 
 const (
@@ -64,22 +64,22 @@
 	unsaid atomic.Bool // the record has no word of this pooler
 
 	mu     sync.Mutex // guards all below
-	reader *works.Reader
-	held   map[string]store.Value // under works.Now
+	reader *maintenance.Reader
+	held   map[string]store.Value // under maintenance.Now
 	at     uint64                 // revision of held
-	record works.Record           // of held
+	record maintenance.Record     // of held
 	broken string                 // why held cannot be read
 	looker looker
 	shown  Shown
-	asked  time.Duration // when databases were last asked who leads
-	word   works.Word    // what this pooler has to say
+	asked  time.Duration    // when databases were last asked who leads
+	word   maintenance.Word // what this pooler has to say
 }
 
 // Start begins. Until the record has been read, or for the length of a lease, the pooler keeps off all databases: Off must have been
 // handed to the core before.
 func Start(c Config, p Pooler) *Driver {
 	now := p.Clock()
-	d := &Driver{pooler: p, config: c, kicked: make(chan struct{}, 1), words: make(chan struct{}, 1), reader: works.NewReader(now, works.Rules{Lease: ms(c.LeaseMS)}),
+	d := &Driver{pooler: p, config: c, kicked: make(chan struct{}, 1), words: make(chan struct{}, 1), reader: maintenance.NewReader(now, maintenance.Rules{Lease: ms(c.LeaseMS)}),
 		held: map[string]store.Value{}, looker: looker{zones: p.Zones, fresh: p.Fresh, peaks: map[int]float64{}}}
 	if c.FreshMS > 0 {
 		d.looker.fresh = ms(c.FreshMS)
@@ -133,7 +133,7 @@
 		d.mu.Lock()
 		after := d.at
 		d.mu.Unlock()
-		c, err := d.pooler.Client.Watch(ctx, works.Now, after, watches)
+		c, err := d.pooler.Client.Watch(ctx, maintenance.Now, after, watches)
 		if err != nil {
 			sleep(ctx, pause)
 			continue
@@ -182,7 +182,7 @@
 		}
 		asked := d.pooler.Clock()
 		key := d.key()
-		v, err := d.pooler.Client.Read(ctx, works.Now, key)
+		v, err := d.pooler.Client.Read(ctx, maintenance.Now, key)
 		if failed := err != nil; failed != failing && ctx.Err() == nil {
 			failing = failed
 			d.pooler.Log.Warn().Bool("failing", failing).Err(err).Msg("works: reading the record")
@@ -206,7 +206,7 @@
 	}
 }
 
-// take takes in what stands under works.Now; mu is held. What cannot be read changes nothing: the lease runs out.
+// take takes in what stands under maintenance.Now; mu is held. What cannot be read changes nothing: the lease runs out.
 func (d *Driver) take(held map[string]store.Value, revision uint64) bool {
 	r, err := parse(held)
 	if err != nil {
@@ -221,12 +221,12 @@
 	return true
 }
 
-func parse(values map[string]store.Value) (works.Record, error) {
+func parse(values map[string]store.Value) (maintenance.Record, error) {
 	texts, revisions := map[string]json.RawMessage{}, map[string]uint64{}
 	for key, v := range values {
 		texts[key], revisions[key] = v.Value, v.Revision
 	}
-	return works.Parse(texts, revisions)
+	return maintenance.Parse(texts, revisions)
 }
 
 // ---- Keeping off, and saying so
@@ -259,7 +259,7 @@
 
 // keepOff hands the pooler what it has to keep off, and returns the tries for which it has nothing out any more, with the plan that
 // they are of.
-func (d *Driver) keepOff(ctx context.Context) (w works.Word, known bool) {
+func (d *Driver) keepOff(ctx context.Context) (w maintenance.Word, known bool) {
 	f := d.pooler.Core.Figures()
 	groups, group := map[int][]string{}, map[string]int{}
 	for _, s := range f.Sights {
@@ -269,9 +269,9 @@
 	d.mu.Lock()
 	now := d.pooler.Clock()
 	lapses := d.reader.Lapses()
-	off := core.Off{All: !d.reader.Known(), Until: lapses, Now: map[choice.NodeID]bool{}, Worn: map[choice.NodeID]bool{}, Then: map[choice.NodeID]bool{},
-		Blind: map[choice.NodeID]bool{}}
-	agreed := map[choice.NodeID]bool{}
+	off := core.Off{All: !d.reader.Known(), Until: lapses, Now: map[routing.NodeID]bool{}, Worn: map[routing.NodeID]bool{}, Then: map[routing.NodeID]bool{},
+		Blind: map[routing.NodeID]bool{}}
+	agreed := map[routing.NodeID]bool{}
 	names := slices.Sorted(maps.Keys(group))
 	for name := range d.record.Steps { // Against one that the list has dropped, and brings back at once: it is kept off all the same.
 		if _, listed := group[name]; !listed {
@@ -292,9 +292,9 @@
 			off.Blind[id] = true
 		}
 		switch d.record.Steps[name].State {
-		case works.Agreed:
+		case maintenance.Agreed:
 			agreed[id] = true
-		case works.Back:
+		case maintenance.Back:
 			off.Worn[id] = true
 		}
 	}
@@ -318,7 +318,7 @@
 	}
 	ask := d.leaders(now, f.Sights, off.Now)
 	d.mu.Unlock()
-	left := make(chan map[choice.NodeID]int, 1)
+	left := make(chan map[routing.NodeID]int, 1)
 	d.pooler.Do(func() {
 		d.pooler.Core.KeepOff(off)
 		for _, name := range ask {
@@ -348,7 +348,7 @@
 
 // leaders are databases to ask, as all that this pooler takes for the primary of their group is kept off: another has taken over, and it
 // has seen nothing of that yet. Mu is held.
-func (d *Driver) leaders(now time.Duration, sights []core.Sight, off map[choice.NodeID]bool) (ask []string) {
+func (d *Driver) leaders(now time.Duration, sights []core.Sight, off map[routing.NodeID]bool) (ask []string) {
 	if len(off) == 0 || now-d.asked < look {
 		return nil
 	}
@@ -369,9 +369,9 @@
 // key is where this process's word stands. At an upgrade there are two of a name for a while, and each has to say that it stopped.
 func (d *Driver) key() string {
 	if d.pooler.Joined() {
-		return works.WordKey(d.pooler.Name)
+		return maintenance.WordKey(d.pooler.Name)
 	}
-	return works.WordKey(d.pooler.Name + second)
+	return maintenance.WordKey(d.pooler.Name + second)
 }
 
 // second is of the process of a name that is not part of the fleet yet.
@@ -379,7 +379,7 @@
 
 // say keeps this pooler's word in the record as it is.
 func (d *Driver) say(ctx context.Context) {
-	var said works.Word
+	var said maintenance.Word
 	var at uint64 // revision at which it was said
 	key, stands, first := "", false, true
 	for {
@@ -399,7 +399,7 @@
 			stands, at = false, 0
 		}
 		if first && d.pooler.Joined() { // its own of before, or that of one that ended without a word
-			deleted = []string{works.WordKey(d.pooler.Name + second)}
+			deleted = []string{maintenance.WordKey(d.pooler.Name + second)}
 		}
 		w.Incarnation, w.LeaseMS = d.pooler.Incarnation(), int64(d.config.LeaseMS)
 		if stands && w.Incarnation == said.Incarnation && w.Plan == said.Plan && maps.Equal(w.Stopped, said.Stopped) {
@@ -435,15 +435,15 @@
 	if d.pooler.Store == nil {
 		return
 	}
-	var l *works.Leader
-	self := works.Life{}
+	var l *maintenance.Leader
+	self := maintenance.Life{}
 	for ; ctx.Err() == nil; sleep(ctx, look) {
 		if !d.pooler.Store.Leads() {
 			l = nil
 			continue
 		}
 		if now := d.self(); l == nil || self != now { // it has been taken for gone
-			l, self = works.NewLeader(d.manner(now)), now
+			l, self = maintenance.NewLeader(d.manner(now)), now
 		}
 		r, err := d.whole(ctx)
 		if err != nil {
@@ -470,24 +470,24 @@
 	}
 }
 
-func (d *Driver) self() works.Life {
-	return works.Life{Name: d.pooler.Name, Incarnation: d.pooler.Incarnation()}
+func (d *Driver) self() maintenance.Life {
+	return maintenance.Life{Name: d.pooler.Name, Incarnation: d.pooler.Incarnation()}
 }
 
-func (d *Driver) manner(self works.Life) works.Manner {
-	return works.Manner{Self: self, Hook: len(d.config.Hook) > 0 || d.config.HookURL != "", HandsOver: len(d.config.HandOver) > 0,
+func (d *Driver) manner(self maintenance.Life) maintenance.Manner {
+	return maintenance.Manner{Self: self, Hook: len(d.config.Hook) > 0 || d.config.HookURL != "", HandsOver: len(d.config.HandOver) > 0,
 		Calls: d.config.HookCalls, Lease: ms(d.config.LeaseMS), Skew: ms(d.config.SkewMS), Settle: ms(d.config.SettleMS)}
 }
 
-func (d *Driver) whole(ctx context.Context) (works.Record, error) {
-	v, err := d.pooler.Client.Read(ctx, works.All)
+func (d *Driver) whole(ctx context.Context) (maintenance.Record, error) {
+	v, err := d.pooler.Client.Read(ctx, maintenance.All)
 	if err != nil {
-		return works.Record{}, err
+		return maintenance.Record{}, err
 	}
 	return parse(v.Values)
 }
 
-func (d *Driver) see(bears float64) works.Seen {
+func (d *Driver) see(bears float64) maintenance.Seen {
 	f, s, leads := d.pooler.Core.Figures(), d.pooler.Fleet(), d.pooler.Store != nil && d.pooler.Store.Leads()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -506,7 +506,7 @@
 
 // agree writes what is to be agreed on, again and again under one id until it is known whether it was; true: it was, or there is
 // nothing to write.
-func (d *Driver) agree(ctx context.Context, o works.Orders, r works.Record) bool {
+func (d *Driver) agree(ctx context.Context, o maintenance.Orders, r maintenance.Record) bool {
 	on, set, deleted := o.Change(r)
 	if on == nil {
 		return true
@@ -533,7 +533,7 @@
 
 // hook calls a hook, and writes how it ended. Only the pooler that called it knows; if its end cannot be written while this process
 // lives, nobody else may write it.
-func (d *Driver) hook(ctx context.Context, call works.Call, self works.Life) {
+func (d *Driver) hook(ctx context.Context, call maintenance.Call, self maintenance.Life) {
 	d.pooler.Log.Info().Str("machine", call.Machine).Str("to", call.To).Uint64("number", call.Number).Msg("works: a hook is called")
 	ended := make(chan string, 1)
 	go func() { ended <- d.config.call(call) }()
--- a/internal/works/driver/config.go
+++ b/internal/maintenance/agent/config.go
@@ -1,4 +1,4 @@
-package driver
+package agent
 
 import (
 	"fmt"
--- a/internal/works/driver/hook.go
+++ b/internal/maintenance/agent/hook.go
@@ -1,4 +1,4 @@
-package driver
+package agent
 
 import (
 	"bytes"
@@ -15,14 +15,14 @@
 	"syscall"
 	"time"
 
-	"capercove/internal/works"
+	"capercove/internal/maintenance"
 )
 
 const hookSays = 300 // bytes of what a hook says that are kept
 
 // call calls the hook of a call and waits for its end; the text says why it failed. It is not ended with this process: work that is
 // broken off half way is worse than work of which nobody knows that it has ended.
-func (c Config) call(call works.Call) (failed string) {
+func (c Config) call(call maintenance.Call) (failed string) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(c.HookSeconds)*time.Second)
 	defer cancel()
 	verb, program := "work", c.Hook
@@ -45,7 +45,7 @@
 }
 
 // start starts a program: its own arguments, then what is to be done, the machine, and who takes over, if it is that.
-func start(ctx context.Context, program []string, verb string, call works.Call) error {
+func start(ctx context.Context, program []string, verb string, call maintenance.Call) error {
 	args := append(append([]string{}, program[1:]...), verb, call.Machine)
 	if call.To != "" {
 		args = append(args, call.To)
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func post(ctx context.Context, to, verb string, call works.Call) error {
+func post(ctx context.Context, to, verb string, call maintenance.Call) error {
 	body, err := json.Marshal(map[string]any{"id": call.Number, "do": verb, "machine": call.Machine})
 	if err != nil {
 		return err
--- a/internal/works/driver/measure_test.go
+++ b/internal/maintenance/agent/measure_test.go
@@ -1,4 +1,4 @@
-package driver_test
+package agent_test
 
 import (
 	"encoding/json"
@@ -14,8 +14,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"capercove/internal/maintenance"
 	"capercove/internal/testbed"
-	"capercove/internal/works"
 )
 
 // What is measured is told by WORKS_MEASURE: told, leaderless, idle, roll. docs/measured/works.md has the figures.
@@ -25,7 +25,7 @@
 	}
 }
 
-func (r *run) entries() (all []works.Entry) {
+func (r *run) entries() (all []maintenance.Entry) {
 	out, status := r.Command("works", "history", "--json", r.Beds["n0"].Management)
 	require.Zero(r.T, status, out)
 	require.NoError(r.T, json.Unmarshal([]byte(out), &all))
@@ -45,7 +45,7 @@
 		var told, all []float64
 		for range 8 {
 			r.start("n0", "machines = [\"db-1\"]\nfresh = 1\n")
-			r.reaches("n0", "db-1", works.Free)
+			r.reaches("n0", "db-1", maintenance.Free)
 			r.do("n0", "end", "db-1")
 			r.over("n0")
 			at := map[string]int64{}
@@ -142,7 +142,7 @@
 						led = true
 						lead()
 					}
-					return s.Agreed && s.Plan.State == works.Over
+					return s.Agreed && s.Plan.State == maintenance.Over
 				}, testbed.FleetPatience, testbed.Turn)
 			default:
 				for _, name := range []string{"db-0", "db-1", "db-2", "db-3"} {
--- a/internal/works/driver/process_test.go
+++ b/internal/maintenance/agent/process_test.go
@@ -1,4 +1,4 @@
-package driver_test
+package agent_test
 
 import (
 	"encoding/json"
@@ -16,9 +16,9 @@
 	"github.com/stretchr/testify/require"
 
 	"capercove/internal/faults"
+	"capercove/internal/maintenance"
+	"capercove/internal/maintenance/agent"
 	"capercove/internal/testbed"
-	"capercove/internal/works"
-	"capercove/internal/works/driver"
 )
 
 // quick are times for processes on one machine.
@@ -72,23 +72,23 @@
 }
 
 // status is the plan as a majority holds it.
-func (r *run) status(at string) (s driver.Status) {
+func (r *run) status(at string) (s agent.Status) {
 	out, _ := r.Command("works", "status", "--json", r.Beds[at].Management)
 	json.Unmarshal([]byte(out), &s) // nothing of it, where the pooler does not answer
 	return s
 }
 
-func (r *run) state(at, machine string) works.State {
+func (r *run) state(at, machine string) maintenance.State {
 	for _, s := range r.status(at).Steps {
 		if s.Machine == machine {
 			return s.State
 		}
 	}
-	return works.Waiting
+	return maintenance.Waiting
 }
 
 // reaches waits until a machine has come to a state.
-func (r *run) reaches(at, machine string, state works.State) {
+func (r *run) reaches(at, machine string, state maintenance.State) {
 	r.T.Helper()
 	require.Eventually(r.T, func() bool { return r.state(at, machine) == state }, testbed.FleetPatience, testbed.Turn, "%s is %s", machine, state)
 	r.Net.Note("%s is %s", machine, state)
@@ -99,7 +99,7 @@
 	r.T.Helper()
 	require.Eventually(r.T, func() bool {
 		for _, s := range r.status(at).Steps {
-			if s.State == works.Free {
+			if s.State == maintenance.Free {
 				name = s.Machine
 			}
 		}
@@ -114,7 +114,7 @@
 	r.T.Helper()
 	require.Eventually(r.T, func() bool {
 		s := r.status(at)
-		return s.Agreed && s.Plan.State == works.Over
+		return s.Agreed && s.Plan.State == maintenance.Over
 	}, testbed.FleetPatience, testbed.Turn, "the plan ends")
 }
 
@@ -159,7 +159,7 @@
 		}
 		require.Len(t, db.Got(), before, "%s got something while it was free", name)
 		r.do("n2", "end", name)
-		r.reaches("n0", name, works.Done)
+		r.reaches("n0", name, maintenance.Done)
 	}
 	r.over("n0")
 	out, status = r.works("n0", "history")
--- a/internal/works/driver/show.go
+++ b/internal/maintenance/agent/show.go
@@ -1,4 +1,4 @@
-package driver
+package agent
 
 import (
 	"cmp"
@@ -20,24 +20,24 @@
 
 	"capercove/internal/clock"
 	"capercove/internal/config/tables"
+	"capercove/internal/maintenance"
 	"capercove/internal/store"
-	"capercove/internal/works"
 )
 
 // Shown is what operators see of a pooler's part.
 type Shown struct {
-	Name     string         `json:"name"`
-	Leads    bool           `json:"leads"`            // the record
-	Record   []string       `json:"record"`           // where it is called
-	Revision uint64         `json:"revision"`         // of what this pooler has read
-	Lapses   int64          `json:"lapses_ms"`        // until the lease runs out; under 0: it has
-	Broken   string         `json:"broken,omitempty"` // why the record cannot be read
-	Off      []string       `json:"off,omitempty"`    // databases to which it sends nothing new
-	Out      map[string]int `json:"out,omitempty"`    // requests that are out where it is to stop
-	Blind    int64          `json:"blind"`            // requests sent to what could be at work, as nothing else was left
-	Plan     works.Plan     `json:"plan"`             // as this pooler has it, as the next
-	Steps    []works.Step   `json:"steps"`
-	Look     works.Look     `json:"look"`
+	Name     string             `json:"name"`
+	Leads    bool               `json:"leads"`            // the record
+	Record   []string           `json:"record"`           // where it is called
+	Revision uint64             `json:"revision"`         // of what this pooler has read
+	Lapses   int64              `json:"lapses_ms"`        // until the lease runs out; under 0: it has
+	Broken   string             `json:"broken,omitempty"` // why the record cannot be read
+	Off      []string           `json:"off,omitempty"`    // databases to which it sends nothing new
+	Out      map[string]int     `json:"out,omitempty"`    // requests that are out where it is to stop
+	Blind    int64              `json:"blind"`            // requests sent to what could be at work, as nothing else was left
+	Plan     maintenance.Plan   `json:"plan"`             // as this pooler has it, as the next
+	Steps    []maintenance.Step `json:"steps"`
+	Look     maintenance.Look   `json:"look"`
 }
 
 // Show is what this pooler sees and has read. It asks databases of which nothing has been heard of late, so that a later look has
@@ -88,11 +88,11 @@
 	}
 	verb, rest := args[0], flags.Args()
 	names := 0 // before the address
-	if verb == "plan" || verb == "start" || works.Verb(verb).OfMachine() {
+	if verb == "plan" || verb == "start" || maintenance.Verb(verb).OfMachine() {
 		names = 1
 	}
-	known := []string{"plan", "start", "status", "history", string(works.Pause), string(works.Resume), string(works.GiveUp), string(works.Pass),
-		string(works.Begin), string(works.End), string(works.Forget)}
+	known := []string{"plan", "start", "status", "history", string(maintenance.Pause), string(maintenance.Resume), string(maintenance.GiveUp), string(maintenance.Pass),
+		string(maintenance.Begin), string(maintenance.End), string(maintenance.Forget)}
 	if !slices.Contains(known, verb) || len(rest) != names+1 {
 		return 0, false
 	}
@@ -115,8 +115,8 @@
 		if names > 0 {
 			name = rest[0]
 		}
-		err = o.change(func(r works.Record, wall time.Duration) (works.Orders, error) {
-			return works.Do(wall, r, works.Verb(verb), name, who())
+		err = o.change(func(r maintenance.Record, wall time.Duration) (maintenance.Orders, error) {
+			return maintenance.Do(wall, r, maintenance.Verb(verb), name, who())
 		})
 	}
 	if err != nil {
@@ -143,16 +143,16 @@
 	return json.NewDecoder(answer.Body).Decode(&o.shown)
 }
 
-func (o *operator) record() (works.Record, error) {
-	v, err := o.client.Read(context.Background(), works.All)
+func (o *operator) record() (maintenance.Record, error) {
+	v, err := o.client.Read(context.Background(), maintenance.All)
 	if err != nil {
-		return works.Record{}, fmt.Errorf("the record has no majority, or cannot be reached: %w", err)
+		return maintenance.Record{}, fmt.Errorf("the record has no majority, or cannot be reached: %w", err)
 	}
 	return parse(v.Values)
 }
 
 // change makes a change on what stands in the record, anew where somebody else's came first.
-func (o *operator) change(decide func(works.Record, time.Duration) (works.Orders, error)) error {
+func (o *operator) change(decide func(maintenance.Record, time.Duration) (maintenance.Orders, error)) error {
 	id := fmt.Sprintf("works/operator/%d/%016x", os.Getpid(), rand.Uint64())
 	for try := range 20 {
 		r, err := o.record()
@@ -194,13 +194,13 @@
 	if err != nil {
 		return err
 	}
-	var order []works.Stage
+	var order []maintenance.Stage
 	for begun := time.Now(); ; time.Sleep(look) { // evidence comes in as it is asked for
 		if err := o.ask(w.Bears); err != nil {
 			return err
 		}
 		if err = w.Check(o.shown.Look.Machines); err == nil {
-			if order, err = works.Dry(w, o.shown.Look); err == nil {
+			if order, err = maintenance.Dry(w, o.shown.Look); err == nil {
 				break
 			}
 		}
@@ -214,8 +214,8 @@
 		return nil
 	}
 	id := planID(clock.Wall())
-	return o.change(func(r works.Record, wall time.Duration) (works.Orders, error) {
-		return works.Start(wall, r, id, who(), w, o.shown.Look)
+	return o.change(func(r maintenance.Record, wall time.Duration) (maintenance.Orders, error) {
+		return maintenance.Start(wall, r, id, who(), w, o.shown.Look)
 	})
 }
 
@@ -226,7 +226,7 @@
 }
 
 // readWish reads a file with a wish. Errors name the line and the key.
-func readWish(path string) (w works.Wish, err error) {
+func readWish(path string) (w maintenance.Wish, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return w, err
@@ -237,7 +237,7 @@
 	return w, nil
 }
 
-func (o *operator) order(order []works.Stage) {
+func (o *operator) order(order []maintenance.Stage) {
 	t := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
 	for i, s := range order {
 		text := ""
@@ -251,13 +251,13 @@
 
 // Status is what status shows: the plan as a majority holds it, or as the pooler that was asked has it.
 type Status struct {
-	Agreed bool              `json:"agreed"` // a majority holds it so
-	Why    string            `json:"why,omitempty"`
-	Plan   works.Plan        `json:"plan"`
-	Steps  []works.Step      `json:"steps"`
-	Waits  map[string]string `json:"waits"` // why each machine waits
-	Missed []string          `json:"missed,omitempty"`
-	Pooler Shown             `json:"pooler"`
+	Agreed bool               `json:"agreed"` // a majority holds it so
+	Why    string             `json:"why,omitempty"`
+	Plan   maintenance.Plan   `json:"plan"`
+	Steps  []maintenance.Step `json:"steps"`
+	Waits  map[string]string  `json:"waits"` // why each machine waits
+	Missed []string           `json:"missed,omitempty"`
+	Pooler Shown              `json:"pooler"`
 }
 
 func (o *operator) look() (s Status) {
@@ -266,17 +266,17 @@
 	if err != nil {
 		s.Why, s.Plan, s.Steps = err.Error(), o.shown.Plan, o.shown.Steps
 	}
-	at := map[string]works.State{}
+	at := map[string]maintenance.State{}
 	for _, step := range s.Steps {
 		at[step.Machine] = step.State
 		for name := range r.Words { // whose word a step waits for
-			if step.State == works.Agreed && step.Stopped[name] < r.Words[name].Incarnation && !slices.Contains(s.Missed, name) {
+			if step.State == maintenance.Agreed && step.Stopped[name] < r.Words[name].Incarnation && !slices.Contains(s.Missed, name) {
 				s.Missed = append(s.Missed, name)
 			}
 		}
 	}
 	slices.Sort(s.Missed)
-	d := works.Next(s.Plan.Wish, at, o.shown.Look)
+	d := maintenance.Next(s.Plan.Wish, at, o.shown.Look)
 	s.Waits = d.Waits
 	if d.AskBack != "" {
 		s.Waits[d.AskBack] = "asked back, as its group has become too small"
@@ -299,7 +299,7 @@
 			last = text
 		}
 		if over := !s.Plan.Active(); !watch || over && s.Agreed {
-			if s.Agreed && s.Plan.State != works.Paused {
+			if s.Agreed && s.Plan.State != maintenance.Paused {
 				return 0
 			}
 			return 1
@@ -327,7 +327,7 @@
 	for _, step := range s.Steps {
 		text := s.Waits[step.Machine]
 		switch {
-		case step.State == works.Agreed && len(s.Missed) > 0:
+		case step.State == maintenance.Agreed && len(s.Missed) > 0:
 			text = "not heard yet: " + strings.Join(s.Missed, " ")
 		case len(step.Without) > 0:
 			text = strings.TrimSpace(text + " without " + strings.Join(step.Without, " "))
--- a/internal/works/lead_test.go
+++ b/internal/maintenance/lead_test.go
@@ -1,4 +1,4 @@
-package works
+package maintenance
 
 import (
 	"encoding/json"
--- a/internal/works/plan.go
+++ b/internal/maintenance/plan.go
@@ -1,6 +1,6 @@
-// Package works decides in what order machines are taken out for work, and takes each through its course. It is pure: no clock,
+// Package maintenance decides in what order machines are taken out for work, and takes each through its course. It is pure: no clock,
 // goroutine or I/O. What is agreed stands in a record elsewhere; here it is a value that is handed in and returned.
-package works
+package maintenance
 
 import (
 	"cmp"
--- a/internal/fleet/gossip/config.go
+++ b/internal/membership/gossip/config.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"capercove/internal/config/tables"
-	"capercove/internal/fleet"
+	"capercove/internal/membership"
 )
 
 // Config is table [fleet] of the operators' file.
@@ -21,7 +21,7 @@
 	Dir       string   `toml:"dir"`       // poolers are remembered here over a restart; empty: they are not
 	Slower    float64  `toml:"slower"`    // all times are longer by this factor; 0: they are those of DefaultPace
 
-	fleet.Uses
+	membership.Uses
 }
 
 // Check finds what is wrong with the table.
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/membership/gossip/gossip.go
@@ -23,7 +23,7 @@
 	"github.com/hashicorp/memberlist"
 	"github.com/rs/zerolog"
 
-	"capercove/internal/fleet"
+	"capercove/internal/membership"
 )
 
 // The steps of an exchange: what one lacks is asked for by a summary, the answer has that and a summary of its own, and the
@@ -34,7 +34,7 @@
 	back
 )
 
-func step(m fleet.Message) int {
+func step(m membership.Message) int {
 	if m.Summary != nil {
 		return ask
 	}
@@ -59,7 +59,7 @@
 	pace   Pace
 	log    zerolog.Logger
 	clock  func() time.Duration
-	period func(now time.Duration, v *fleet.View) map[fleet.Key][]byte
+	period func(now time.Duration, v *membership.View) map[membership.Key][]byte
 	began  time.Duration
 	stop   chan struct{}
 	ended  sync.WaitGroup
@@ -70,7 +70,7 @@
 	mu         sync.Mutex
 	list       *memberlist.Memberlist // nil until the address is to be had
 	waits      string                 // why there is none yet
-	talk       *fleet.Talk
+	talk       *membership.Talk
 	members    map[string]*peer   // that are there, this pooler left out
 	missing    map[string]*peer   // that have gone just now: whether they left is not known yet
 	unmet      map[string]unmet   // that others' words tell of and that the library has not found
@@ -111,8 +111,8 @@
 	Version int
 	From    string
 	Digest  uint64 // of the sender's view
-	Facts   []fleet.Fact
-	Ends    []fleet.End
+	Facts   []membership.Fact
+	Ends    []membership.End
 	Summary map[string]uint64
 	Step    int // of an exchange: 0 is news; ask, answer and back are each answered with the next, and go over a stream
 }
@@ -123,11 +123,11 @@
 // the process before this one may not have ended. Period is called once a period on a goroutine of the fleet's, with a view that
 // is its own until it returns; it returns what the pooler says. The clock counts from the Unix epoch.
 func Start(name string, c Config, p Pace, log zerolog.Logger, clock func() time.Duration,
-	period func(now time.Duration, v *fleet.View) map[fleet.Key][]byte) (*Gossip, error) {
-	b, now := fleet.DefaultBounds(), clock()
+	period func(now time.Duration, v *membership.View) map[membership.Key][]byte) (*Gossip, error) {
+	b, now := membership.DefaultBounds(), clock()
 	random := rand.New(rand.NewPCG(uint64(now), 0))
 	g := &Gossip{name: name, config: c, pace: p, log: log, clock: clock, period: period, began: now, stop: make(chan struct{}),
-		talk:    fleet.NewTalk(fleet.NewView(b), fleet.NewAuthor(name, uint64(now.Milliseconds()), b), fleet.DefaultTalk(), random),
+		talk:    membership.NewTalk(membership.NewView(b), membership.NewAuthor(name, uint64(now.Milliseconds()), b), membership.DefaultTalk(), random),
 		members: map[string]*peer{}, missing: map[string]*peer{}, unmet: map[string]unmet{}, remembered: map[string]address{},
 		heard:     heard{answered: map[string]time.Duration{}, suspected: map[string]time.Duration{}},
 		agreement: newAgreement(p.Agree, now), logged: map[string]time.Duration{}, random: random, write: write}
@@ -375,7 +375,7 @@
 	defer g.mu.Unlock()
 	now := g.clock()
 	before := g.talk.Author.Incarnation()
-	g.talk.Hear(now, fleet.Delta{Facts: w.Facts, Ends: w.Ends})
+	g.talk.Hear(now, membership.Delta{Facts: w.Facts, Ends: w.Ends})
 	if g.talk.Author.Incarnation() != before {
 		g.count.Refuted++
 	}
@@ -383,7 +383,7 @@
 		g.heard.answer(w.From, now)
 	}
 	g.agreement.tell(now, w.From, w.Digest)
-	switch d := (fleet.Delta{}); w.Step {
+	switch d := (membership.Delta{}); w.Step {
 	case ask:
 		d = g.talk.Answer(w.Summary)
 		g.send(w.From, wire{Facts: d.Facts, Ends: d.Ends, Summary: g.talk.View.Summary(), Step: answer})
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/membership/gossip/gossip_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 
 	"capercove/internal/faults"
-	"capercove/internal/fleet"
-	"capercove/internal/fleet/gossip"
+	"capercove/internal/membership"
+	"capercove/internal/membership/gossip"
 )
 
 const patience = 60 * time.Second
@@ -23,8 +23,8 @@
 var quick = gossip.Pace{Period: 20 * time.Millisecond, Probe: 200 * time.Millisecond, Timeout: 100 * time.Millisecond,
 	Rejoin: 200 * time.Millisecond, Bind: 10 * time.Millisecond, Agree: time.Second, LogEach: time.Second}
 
-func saying(values map[fleet.Key][]byte) func(time.Duration, *fleet.View) map[fleet.Key][]byte {
-	return func(time.Duration, *fleet.View) map[fleet.Key][]byte { return values }
+func saying(values map[membership.Key][]byte) func(time.Duration, *membership.View) map[membership.Key][]byte {
+	return func(time.Duration, *membership.View) map[membership.Key][]byte { return values }
 }
 
 func clock() time.Duration { return time.Duration(time.Now().UnixNano()) }
@@ -87,7 +87,7 @@
 	}
 	require.NoError(m.t, c.Check())
 	log := zerolog.New(m.log).With().Str("at", name).Logger()
-	g, err := gossip.Start(name, c, quick, log, clock, saying(map[fleet.Key][]byte{{}: []byte(name)}))
+	g, err := gossip.Start(name, c, quick, log, clock, saying(map[membership.Key][]byte{{}: []byte(name)}))
 	require.NoError(m.t, err)
 	m.up[name] = g
 }
@@ -216,12 +216,12 @@
 	m := newMembers(t, 6, 2)
 	told := false
 	c := gossip.Config{Enabled: true, Cluster: "c", Listen: m.own["n0"], Advertise: m.public["n0"]}
-	g, err := gossip.Start("n0", c, quick, zerolog.Nop(), clock, func(now time.Duration, v *fleet.View) map[fleet.Key][]byte {
+	g, err := gossip.Start("n0", c, quick, zerolog.Nop(), clock, func(now time.Duration, v *membership.View) map[membership.Key][]byte {
 		if !told {
-			v.Merge(now, fleet.Delta{Facts: []fleet.Fact{{Owner: "ghost", Incarnation: uint64(now.Milliseconds()), Sequence: 1, At: now}}})
+			v.Merge(now, membership.Delta{Facts: []membership.Fact{{Owner: "ghost", Incarnation: uint64(now.Milliseconds()), Sequence: 1, At: now}}})
 		}
 		told = true
-		return map[fleet.Key][]byte{{}: []byte("n0")}
+		return map[membership.Key][]byte{{}: []byte("n0")}
 	})
 	require.NoError(t, err)
 	m.up["n0"] = g
--- a/internal/fleet/gossip/memory_test.go
+++ b/internal/membership/gossip/memory_test.go
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"capercove/internal/fleet"
+	"capercove/internal/membership"
 )
 
 const epoch = 1_800_000_000 * time.Second
@@ -184,8 +184,8 @@
 // A suspicion ends when the pooler speaks, and one of a former life that comes late ends when it joins again: nobody has to wait
 // until it is that pooler's turn to be asked.
 func TestSuspicionEnds(t *testing.T) {
-	now, b := epoch, fleet.DefaultBounds()
-	talk := fleet.NewTalk(fleet.NewView(b), fleet.NewAuthor("a", 1, b), fleet.DefaultTalk(), rand.New(rand.NewPCG(1, 1)))
+	now, b := epoch, membership.DefaultBounds()
+	talk := membership.NewTalk(membership.NewView(b), membership.NewAuthor("a", 1, b), membership.DefaultTalk(), rand.New(rand.NewPCG(1, 1)))
 	g := &Gossip{name: "a", pace: DefaultPace(), log: zerolog.Nop(), clock: func() time.Duration { return now }, talk: talk, members: map[string]*peer{},
 		missing: map[string]*peer{}, remembered: map[string]address{}, logged: map[string]time.Duration{}, agreement: newAgreement(time.Second, now),
 		heard: heard{answered: map[string]time.Duration{}, suspected: map[string]time.Duration{}}}
--- a/internal/fleet/gossip/state.go
+++ b/internal/membership/gossip/state.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strconv"
 
-	"capercove/internal/fleet"
+	"capercove/internal/membership"
 )
 
 // State is the fleet as one pooler sees it, to be shown. Times are Unix ms, ages in ms.
@@ -26,7 +26,7 @@
 	Use        any        `json:"use,omitempty"`  // what is done with the view
 	Refused    int64      // what memberlist could not read or turned away, such as from another cluster
 	Counters
-	fleet.ViewCounters
+	membership.ViewCounters
 }
 
 // Pooler is one of the fleet.
@@ -44,8 +44,8 @@
 
 // Database is what live poolers say of one.
 type Database struct {
-	Name  string        `json:"name"`
-	Words []fleet.Heard `json:"words"`
+	Name  string             `json:"name"`
+	Words []membership.Heard `json:"words"`
 }
 
 // State is the fleet as this pooler sees it.
@@ -63,7 +63,7 @@
 	defer g.heard.mu.Unlock()
 	s.Refused = g.heard.refused
 	says := map[string]json.RawMessage{}
-	for _, f := range v.Of(fleet.Key{}) {
+	for _, f := range v.Of(membership.Key{}) {
 		if json.Valid(f.Value) { // another may say anything
 			says[f.Owner] = f.Value
 		}
--- a/internal/fleet/talk.go
+++ b/internal/membership/talk.go
@@ -1,4 +1,4 @@
-package fleet
+package membership
 
 import (
 	"cmp"
--- a/internal/fleet/view.go
+++ b/internal/membership/view.go
@@ -1,7 +1,7 @@
-// Package fleet holds what the poolers of an installation know together: who lives, and what each observes. This file is the
+// Package membership holds what the poolers of an installation know together: who lives, and what each observes. This file is the
 // pure part: no clock, goroutine or I/O. A View is a join-semilattice: merging is commutative, associative and
 // idempotent, so that poolers that have heard the same, in any order and any number of times, hold the same.
-package fleet
+package membership
 
 import (
 	"bytes"
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -13,11 +13,10 @@
 	"github.com/rs/zerolog"
 	"github.com/zeebo/xxh3"
 
-	"capercove/choice"
+	"capercove/internal/admission"
 	"capercove/internal/config/tables"
 	"capercove/internal/core"
 	"capercove/internal/discovery"
-	"capercove/internal/door"
 	"capercove/internal/emulator"
 	"capercove/internal/intake"
 	"capercove/internal/limits"
@@ -28,6 +27,7 @@
 	"capercove/internal/statement"
 	"capercove/internal/tenant"
 	"capercove/internal/wire"
+	"capercove/routing"
 )
 
 // Fleet is poolers before an emulated fleet.
@@ -77,10 +77,10 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	var own struct {
-		Door       door.Config      `toml:"door"`
+		Door       admission.Config `toml:"door"`
 		Statements statement.Config `toml:"statements"`
 	}
-	own.Door, own.Statements = door.Defaults(), statement.Defaults()
+	own.Door, own.Statements = admission.Defaults(), statement.Defaults()
 	if err := tables.Parse("operators' file", []byte(w.Operator()), &own); err != nil {
 		return nil, err
 	}
@@ -128,7 +128,7 @@
 
 // ---- The list
 
-var states = map[emulator.State]choice.NodeState{emulator.Serving: choice.Ready, emulator.Draining: choice.Draining, emulator.Gone: choice.Gone}
+var states = map[emulator.State]routing.NodeState{emulator.Serving: routing.Ready, emulator.Draining: routing.Draining, emulator.Gone: routing.Gone}
 
 func (p *Pooler) member(m *emulator.Member, s emulator.State) core.Member {
 	zone := 0
@@ -137,7 +137,7 @@
 			zone = i
 		}
 	}
-	return core.Member{Name: m.Name, Addr: m.Name, Node: choice.Node{ID: discovery.ID(m.Name), State: states[s],
+	return core.Member{Name: m.Name, Addr: m.Name, Node: routing.Node{ID: discovery.ID(m.Name), State: states[s],
 		Primary: m == m.Family.Members[0], Started: m.Started, Zone: zone, Group: m.Family.Group}}
 }
 
@@ -188,22 +188,22 @@
 // Probe asks a database for its report.
 func (p *Pooler) Probe(to *core.Member) {
 	m, begun := p.at(to), p.fleet.loop.Now()
-	done := func(s choice.Status, e choice.Evidence) {
+	done := func(s routing.Status, e routing.Evidence) {
 		p.Core.Probed(to, s, p.fleet.loop.Now()-begun, e)
 	}
 	p.fleet.loop.At(begun+p.network(), func() {
 		switch {
 		case !m.Running():
-			p.fleet.loop.At(p.fleet.loop.Now()+p.network(), func() { done(choice.NoProcess, choice.Evidence{}) })
+			p.fleet.loop.At(p.fleet.loop.Now()+p.network(), func() { done(routing.NoProcess, routing.Evidence{}) })
 		case m.Silent(p.zone):
-			p.fleet.loop.At(begun+250*time.Millisecond, func() { done(choice.TimedOut, choice.Evidence{}) })
+			p.fleet.loop.At(begun+250*time.Millisecond, func() { done(routing.TimedOut, routing.Evidence{}) })
 		default:
 			r := m.Probe()
-			e := choice.Evidence{Role: choice.Replica, Position: r.Position}
+			e := routing.Evidence{Role: routing.Replica, Position: r.Position}
 			if r.Primary {
-				e.Role = choice.Primary
+				e.Role = routing.Primary
 			}
-			p.fleet.loop.At(p.fleet.loop.Now()+p.network(), func() { done(choice.OK, e) })
+			p.fleet.loop.At(p.fleet.loop.Now()+p.network(), func() { done(routing.OK, e) })
 		}
 	})
 }
@@ -221,7 +221,7 @@
 	m := p.at(a.Member)
 	o := &out{member: m}
 	a.Handle = o
-	end := func(s choice.Status, e choice.Evidence, value any) {
+	end := func(s routing.Status, e routing.Evidence, value any) {
 		if !o.over {
 			o.over = true
 			p.Core.Done(a, s, e, value)
@@ -233,11 +233,11 @@
 			return
 		}
 		if !m.Running() {
-			p.fleet.loop.At(p.fleet.loop.Now()+p.network(), func() { end(choice.NoProcess, choice.Evidence{}, nil) })
+			p.fleet.loop.At(p.fleet.loop.Now()+p.network(), func() { end(routing.NoProcess, routing.Evidence{}, nil) })
 			return
 		}
 		if a.By > 0 && p.Core.Now() > a.By {
-			end(choice.NotSent, choice.Evidence{}, nil)
+			end(routing.NotSent, routing.Evidence{}, nil)
 			return
 		}
 		p.Core.Written(a)
@@ -248,17 +248,17 @@
 				return
 			}
 			p.fleet.loop.At(p.fleet.loop.Now()+p.network(), func() {
-				e := choice.Evidence{Role: choice.Replica, Position: answer.Position}
+				e := routing.Evidence{Role: routing.Replica, Position: answer.Position}
 				if answer.Primary {
-					e.Role = choice.Primary
+					e.Role = routing.Primary
 				}
-				status := map[emulator.Outcome]choice.Status{emulator.Row: choice.OK, emulator.Miss: choice.TurnedAway,
-					emulator.Full: choice.NodeFull, emulator.Error: choice.NodeError}[answer.Outcome]
+				status := map[emulator.Outcome]routing.Status{emulator.Row: routing.OK, emulator.Miss: routing.TurnedAway,
+					emulator.Full: routing.NodeFull, emulator.Error: routing.NodeError}[answer.Outcome]
 				end(status, e, answer.Value)
 			})
 		}
 		m.Submit(o.job)
-		p.watchDeath(m, life, func() { end(choice.BrokenOff, choice.Evidence{}, nil) }, o)
+		p.watchDeath(m, life, func() { end(routing.BrokenOff, routing.Evidence{}, nil) }, o)
 	})
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -11,10 +11,10 @@
 
 	"github.com/rs/zerolog"
 
-	"capercove/choice"
 	"capercove/internal/core"
-	"capercove/internal/fleet"
-	"capercove/internal/wheel"
+	"capercove/internal/membership"
+	"capercove/internal/timerwheel"
+	"capercove/routing"
 )
 
 const (
@@ -51,8 +51,8 @@
 // Peers is one pooler's. Period is called by the fleet's goroutine alone.
 type Peers struct {
 	pooler   Pooler
-	advisor  *fleet.Advisor
-	reporter *fleet.Reporter
+	advisor  *membership.Advisor
+	reporter *membership.Reporter
 
 	open atomic.Int64 // connections, as last counted
 	lost atomic.Bool  // the lease ran out, or nothing came yet
@@ -60,7 +60,7 @@
 	mu      sync.Mutex // guards all below; never held on the event loop, which must not wait for the fleet's part
 	self    Self
 	doubted []string
-	advice  fleet.Advice
+	advice  membership.Advice
 	asked   int64
 	routers int // of new settings; 0: none have come
 
@@ -70,13 +70,13 @@
 	told    time.Duration
 	renewed time.Duration
 
-	lease *wheel.Timer // the event loop's
+	lease *timerwheel.Timer // the event loop's
 }
 
 // New returns the peers of a pooler that says this of itself, where the settings say that there are so many routers.
-func New(name string, u fleet.Uses, self Self, routers int, p Pooler) *Peers {
-	peers := &Peers{pooler: p, advisor: fleet.NewAdvisor(name, u, fleet.DefaultAdvice(), routers), self: self,
-		reporter: fleet.NewReporter(time.Minute)}
+func New(name string, u membership.Uses, self Self, routers int, p Pooler) *Peers {
+	peers := &Peers{pooler: p, advisor: membership.NewAdvisor(name, u, membership.DefaultAdvice(), routers), self: self,
+		reporter: membership.NewReporter(time.Minute)}
 	peers.lost.Store(true)
 	return peers
 }
@@ -96,11 +96,11 @@
 }
 
 // Period takes in the view and returns what the pooler says.
-func (p *Peers) Period(now time.Duration, v *fleet.View) map[fleet.Key][]byte {
+func (p *Peers) Period(now time.Duration, v *membership.View) map[membership.Key][]byte {
 	f := p.pooler.Core.Figures()
-	sights := make([]fleet.Sight, 0, len(f.Sights))
+	sights := make([]membership.Sight, 0, len(f.Sights))
 	for _, s := range f.Sights {
-		sights = append(sights, fleet.Sight{Database: s.Name, State: state(s.Health), Cold: s.Cold, Primary: s.Primary,
+		sights = append(sights, membership.Sight{Database: s.Name, State: state(s.Health), Cold: s.Cold, Primary: s.Primary,
 			Position: s.Position, Heard: s.Heard, MayAsk: s.MayAsk})
 	}
 	p.mu.Lock()
@@ -147,7 +147,7 @@
 		panic(err) // a fault of this program: there is nothing in it that cannot be written
 	}
 	values := p.reporter.Says(now, sights, p.advisor.Contested)
-	values[fleet.Key{}] = text
+	values[membership.Key{}] = text
 	return values
 }
 
@@ -180,13 +180,13 @@
 	return true
 }
 
-func state(h choice.Health) fleet.State {
-	return [...]fleet.State{choice.Unheard: fleet.Unheard, choice.Sound: fleet.Answers, choice.Mute: fleet.Silent,
-		choice.Failing: fleet.Failing, choice.NoListener: fleet.Absent}[h]
+func state(h routing.Health) membership.State {
+	return [...]membership.State{routing.Unheard: membership.Unheard, routing.Sound: membership.Answers, routing.Mute: membership.Silent,
+		routing.Failing: membership.Failing, routing.NoListener: membership.Absent}[h]
 }
 
 // apply hands advice to the pooler, on the event loop. It holds for the lease: against a fleet's part that stands still.
-func (p *Peers) apply(a fleet.Advice) {
+func (p *Peers) apply(a membership.Advice) {
 	c := p.pooler.Core
 	p.hold(a)
 	for _, database := range a.Ask {
@@ -196,13 +196,13 @@
 		p.lease.Stop()
 	}
 	p.lease = c.Wheel.At(c.Now()+lease, func() {
-		p.hold(fleet.Advice{})
+		p.hold(membership.Advice{})
 		p.lost.Store(true)
 	})
 	p.open.Store(int64(p.pooler.Connections()))
 }
 
-func (p *Peers) hold(a fleet.Advice) {
+func (p *Peers) hold(a membership.Advice) {
 	p.pooler.Core.Share(a.Routers)
 	p.pooler.Keep(a.Idle)
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -9,11 +9,11 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"capercove/choice"
 	"capercove/internal/core"
-	"capercove/internal/fleet"
 	"capercove/internal/limits"
+	"capercove/internal/membership"
 	"capercove/internal/peers"
+	"capercove/routing"
 )
 
 // world is a core driven by hand, with three databases of which some are silent, and a view that the test fills.
@@ -21,7 +21,7 @@
 	now    time.Duration
 	core   *core.Core
 	peers  *peers.Peers
-	view   *fleet.View
+	view   *membership.View
 	silent map[string]bool
 	probes map[string]int
 	idle   map[string]int
@@ -34,21 +34,21 @@
 func (w *world) Probe(m *core.Member) {
 	w.probes[m.Name]++
 	if w.silent[m.Name] {
-		w.core.Probed(m, choice.TimedOut, 250*time.Millisecond, choice.Evidence{})
+		w.core.Probed(m, routing.TimedOut, 250*time.Millisecond, routing.Evidence{})
 		return
 	}
-	role := choice.Replica
+	role := routing.Replica
 	if m.Name == "db1" {
-		role = choice.Primary
+		role = routing.Primary
 	}
-	w.core.Probed(m, choice.OK, 0, choice.Evidence{Role: role, Position: w.now})
+	w.core.Probed(m, routing.OK, 0, routing.Evidence{Role: role, Position: w.now})
 }
 
-func newWorld(u fleet.Uses) *world {
+func newWorld(u membership.Uses) *world {
 	w := &world{now: 1_800_000_000 * time.Second, silent: map[string]bool{}, probes: map[string]int{}}
-	s := choice.Settings{Routers: 3, MaxAttempts: 4, CanProbe: true, DrainGrace: time.Second, ColdShare: 0.2, ColdTime: 10 * time.Second,
-		FallMultiple: 3, FallWindow: time.Second, Classes: []choice.Class{
-			{Read: choice.AnyRead, Aim: 200 * time.Millisecond, Deadline: 5 * time.Second, Worth: 1}}}
+	s := routing.Settings{Routers: 3, MaxAttempts: 4, CanProbe: true, DrainGrace: time.Second, ColdShare: 0.2, ColdTime: 10 * time.Second,
+		FallMultiple: 3, FallWindow: time.Second, Classes: []routing.Class{
+			{Read: routing.AnyRead, Aim: 200 * time.Millisecond, Deadline: 5 * time.Second, Worth: 1}}}
 	l := limits.For(limits.Machine{MemoryMB: 64, Sockets: 256}, 250*time.Millisecond, 15*time.Second, 5*time.Second)
 	w.core = core.New(core.Settings{Settings: s, Names: []string{"read"}}, 1, l, zerolog.Nop(), func() time.Duration { return w.now },
 		func() {}, func() {})
@@ -56,37 +56,37 @@
 	w.core.Observe()
 	w.core.Start()
 	var list []core.Member
-	for id := choice.NodeID(1); id <= 3; id++ {
-		list = append(list, core.Member{Name: fmt.Sprint("db", id), Node: choice.Node{ID: id, State: choice.Ready, Group: 1}})
+	for id := routing.NodeID(1); id <= 3; id++ {
+		list = append(list, core.Member{Name: fmt.Sprint("db", id), Node: routing.Node{ID: id, State: routing.Ready, Group: 1}})
 	}
 	w.core.List(list, true)
-	w.view = fleet.NewView(fleet.DefaultBounds())
+	w.view = membership.NewView(membership.DefaultBounds())
 	w.peers = peers.New("n0", u, peers.Self{Listen: "here", Settings: "a"}, 3, peers.Pooler{Core: w.core, Log: zerolog.Nop(),
 		Do: func(f func()) { f() }, Keep: func(idle map[string]int) { w.idle = idle }, Connections: func() int { return 7 }})
 	return w
 }
 
 // pass lets time pass, with periods of 200 ms if the fleet's part goes on. It returns what is said last.
-func (w *world) pass(d time.Duration, goesOn bool) (said map[fleet.Key][]byte) {
+func (w *world) pass(d time.Duration, goesOn bool) (said map[membership.Key][]byte) {
 	for end := w.now + d; w.now < end; {
 		w.now += 5 * time.Millisecond
 		w.core.Tick()
 		w.core.Flush()
 		if goesOn && w.now%(200*time.Millisecond) == 0 {
 			said = w.peers.Period(w.now, w.view)
-			w.view.Merge(w.now, fleet.NewAuthor("n0", uint64(w.now.Milliseconds()), fleet.DefaultBounds()).Say(w.now, said))
+			w.view.Merge(w.now, membership.NewAuthor("n0", uint64(w.now.Milliseconds()), membership.DefaultBounds()).Say(w.now, said))
 		}
 	}
 	return said
 }
 
 // hears takes in what another says.
-func (w *world) hears(name string, words map[string]fleet.Word) {
-	values := map[fleet.Key][]byte{{}: []byte(`{"listen":"there"}`)}
+func (w *world) hears(name string, words map[string]membership.Word) {
+	values := map[membership.Key][]byte{{}: []byte(`{"listen":"there"}`)}
 	for database, word := range words {
-		values[fleet.Key{Kind: fleet.OfDatabase, Subject: database}] = word.Append(nil)
+		values[membership.Key{Kind: membership.OfDatabase, Subject: database}] = word.Append(nil)
 	}
-	w.view.Merge(w.now, fleet.NewAuthor(name, uint64(w.now.Milliseconds()), fleet.DefaultBounds()).Say(w.now, values))
+	w.view.Merge(w.now, membership.NewAuthor(name, uint64(w.now.Milliseconds()), membership.DefaultBounds()).Say(w.now, values))
 }
 
 func (w *world) unavailable() int { return w.core.Figures().Unavailable }
@@ -98,10 +98,10 @@
 		doubt, silent bool
 		out           int
 	}{{true, true, 1}, {true, false, 0}, {false, true, 0}} {
-		w := newWorld(fleet.Uses{Doubt: c.doubt})
+		w := newWorld(membership.Uses{Doubt: c.doubt})
 		w.pass(time.Second, true)
 		w.silent["db3"] = c.silent
-		bad := map[string]fleet.Word{"db3": {State: fleet.Silent, Since: w.now.Milliseconds() + 1}}
+		bad := map[string]membership.Word{"db3": {State: membership.Silent, Since: w.now.Milliseconds() + 1}}
 		w.hears("n1", bad)
 		w.pass(2*time.Second, true)
 		require.Zero(t, w.unavailable(), "one word alone")
@@ -118,32 +118,32 @@
 
 // What is seen is said, and taken back; the settings' digest follows a reload.
 func TestSays(t *testing.T) {
-	w := newWorld(fleet.Uses{Doubt: true})
-	bad := map[string]fleet.Word{"db3": {State: fleet.Silent, Since: w.now.Milliseconds() + 5000}}
+	w := newWorld(membership.Uses{Doubt: true})
+	bad := map[string]membership.Word{"db3": {State: membership.Silent, Since: w.now.Milliseconds() + 5000}}
 	w.silent["db3"] = true
 	w.hears("n1", bad)
 	w.hears("n2", bad)
 	said := w.pass(4*time.Second, true)
-	word, ok := fleet.ParseWord(said[fleet.Key{Kind: fleet.OfDatabase, Subject: "db3"}])
+	word, ok := membership.ParseWord(said[membership.Key{Kind: membership.OfDatabase, Subject: "db3"}])
 	require.True(t, ok)
-	require.Equal(t, fleet.Failing, word.State, "it does not answer probes")
+	require.Equal(t, membership.Failing, word.State, "it does not answer probes")
 	w.silent["db3"] = false
 	w.core.Ask("db3")
 	said = w.pass(time.Second, true)
-	word, _ = fleet.ParseWord(said[fleet.Key{Kind: fleet.OfDatabase, Subject: "db3"}])
-	require.Equal(t, fleet.Answers, word.State, "taken back")
+	word, _ = membership.ParseWord(said[membership.Key{Kind: membership.OfDatabase, Subject: "db3"}])
+	require.Equal(t, membership.Answers, word.State, "taken back")
 	var self peers.Self
-	require.NoError(t, json.Unmarshal(said[fleet.Key{}], &self))
+	require.NoError(t, json.Unmarshal(said[membership.Key{}], &self))
 	require.Equal(t, peers.Self{Listen: "here", Settings: "a", Connections: 7}, self)
 	w.peers.Configured("b", 5)
 	w.peers.Stopping()
-	require.NoError(t, json.Unmarshal(w.pass(11*time.Second, true)[fleet.Key{}], &self))
+	require.NoError(t, json.Unmarshal(w.pass(11*time.Second, true)[membership.Key{}], &self))
 	require.Equal(t, peers.Self{Listen: "here", Settings: "b", Connections: 7, Stopping: true}, self)
 }
 
 // Without word from the fleet's part all is as without it, within the lease.
 func TestLeaseEnds(t *testing.T) {
-	w := newWorld(fleet.Uses{Count: true, Connections: 10})
+	w := newWorld(membership.Uses{Count: true, Connections: 10})
 	for _, name := range []string{"n1", "n2", "n3", "n4"} {
 		w.hears(name, nil)
 	}
@@ -161,13 +161,13 @@
 
 // Nothing is sent on others' word to a database that is draining, gone or banned, nor twice at once.
 func TestAskKeepsTheRules(t *testing.T) {
-	w := newWorld(fleet.Uses{})
+	w := newWorld(membership.Uses{})
 	require.True(t, w.core.Ask("db1"))
 	require.False(t, w.core.Ask("odd"))
-	w.core.Ban(map[choice.NodeID]time.Duration{1: w.now})
+	w.core.Ban(map[routing.NodeID]time.Duration{1: w.now})
 	require.False(t, w.core.Ask("db1"))
-	w.core.List([]core.Member{{Name: "db2", Node: choice.Node{ID: 2, State: choice.Draining, Group: 1}},
-		{Name: "db3", Node: choice.Node{ID: 3, State: choice.Gone, Group: 1}}}, false)
+	w.core.List([]core.Member{{Name: "db2", Node: routing.Node{ID: 2, State: routing.Draining, Group: 1}},
+		{Name: "db3", Node: routing.Node{ID: 3, State: routing.Gone, Group: 1}}}, false)
 	require.False(t, w.core.Ask("db2"))
 	require.False(t, w.core.Ask("db3"))
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -14,7 +14,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"capercove/internal/config/tables"
-	"capercove/internal/fleet"
+	"capercove/internal/membership"
 )
 
 // Scenario is a scenario file. Times are in seconds unless the key says milliseconds.
@@ -67,7 +67,7 @@
 type Fleet struct {
 	Enabled bool    `toml:"enabled"`
 	Slower  float64 `toml:"slower"`
-	fleet.Uses
+	membership.Uses
 }
 
 // Range is drawn from evenly.
--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -13,7 +13,7 @@
 	"capercove/internal/limits"
 	"capercove/internal/pg"
 	"capercove/internal/tenant"
-	"capercove/internal/wheel"
+	"capercove/internal/timerwheel"
 )
 
 // Front serves the clients of the PostgreSQL wire.
@@ -101,14 +101,14 @@
 	bad       bool // it has sent bad input
 	partial   bool // its last message is incomplete
 	responses []*response
-	since     time.Duration // it was opened, or has had its last answer
-	timeout   *wheel.Timer  // of its startup, or of an incomplete message
-	timer     *wheel.Timer  // of later
-	closing   bool          // it ends when all has gone out
-	ended     bool          // our end has gone out
-	begun     time.Duration // the incomplete message
-	unread    int           // bytes that it had yet to take when last looked at
-	moved     time.Duration // when that was last another number
+	since     time.Duration     // it was opened, or has had its last answer
+	timeout   *timerwheel.Timer // of its startup, or of an incomplete message
+	timer     *timerwheel.Timer // of later
+	closing   bool              // it ends when all has gone out
+	ended     bool              // our end has gone out
+	begun     time.Duration     // the incomplete message
+	unread    int               // bytes that it had yet to take when last looked at
+	moved     time.Duration     // when that was last another number
 	held      int
 	ending    bool // nothing more is read
 	reading   bool // read is under way
--- a/internal/server/longreader.go
+++ b/internal/server/longreader.go
@@ -5,8 +5,8 @@
 	"net"
 	"os"
 
-	"capercove/choice"
 	"capercove/internal/netretry"
+	"capercove/routing"
 )
 
 var errLong = errors.New("a report of this length")
@@ -66,7 +66,7 @@
 	}
 	l.pool.Count.Short++
 	l.pool.short.Note(err)
-	l.pool.abort(l.job, choice.Cancelled) // it tells nothing of the database
+	l.pool.abort(l.job, routing.Cancelled) // it tells nothing of the database
 }
 
 // passOn gives a piece of a long answer to the client. It returns false if that ended the connection.
@@ -91,7 +91,7 @@
 	})
 	l.long.room = room
 	if !ok { // the request is over
-		p.abort(l.job, choice.Cancelled)
+		p.abort(l.job, routing.Cancelled)
 	}
 	return ok
 }
--- a/internal/server/network_test.go
+++ b/internal/server/network_test.go
@@ -15,7 +15,6 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"capercove/choice"
 	"capercove/internal/clock"
 	"capercove/internal/core"
 	"capercove/internal/intake"
@@ -23,6 +22,7 @@
 	"capercove/internal/pg"
 	"capercove/internal/server"
 	"capercove/internal/testbed"
+	"capercove/routing"
 )
 
 // control is a dialer's control function: what it returns fails the dial.
@@ -56,9 +56,9 @@
 	t.Helper()
 	const deadline = 10 * testbed.Patience
 	l := limits.For(limits.Machine{MemoryMB: 64, Sockets: 256}, connect, 15*time.Second, deadline)
-	s := choice.Settings{Routers: 1, MaxAttempts: 10, CanCancel: true, DrainGrace: time.Second, MaxRetryAfter: time.Second,
-		ColdShare: 0.2, ColdTime: 10 * time.Second, FallMultiple: 3, FallWindow: time.Second, Classes: []choice.Class{
-			{Read: choice.Write, Effect: choice.Unsafe, Aim: time.Second, Deadline: deadline, Worth: 1, LateWorth: 0.2}}}
+	s := routing.Settings{Routers: 1, MaxAttempts: 10, CanCancel: true, DrainGrace: time.Second, MaxRetryAfter: time.Second,
+		ColdShare: 0.2, ColdTime: 10 * time.Second, FallMultiple: 3, FallWindow: time.Second, Classes: []routing.Class{
+			{Read: routing.Write, Effect: routing.Unsafe, Aim: time.Second, Deadline: deadline, Worth: 1, LateWorth: 0.2}}}
 	p := &pooler{t: t}
 	p.loop = server.New(l, zerolog.Nop(), listener, &net.Dialer{Control: dial})
 	p.core = core.New(core.Settings{Settings: s, Names: []string{"write"}}, 1, l, zerolog.Nop(), clock.Monotonic(),
@@ -71,7 +71,7 @@
 	go func() {
 		ended <- p.loop.Run(func() {
 			defer close(began)
-			node := choice.Node{ID: 1, State: choice.Ready, Group: 3}
+			node := routing.Node{ID: 1, State: routing.Ready, Group: 3}
 			p.core.List([]core.Member{{Node: node, Name: "db", Addr: database}}, true)
 			p.core.Start()
 		})
--- a/internal/server/pool.go
+++ b/internal/server/pool.go
@@ -11,12 +11,12 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
-	"capercove/choice"
 	"capercove/internal/core"
 	"capercove/internal/limits"
 	"capercove/internal/netretry"
 	"capercove/internal/pg"
-	"capercove/internal/wheel"
+	"capercove/internal/timerwheel"
+	"capercove/routing"
 )
 
 // Pool carries attempts and probes to databases over the PostgreSQL wire. It implements core.Backend,
@@ -28,7 +28,7 @@
 	limits  limits.Limits
 	log     zerolog.Logger
 	core    *core.Core
-	servers map[choice.NodeID]*database
+	servers map[routing.NodeID]*database
 	conns   int            // open and dialled, over all servers
 	keep    map[string]int // idle connections to each database by its name, where poolers divide them; nil: IdleEach
 	logged  time.Duration  // when a bad reply was last logged
@@ -52,9 +52,9 @@
 	waiting []*job
 	conns   map[*serverConn]struct{}
 	dialing int
-	redial  *wheel.Timer // set while dials that failed for a moment wait to be made again; nothing is dialled until then
-	failed  int          // rounds of such dials in a row
-	short   bool         // the last one failed for want of something on this machine
+	redial  *timerwheel.Timer // set while dials that failed for a moment wait to be made again; nothing is dialled until then
+	failed  int               // rounds of such dials in a row
+	short   bool              // the last one failed for want of something on this machine
 }
 
 // job is an attempt or, with no attempt, a probe.
@@ -62,7 +62,7 @@
 	server  *database
 	attempt *core.Attempt
 	asked   time.Duration
-	timer   *wheel.Timer
+	timer   *timerwheel.Timer
 	conn    *serverConn // that carries it
 }
 
@@ -78,13 +78,13 @@
 	dead   bool
 	job    *job
 	used   time.Duration
-	timer  *wheel.Timer
+	timer  *timerwheel.Timer
 	cancel context.CancelFunc // of the dial
 	long   *longReader        // what reads the rest of a long answer in gnet's place
 }
 
 func NewPool(d *EventLoop, l limits.Limits, log zerolog.Logger, c *core.Core) *Pool {
-	p := &Pool{loop: d, limits: l, log: log, core: c, servers: map[choice.NodeID]*database{},
+	p := &Pool{loop: d, limits: l, log: log, core: c, servers: map[routing.NodeID]*database{},
 		backoff: netretry.BackoffOf(l)}
 	p.short = netretry.NewFailures("dial: short of system resources", l.LogEvery, log, c.Now)
 	p.expire()
@@ -98,7 +98,7 @@
 		s = &database{member: m, addr: m.Addr, conns: map[*serverConn]struct{}{}}
 		p.servers[m.ID] = s
 	}
-	if m.State == choice.Gone || m.Addr != s.addr {
+	if m.State == routing.Gone || m.Addr != s.addr {
 		for len(s.idle) > 0 {
 			s.idle[0].close()
 		}
@@ -110,7 +110,7 @@
 	}
 	if m.Banned { // Against work that was decided on before and would reach the database after the operators' yes.
 		for len(s.waiting) > 0 {
-			p.abort(s.waiting[0], choice.NotSent)
+			p.abort(s.waiting[0], routing.NotSent)
 		}
 		for l := range s.conns {
 			if !l.ready {
@@ -122,9 +122,9 @@
 		s.addr = m.Addr
 		s.forgive()
 	}
-	if m.State == choice.Gone { // Against jobs that wait for dials that were just closed: the router knows others.
+	if m.State == routing.Gone { // Against jobs that wait for dials that were just closed: the router knows others.
 		for len(s.waiting) > 0 {
-			p.abort(s.waiting[0], choice.NotSent)
+			p.abort(s.waiting[0], routing.NotSent)
 		}
 	}
 	p.dialAll(s) // those whose dials were closed wait for one to where the database is now
@@ -211,7 +211,7 @@
 }
 
 // abort ends a job as it is.
-func (p *Pool) abort(j *job, status choice.Status) {
+func (p *Pool) abort(j *job, status routing.Status) {
 	p.withdraw(j)
 	p.finish(j, status, nil)
 }
@@ -236,27 +236,27 @@
 }
 
 // finish reports how a job ended.
-func (p *Pool) finish(j *job, status choice.Status, r *pg.Reply) {
+func (p *Pool) finish(j *job, status routing.Status, r *pg.Reply) {
 	j.timer.Stop()
 	j.conn = nil
 	now := p.core.Now()
 	if j.attempt == nil {
-		var report choice.Evidence
-		if r != nil && status == choice.OK {
+		var report routing.Evidence
+		if r != nil && status == routing.OK {
 			report = evidence(pg.ParseReport(string(r.Value)))
 		}
 		p.core.Probed(j.server.member, status, now-j.asked, report)
 		return
 	}
-	var note choice.Evidence
+	var note routing.Evidence
 	var rows []byte
 	if r != nil {
 		note.Position, rows = r.Position, r.Rows
 		switch r.Mode {
 		case "read-write":
-			note.Role = choice.Primary
+			note.Role = routing.Primary
 		case "read-only":
-			note.Role = choice.Replica
+			note.Role = routing.Replica
 		}
 		if r.Stats != "" { // Role and position are newer in the answer's own note.
 			load := evidence(pg.ParseReport(r.Stats))
@@ -271,14 +271,14 @@
 }
 
 // evidence reads a report. Positions are rounded down, so that none is overstated.
-func evidence(report map[string]float64) (e choice.Evidence) {
+func evidence(report map[string]float64) (e routing.Evidence) {
 	if at, ok := report["x0"]; ok && at > 0 && at < 1<<33 {
 		e.Position = time.Duration(at*1000) * time.Millisecond
 	}
 	if role, ok := report["x1"]; ok {
-		e.Role = choice.Replica
+		e.Role = routing.Replica
 		if role == 1 {
-			e.Role = choice.Primary
+			e.Role = routing.Primary
 		}
 	}
 	e.Waiting, e.Waits = report["backlog"]
@@ -286,19 +286,19 @@
 }
 
 // status tells what a reply means for an attempt.
-func status(r *pg.Reply) choice.Status {
+func status(r *pg.Reply) routing.Status {
 	switch r.Code {
 	case "":
 		if r.Value != nil || r.Long {
-			return choice.OK
+			return routing.OK
 		}
-		return choice.NodeError
+		return routing.NodeError
 	case pg.CodeReadOnly, pg.CodeTooFarBehind:
-		return choice.TurnedAway
+		return routing.TurnedAway
 	case pg.CodeFull:
-		return choice.NodeFull
+		return routing.NodeFull
 	}
-	return choice.NodeError
+	return routing.NodeError
 }
 
 // unusable tells whether an error is about the statement itself: by its class a syntax error, bad data, a feature
@@ -329,7 +329,7 @@
 		p.Count.Capped++
 		j := s.waiting[len(s.waiting)-1]
 		s.dequeue(j)
-		p.finish(j, choice.NotSent, nil)
+		p.finish(j, routing.NotSent, nil)
 		return
 	}
 	p.Count.Dials++
@@ -379,9 +379,9 @@
 		p.Count.Unreachable++
 		p.dialAgain(l, false)
 	case errors.Is(err, syscall.ECONNREFUSED): // a machine that is cut off does not say this
-		p.refused(l, choice.NoProcess)
+		p.refused(l, routing.NoProcess)
 	default:
-		p.refused(l, choice.NoConnect)
+		p.refused(l, routing.NoConnect)
 	}
 }
 
@@ -409,7 +409,7 @@
 		case a.Until <= at:
 			p.abort(j, s.unconnected())
 		case a.By > 0 && a.By <= at: // it has not had time enough to tell anything
-			p.abort(j, choice.NotSent)
+			p.abort(j, routing.NotSent)
 		}
 	}
 }
@@ -430,15 +430,15 @@
 }
 
 // unconnected is the status of a job that has got no connection in its time.
-func (s *database) unconnected() choice.Status {
+func (s *database) unconnected() routing.Status {
 	if s.short {
-		return choice.NotSent
+		return routing.NotSent
 	}
-	return choice.NoConnect
+	return routing.NoConnect
 }
 
 // refused takes a connection out that did not come up. The job that has waited longest has lost its turn.
-func (p *Pool) refused(l *serverConn, why choice.Status) {
+func (p *Pool) refused(l *serverConn, why routing.Status) {
 	p.Count.DialsFailed++
 	s := l.server
 	l.close()
@@ -503,14 +503,14 @@
 	if a != nil && !p.core.MaySend(a) {
 		p.Count.TooLate++
 		l.release()
-		p.finish(j, choice.NotSent, nil)
+		p.finish(j, routing.NotSent, nil)
 		return
 	}
 	j.timer.Stop()
 	l.job, j.conn = j, l
 	if a == nil {
 		j.timer = p.core.Wheel.At(now+p.limits.ProbeTimeout, func() {
-			p.abort(j, choice.TimedOut)
+			p.abort(j, routing.TimedOut)
 		})
 		l.write(pg.AppendQuery(nil, "SHOW stats"))
 		return
@@ -534,7 +534,7 @@
 	l.used = l.pool.core.Now()
 	switch {
 	case l.dead:
-	case s.member.State == choice.Gone || l.addr != s.addr:
+	case s.member.State == routing.Gone || l.addr != s.addr:
 		l.close()
 	case !silent(l.conn): // Against more than belongs to the answer: it must not pass for the next one.
 		l.pool.Count.Unasked++
@@ -596,14 +596,14 @@
 		p.log.Warn().Err(err).Str("database", l.server.member.Name).Int64("so_far", p.Count.BadReplies).Msg("bad reply")
 	}
 	if !l.ready {
-		p.refused(l, choice.NoConnect)
+		p.refused(l, routing.NoConnect)
 		return
 	}
 	j := l.job
 	l.job = nil
 	l.close()
 	if j != nil {
-		p.finish(j, choice.NodeError, nil)
+		p.finish(j, routing.NodeError, nil)
 	}
 }
 
@@ -611,7 +611,7 @@
 	p := l.pool
 	switch {
 	case !l.ready && (r.Code != "" || r.Fatal):
-		p.refused(l, choice.NoConnect)
+		p.refused(l, routing.NoConnect)
 	case !l.ready:
 		l.timer.Stop()
 		l.ready = true
@@ -623,7 +623,7 @@
 		l.job = nil
 		result := status(r)
 		if j.attempt == nil && r.Code == pg.CodeNotNow {
-			result = choice.NodeFull
+			result = routing.NodeFull
 		}
 		if r.Fatal || l.long != nil {
 			l.close()
@@ -647,10 +647,10 @@
 		return
 	}
 	if r := l.pg.Partial(); r.Complete && (r.Value != nil || r.Long) { // The whole answer had come.
-		l.pool.finish(j, choice.OK, &r)
+		l.pool.finish(j, routing.OK, &r)
 		return
 	}
-	l.pool.finish(j, choice.BrokenOff, nil)
+	l.pool.finish(j, routing.BrokenOff, nil)
 }
 
 // closed is told by the event loop, also of closes of our own.
@@ -665,11 +665,11 @@
 	j := l.job
 	l.job = nil
 	l.close()
-	status := choice.NoConnect
+	status := routing.NoConnect
 	if netretry.IsShortage(err) {
 		l.pool.Count.Short++
 		l.pool.short.Note(err)
-		status = choice.NotSent
+		status = routing.NotSent
 	}
 	l.pool.finish(j, status, nil)
 }
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"capercove/internal/faults"
-	"capercove/internal/fleet/gossip"
+	"capercove/internal/membership/gossip"
 )
 
 // Fleet is several poolers of the shipped program on addresses of their own, with a relay of the rig between each pair of them, and
--- a/internal/wheel/wheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -1,5 +1,5 @@
-// Package wheel is a hashed timer wheel with coarse ticks. One goroutine owns a wheel.
-package wheel
+// Package timerwheel is a hashed timer wheel with coarse ticks. One goroutine owns a wheel.
+package timerwheel
 
 import (
 	"math"
--- a/internal/wheel/wheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timerwheel
 
 import (
 	"math/rand/v2"
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"capercove/choice"
+	"capercove/routing"
 )
 
 // settings is the JSON text of the first message, as far as it is used; other keys are skipped.
@@ -120,7 +120,7 @@
 }
 
 // ParseSettings reads the settings for a real pooler.
-func ParseSettings(text []byte) (choice.Settings, Facts, error) {
+func ParseSettings(text []byte) (routing.Settings, Facts, error) {
 	var s settings
 	c, _, err := parse(text, &s)
 	f := Facts{Zones: s.Zones, Connect: s.Allowed.Connect.time(), Keepalive: s.Allowed.Keepalive.time()}
@@ -145,24 +145,24 @@
 	return c, f, err
 }
 
-func parseSettings(text []byte) (choice.Settings, units, error) { return parse(text, new(settings)) }
+func parseSettings(text []byte) (routing.Settings, units, error) { return parse(text, new(settings)) }
 
-func parse(text []byte, s *settings) (choice.Settings, units, error) {
+func parse(text []byte, s *settings) (routing.Settings, units, error) {
 	if err := json.Unmarshal(text, s); err != nil {
-		return choice.Settings{}, units{}, err
+		return routing.Settings{}, units{}, err
 	}
 	if err := s.check(); err != nil {
-		return choice.Settings{}, units{}, err
+		return routing.Settings{}, units{}, err
 	}
 	var err error
 	binds := listBinds
 	if w := s.Rules.AskWithin.time(); w > 0 {
 		binds = min(binds, w)
 	}
-	c := choice.Settings{
+	c := routing.Settings{
 		Routers: s.Routers, OverQuota: s.OverShare,
-		StaleReads: pick("extra.behind", s.Extra.Behind, map[string]choice.StaleReads{
-			"none": choice.StaleAnswered, "bounce": choice.StaleRejected, "await": choice.StaleRejected}, &err),
+		StaleReads: pick("extra.behind", s.Extra.Behind, map[string]routing.StaleReads{
+			"none": routing.StaleAnswered, "bounce": routing.StaleRejected, "await": routing.StaleRejected}, &err),
 		ListRole: pick("extra.listRole", s.Extra.ListRole, map[string]bool{
 			"none": false, "static": true, "trailing": true}, &err),
 		KeepSessions: pick("extra.sessionMarks", s.Extra.Marks, map[string]bool{
@@ -180,18 +180,18 @@
 		c.Quotas = append(c.Quotas, p.Quota)
 	}
 	for i, l := range s.Lanes {
-		class := choice.Class{
-			Read: pick(fmt.Sprintf("extra.classRead[%d]", i), s.Extra.ClassRead[i], map[string]choice.ReadKind{"eventual": choice.AnyRead,
-				"lag_bound": choice.BoundedRead, "causal": choice.SessionRead, "strong": choice.FreshRead,
-				"mutate": choice.Write}, &err),
-			Effect: pick(fmt.Sprintf("lanes[%d].idempotency", i), l.Idempotency, map[string]choice.Effect{
-				"safe": choice.Safe, "keyed": choice.Keyed, "unsafe": choice.Unsafe}, &err),
+		class := routing.Class{
+			Read: pick(fmt.Sprintf("extra.classRead[%d]", i), s.Extra.ClassRead[i], map[string]routing.ReadKind{"eventual": routing.AnyRead,
+				"lag_bound": routing.BoundedRead, "causal": routing.SessionRead, "strong": routing.FreshRead,
+				"mutate": routing.Write}, &err),
+			Effect: pick(fmt.Sprintf("lanes[%d].idempotency", i), l.Idempotency, map[string]routing.Effect{
+				"safe": routing.Safe, "keyed": routing.Keyed, "unsafe": routing.Unsafe}, &err),
 			DedupWindow: l.Window.time(), Aim: l.Aim.time(), AimStretch: l.AimStretch, Deadline: l.Deadline.time(),
 			Worth: l.Credit, LateWorth: l.LateValue,
 		}
-		if class.Effect == choice.Keyed {
-			class.DedupGroup = pick(fmt.Sprintf("lanes[%d].group", i), l.Group, map[string]choice.DedupGroup{
-				"all": choice.DedupAll, "zone": choice.DedupZone, "cell": choice.DedupCell}, &err)
+		if class.Effect == routing.Keyed {
+			class.DedupGroup = pick(fmt.Sprintf("lanes[%d].group", i), l.Group, map[string]routing.DedupGroup{
+				"all": routing.DedupAll, "zone": routing.DedupZone, "cell": routing.DedupCell}, &err)
 		}
 		if i < len(s.Extra.MaxAge) {
 			class.MaxAge = s.Extra.MaxAge[i].time()
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -11,7 +11,7 @@
 	"math"
 	"time"
 
-	"capercove/choice"
+	"capercove/routing"
 )
 
 // Codes of the records read and written.
@@ -43,20 +43,20 @@
 	ID     uint32
 	Halted bool // what the host held for it is void
 	Start  *Start
-	Events []choice.Event
+	Events []routing.Event
 }
 
 // Start is the message that begins an instance.
 type Start struct {
 	Seed     uint64
-	Settings choice.Settings
+	Settings routing.Settings
 }
 
 // Decoder reads batches. It keeps the numbered lists and what it needs of each instance's settings to translate.
 type Decoder struct {
 	r     io.Reader
 	buf   bytes.Buffer
-	lists map[uint16][]choice.Node
+	lists map[uint16][]routing.Node
 	units map[uint32]units
 }
 
@@ -71,7 +71,7 @@
 }
 
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{r: r, lists: map[uint16][]choice.Node{}, units: map[uint32]units{}}
+	return &Decoder{r: r, lists: map[uint16][]routing.Node{}, units: map[uint32]units{}}
 }
 
 // Next reads a batch. It returns io.EOF when the input ends between batches.
@@ -146,7 +146,7 @@
 
 func (d *Decoder) event(in *Instance, code uint8, f *fields, now time.Duration) error {
 	u := d.units[in.ID]
-	var e choice.Event
+	var e routing.Event
 	switch code {
 	case evHalt:
 		*in = Instance{ID: in.ID, Halted: true}
@@ -161,7 +161,7 @@
 		in.Start, in.Events = &Start{seed, settings}, nil
 		return nil
 	case evRequest:
-		e.Kind, e.Request = choice.RequestArrived, choice.RequestID(f.u64())
+		e.Kind, e.Request = routing.RequestArrived, routing.RequestID(f.u64())
 		a := &e.Arrival
 		a.Class, a.Tenant, a.Session = int(f.u16()), int(f.u16()), f.u64()
 		a.Expires, a.Work = f.millis(), f.millis()
@@ -176,44 +176,44 @@
 			a.LastWrite = now - ms(float64(math.Nextafter32(token, 0)))
 		}
 	case evOutcome:
-		e.Kind, e.Request = choice.AttemptDone, choice.RequestID(f.u64())
+		e.Kind, e.Request = routing.AttemptDone, routing.RequestID(f.u64())
 		e.Outcome.Attempt, e.Outcome.Node = int(f.u16()), f.node()
 		f.status(&e.Outcome)
 		e.Outcome.Took = f.millis()
 		f.refused(&e.Outcome, u)
 		e.Outcome.Final = f.u8() != 0
 		note := f.u32()
-		e.Outcome.Note.Role = choice.Role(note & 3)
+		e.Outcome.Note.Role = routing.Role(note & 3)
 		if note>>2 != 0 {
 			e.Outcome.Note.Position = u.origin + time.Duration(note>>2)*time.Millisecond
 		}
 		e.Outcome.Report = f.report(u)
-		if e.Outcome.Note.Role > choice.Replica {
+		if e.Outcome.Note.Role > routing.Replica {
 			return fmt.Errorf("role %d", e.Outcome.Note.Role)
 		}
 	case evProbed:
-		e.Kind, e.Outcome.Node = choice.ProbeDone, f.node()
+		e.Kind, e.Outcome.Node = routing.ProbeDone, f.node()
 		f.status(&e.Outcome)
 		e.Outcome.Took = f.millis()
 		f.refused(&e.Outcome, u)
 		e.Outcome.Report = f.report(u)
 	case evGone:
-		e.Kind, e.Request = choice.ClientGone, choice.RequestID(f.u64())
+		e.Kind, e.Request = routing.ClientGone, routing.RequestID(f.u64())
 	case evTimer:
-		e.Kind = choice.TimerFired
+		e.Kind = routing.TimerFired
 	case evList:
 		kind, _, list := f.u8(), f.u64(), f.u16()
 		switch kind {
 		case 0:
-			e.Kind = choice.ListChange
+			e.Kind = routing.ListChange
 		case 1, 2:
-			e.Kind = choice.ListFull
+			e.Kind = routing.ListFull
 		case 3:
-			e.Kind = choice.ListFailed
+			e.Kind = routing.ListFailed
 		default:
 			return fmt.Errorf("list of kind %d", kind)
 		}
-		if e.Kind != choice.ListFailed {
+		if e.Kind != routing.ListFailed {
 			nodes, known := d.lists[list]
 			if !known && f.err == nil {
 				return fmt.Errorf("list %d is not defined", list)
@@ -256,7 +256,7 @@
 func (f *fields) u16() uint16             { return uint16(f.uint(2)) }
 func (f *fields) u32() uint32             { return uint32(f.uint(4)) }
 func (f *fields) u64() uint64             { return f.uint(8) }
-func (f *fields) node() choice.NodeID     { return choice.NodeID(f.uint(6)) }
+func (f *fields) node() routing.NodeID    { return routing.NodeID(f.uint(6)) }
 func (f *fields) f32() float32            { return math.Float32frombits(f.u32()) }
 func ms(v float64) time.Duration          { return time.Duration(math.Round(v * float64(time.Millisecond))) }
 func (f *fields) fail(err error)          { f.err = errors.Join(f.err, err) }
@@ -271,7 +271,7 @@
 	return ms(v)
 }
 
-func (f *fields) status(o *choice.Outcome) {
+func (f *fields) status(o *routing.Outcome) {
 	code := f.u16()
 	status, known := statuses[code]
 	if !known && f.err == nil {
@@ -281,18 +281,18 @@
 }
 
 // refused tells a connection that is refused from one that never comes up: only the latter takes its time.
-func (f *fields) refused(o *choice.Outcome, u units) {
-	if o.Status == choice.NoConnect && o.Took < u.connect/2 {
-		o.Status = choice.NoProcess
+func (f *fields) refused(o *routing.Outcome, u units) {
+	if o.Status == routing.NoConnect && o.Took < u.connect/2 {
+		o.Status = routing.NoProcess
 	}
 }
 
-var statuses = map[uint16]choice.Status{
-	200: choice.OK, 500: choice.NodeError, 503: choice.NodeFull, 504: choice.TimedOut, 502: choice.NoConnect,
-	598: choice.BrokenOff, 499: choice.Cancelled, 410: choice.NotSent, 404: choice.TurnedAway,
+var statuses = map[uint16]routing.Status{
+	200: routing.OK, 500: routing.NodeError, 503: routing.NodeFull, 504: routing.TimedOut, 502: routing.NoConnect,
+	598: routing.BrokenOff, 499: routing.Cancelled, 410: routing.NotSent, 404: routing.TurnedAway,
 }
 
-func (f *fields) report(u units) (e choice.Evidence) {
+func (f *fields) report(u units) (e routing.Evidence) {
 	n := int(f.u8())
 	for i := 0; i < n; i++ {
 		v := f.f32()
@@ -306,26 +306,26 @@
 		case u.waiting:
 			e.Waits, e.Waiting = true, float64(v)
 		case u.x1:
-			e.Role = choice.Replica
+			e.Role = routing.Replica
 			if v == 1 {
-				e.Role = choice.Primary
+				e.Role = routing.Primary
 			}
 		}
 	}
 	return e
 }
 
-func (f *fields) entries() []choice.Node {
+func (f *fields) entries() []routing.Node {
 	n := f.u32()
 	if uint64(n)*entryBytes > uint64(len(f.b)) {
 		f.fail(errShort)
 		return nil
 	}
-	nodes := make([]choice.Node, n)
+	nodes := make([]routing.Node, n)
 	for i := range nodes {
 		e := &nodes[i]
 		state := f.u8()
-		e.State = choice.NodeState(state)
+		e.State = routing.NodeState(state)
 		f.f32() // rating: members of a group hold the same data and the loop learns their strength
 		e.Primary = f.f32() == 1
 		e.ID = f.node()
@@ -363,7 +363,7 @@
 // Reply is what one instance does about a batch.
 type Reply struct {
 	ID      uint32
-	Actions []choice.Action
+	Actions []routing.Action
 }
 
 func record(dst []byte, code uint8, put func([]byte) []byte) []byte {
@@ -373,7 +373,7 @@
 	return dst
 }
 
-func appendAction(dst []byte, a choice.Action) []byte {
+func appendAction(dst []byte, a routing.Action) []byte {
 	be := binary.BigEndian
 	id := uint64(a.Request)
 	after := math.Float64bits(float64(a.After) / float64(time.Millisecond))
@@ -381,21 +381,21 @@
 		return be.AppendUint16(be.AppendUint32(b, uint32(a.Node>>16)), uint16(a.Node))
 	}
 	switch a.Kind {
-	case choice.Send:
+	case routing.Send:
 		return record(dst, acSend, func(b []byte) []byte { return be.AppendUint64(node(be.AppendUint64(b, id)), after) })
-	case choice.Refuse:
+	case routing.Refuse:
 		return record(dst, acRefuse, func(b []byte) []byte { return be.AppendUint64(be.AppendUint64(b, id), after) })
-	case choice.Fail:
+	case routing.Fail:
 		return record(dst, acFail, func(b []byte) []byte { return be.AppendUint64(b, id) })
-	case choice.Cancel:
+	case routing.Cancel:
 		return record(dst, acCancel, func(b []byte) []byte {
 			return be.AppendUint16(be.AppendUint64(b, id), uint16(a.Attempt))
 		})
-	case choice.Probe:
+	case routing.Probe:
 		return record(dst, acProbe, node)
-	case choice.Subscribe:
+	case routing.Subscribe:
 		return record(dst, acWatch, func(b []byte) []byte { return append(b, 1) })
-	default: // choice.SetTimer
+	default: // routing.SetTimer
 		return record(dst, acTimer, func(b []byte) []byte { return be.AppendUint64(be.AppendUint64(b, after), 0) })
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"capercove/choice"
+	"capercove/routing"
 )
 
 func unhex(t testing.TB, s string) []byte {
@@ -68,8 +68,8 @@
 		t.Fatalf("start: %+v", start)
 	}
 	c := start.Settings.Classes
-	if c[0].Read != choice.BoundedRead || c[0].MaxAge != 800*time.Millisecond || c[1].Effect != choice.Keyed ||
-		c[1].DedupGroup != choice.DedupZone || c[2].Read != choice.Write || c[2].LateWorth != 0.5 {
+	if c[0].Read != routing.BoundedRead || c[0].MaxAge != 800*time.Millisecond || c[1].Effect != routing.Keyed ||
+		c[1].DedupGroup != routing.DedupZone || c[2].Read != routing.Write || c[2].LateWorth != 0.5 {
 		t.Fatalf("classes: %+v", c)
 	}
 	b, err := d.Next()
@@ -80,7 +80,7 @@
 		t.Fatalf("batch: %+v", b)
 	}
 	e := b.Instances[0].Events
-	if len(e) != 2 || e[0].Request != 0x652a5d3a91c4 || e[1].Kind != choice.TimerFired {
+	if len(e) != 2 || e[0].Request != 0x652a5d3a91c4 || e[1].Kind != routing.TimerFired {
 		t.Fatalf("events: %+v", e)
 	}
 	a := e[0].Arrival
@@ -90,7 +90,7 @@
 	if wrote := b.Now - 412500*time.Microsecond; a.LastWrite < wrote || a.LastWrite > wrote+time.Millisecond {
 		t.Fatalf("last write at %v, want %v or just after", a.LastWrite, wrote)
 	}
-	if g := b.Instances[1].Events[0]; g.Kind != choice.ClientGone || g.Request != 0x83b480e6f2b19 {
+	if g := b.Instances[1].Events[0]; g.Kind != routing.ClientGone || g.Request != 0x83b480e6f2b19 {
 		t.Fatalf("gone: %+v", g)
 	}
 	if _, err := d.Next(); err != io.EOF {
@@ -111,18 +111,18 @@
 		t.Fatal(err)
 	}
 	e := b.Instances[0].Events
-	if len(e) != 2 || e[0].Kind != choice.ListFull || len(e[0].Nodes) != 2 {
+	if len(e) != 2 || e[0].Kind != routing.ListFull || len(e[0].Nodes) != 2 {
 		t.Fatalf("events: %+v", e)
 	}
 	first, second := e[0].Nodes[0], e[0].Nodes[1]
-	if !first.Primary || first.State != choice.Ready || first.ID != 0x0a124a07232b || first.Group != 11 ||
+	if !first.Primary || first.State != routing.Ready || first.ID != 0x0a124a07232b || first.Group != 11 ||
 		second.Primary || second.Zone != 1 || second.Started != 6100*time.Millisecond {
 		t.Fatalf("nodes: %+v", e[0].Nodes)
 	}
 	o := e[1].Outcome
 	origin := 1000500 * time.Microsecond
-	if o.Status != choice.OK || !o.Final || o.Took != 18500*time.Microsecond || o.Note.Role != choice.Replica ||
-		o.Note.Position != origin+0x638e>>2*time.Millisecond || o.Report.Role != choice.Replica {
+	if o.Status != routing.OK || !o.Final || o.Took != 18500*time.Microsecond || o.Note.Role != routing.Replica ||
+		o.Note.Position != origin+0x638e>>2*time.Millisecond || o.Report.Role != routing.Replica {
 		t.Fatalf("outcome: %+v", o)
 	}
 	if exact := origin + 6204*time.Millisecond; o.Report.Position > exact || o.Report.Position < exact-time.Millisecond {
@@ -131,11 +131,11 @@
 }
 
 func TestWorkedReply(t *testing.T) {
-	got := AppendReply(nil, 12, []Reply{{ID: 3, Actions: []choice.Action{
-		{Kind: choice.Send, Request: 0x652a5d3a91c4, Node: 0x0a124a07232b, After: 80 * time.Millisecond},
-		{Kind: choice.Cancel, Request: 7, Attempt: 2}, {Kind: choice.Probe, Node: 0x0a124a07232b},
-		{Kind: choice.Refuse, Request: 7, After: 80 * time.Millisecond}, {Kind: choice.Fail, Request: 7},
-		{Kind: choice.Subscribe}, {Kind: choice.SetTimer, After: 500 * time.Millisecond}}}, {ID: 5}})
+	got := AppendReply(nil, 12, []Reply{{ID: 3, Actions: []routing.Action{
+		{Kind: routing.Send, Request: 0x652a5d3a91c4, Node: 0x0a124a07232b, After: 80 * time.Millisecond},
+		{Kind: routing.Cancel, Request: 7, Attempt: 2}, {Kind: routing.Probe, Node: 0x0a124a07232b},
+		{Kind: routing.Refuse, Request: 7, After: 80 * time.Millisecond}, {Kind: routing.Fail, Request: 7},
+		{Kind: routing.Subscribe}, {Kind: routing.SetTimer, After: 500 * time.Millisecond}}}, {ID: 5}})
 	want := unhex(t, `0000007b 00000008 0000000c
 	 1a 00000004 00000003
 	 13 00000016 0000652a5d3a91c4 0a124a07 232b 4054000000000000
--- a/choice/api.go
+++ b/routing/api.go
@@ -1,9 +1,9 @@
-// Package choice decides, for one router of a replicated database cluster, where each request goes: which
+// Package routing decides, for one router of a replicated database cluster, where each request goes: which
 // replica answers a read, where the primary is, when to try again, when to refuse.
 //
 // This file holds the interface only; every decision is in choice.go. A Router is driven by Step alone. It has
 // no clock, no goroutine and no I/O, so equal calls give equal actions.
-package choice
+package routing
 
 import (
 	"time"
--- a/choice/choice.go
+++ b/routing/routing.go
@@ -1,4 +1,4 @@
-package choice
+package routing
 
 // The types, events and actions are in api.go, comparisons with the nodes' clock in remotetime.go. Every
 // other decision and every tuned value is in this file.
--- a/choice/choice_test.go
+++ b/routing/routing_test.go
@@ -1,4 +1,4 @@
-package choice
+package routing
 
 import (
 	"fmt"
