--- a/cmd/capercove/command.go
+++ b/cmd/capercove/command.go
@@ -81,7 +81,7 @@
 	if flags.Parse(args) != nil || flags.NArg() != 1 {
 		return 0, false
 	}
-	s, err := gossip.Ask(flags.Arg(0))
+	s, err := gossip.Query(flags.Arg(0))
 	if err != nil {
 		fmt.Fprintln(out, err)
 		return 2, true
@@ -89,7 +89,7 @@
 	var shown any = s
 	agree, show := s.Agree, func() { s.Print(out, time.Now()) }
 	if *all {
-		everyone := gossip.AskAll(s)
+		everyone := gossip.QueryAll(s)
 		shown, agree, show = everyone, everyone.Agree(), func() { everyone.Print(out, time.Now()) }
 	}
 	if *asJSON {
--- a/cmd/capercove/main.go
+++ b/cmd/capercove/main.go
@@ -120,7 +120,7 @@
 	store  store.Store
 	fleet  *gossip.Gossip
 	peers  *peers.Peers
-	works  *agent.Driver
+	works  *agent.Agent
 	tap    *pcap.Writer
 	stops  chan struct{}   // closed on SIGTERM
 	beside *fdshare.Beside // the loop's to begin with, then the goroutine's that settles; nil where it stands alone
@@ -165,8 +165,8 @@
 		if err != nil {
 			return err
 		}
-		in.Sort(rules, intake.ClientKind(own.Door.Client))
-		p.core.Fair(own.Door, cfg.Seed)
+		in.ClassifyTenants(rules, intake.ClientKind(own.Door.Client))
+		p.core.EnableAdmission(own.Door, cfg.Seed)
 	}
 	var tap server.Tap
 	if own.Pcap.Write != "" {
@@ -181,7 +181,7 @@
 	defer cancel()
 	p.watch = discovery.New(ctx, cfg.Discovery, cfg.Known, l, log,
 		func(list discovery.List) {
-			p.loop.Do(func() { p.core.List(members(list, cfg.Facts.Zones), list.Complete) })
+			p.loop.Do(func() { p.core.UpdateMembers(members(list, cfg.Facts.Zones), list.Complete) })
 		},
 		func() { p.loop.Do(p.core.ListFailed) })
 	watchers := []core.Watcher{p.pool}
@@ -208,7 +208,7 @@
 			for name, at := range set {
 				banned[discovery.ID(name)] = at
 			}
-			p.loop.Do(func() { p.core.Ban(banned) })
+			p.loop.Do(func() { p.core.Exclude(banned) })
 		}})
 	if cfg.Management != "" {
 		operators, err := listen(l, cfg.Management, listenTCP)
@@ -238,11 +238,11 @@
 			in.Statements(own.Statements, l.Shapes, cfg.Seed, l.LogEvery, log)
 		}
 		if own.Works.Enabled { // nothing is sent before it is known what is out
-			p.core.KeepOff(own.Works.Off(p.core.Now()))
+			p.core.Block(own.Works.InitialBlocks(p.core.Now()))
 			p.works = p.work()
 		}
-		p.core.Known(members(cfg.Known, cfg.Facts.Zones))
-		p.bans.Look()
+		p.core.LoadKnownMembers(members(cfg.Known, cfg.Facts.Zones))
+		p.bans.Refresh()
 		p.loop.Do(p.core.Start) // behind the bans: they hold before anything is sent
 		go p.bans.Watch(ctx, l.Bans)
 		if p.beside != nil {
@@ -294,12 +294,12 @@
 		Settings: digest(cfg)}
 	p.peers = peers.New(cfg.Name, own.Uses, self, cfg.Settings.Routers, peers.Pooler{Core: p.core, Do: p.loop.Do, Keep: p.pool.Keep,
 		Connections: func() int { return p.front.Clients() + p.pool.Conns() }, Log: p.log})
-	p.fleet, err = gossip.Start(cfg.Name, own, own.Pace(), p.log, clock.Monotonic(), p.peers.Period)
+	p.fleet, err = gossip.Start(cfg.Name, own, own.Timing(), p.log, clock.Monotonic(), p.peers.Period)
 	return err
 }
 
 // work lets the pooler take part in taking machines out.
-func (p *program) work() *agent.Driver {
+func (p *program) work() *agent.Agent {
 	cfg := p.config
 	fresh := time.Second // where no class says how old its data may be
 	for _, class := range cfg.Settings.Classes {
@@ -358,15 +358,15 @@
 		return nil
 	}
 	s := o.p.fleet.State()
-	s.Use = o.p.peers.Shown()
+	s.Use = o.p.peers.Status()
 	return s
 }
 
 func (o operator) Works(bears float64) any {
-	found := make(chan *agent.Driver, 1)
+	found := make(chan *agent.Agent, 1)
 	o.p.loop.Do(func() { found <- o.p.works })
 	if d := <-found; d != nil {
-		return d.Show(bears)
+		return d.Overview(bears)
 	}
 	return nil
 }
@@ -390,7 +390,7 @@
 
 func (o operator) Ban(name string, banned bool) (known bool, err error) {
 	found := make(chan bool)
-	o.p.loop.Do(func() { found <- o.p.core.Has(discovery.ID(name)) })
+	o.p.loop.Do(func() { found <- o.p.core.HasMember(discovery.ID(name)) })
 	if !<-found && !o.p.bans.Has(name) {
 		return false, nil
 	}
@@ -501,7 +501,7 @@
 		rules, err = own.Door.TenantRules()
 	}
 	if err != nil {
-		p.loop.Do(p.core.TurnedDown)
+		p.loop.Do(p.core.ReloadRejected)
 		p.log.Error().Err(err).Msg("reload: the configuration is kept")
 		return
 	}
@@ -525,11 +525,11 @@
 	p.own.Door.Enabled = fair
 	l := limitsOf(c, p.own)
 	p.loop.Do(func() {
-		p.core.Retune(settings(c))
+		p.core.Reconfigure(settings(c))
 		p.intake.Statements(own.Statements, l.Shapes, c.Seed, l.LogEvery, p.log)
 		if fair {
-			p.intake.Sort(rules, intake.ClientKind(own.Door.Client))
-			p.core.Refair(own.Door)
+			p.intake.ClassifyTenants(rules, intake.ClientKind(own.Door.Client))
+			p.core.ReconfigureAdmission(own.Door)
 		}
 		p.limits.Linger, p.limits.Stop = l.Linger, l.Stop
 		p.pool.Retune(l)
@@ -569,12 +569,12 @@
 		flightDone := p.flight == nil || p.flight.Stopped()
 		if !ending && (now >= by-p.limits.StopLeaving || draining && p.core.Open() == 0 && p.front.Idle() && flightDone) {
 			ending = true
-			p.front.Stop(p.core.Abandon)
+			p.front.Stop(p.core.AnswerAll)
 			if !p.shared {
 				p.loop.Refuse(func() { refusing = true })
 			}
 		}
-		if now >= by || ending && refusing && flightDone && p.front.Left() && p.bans.Settled() {
+		if now >= by || ending && refusing && flightDone && p.front.ClientsGone() && p.bans.Settled() {
 			p.loop.Stop()
 			return
 		}
@@ -598,7 +598,7 @@
 	if r := p.intake.Readings(); r != nil {
 		line = line.Interface("statements", r)
 	}
-	if d := p.core.Door(); d != nil {
+	if d := p.core.Admission(); d != nil {
 		line = line.Interface("door", d)
 	}
 	line.Msg(what)
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -154,8 +154,8 @@
 	return [reasons]*int64{&c.TooLate, &c.NoRoom, &c.Capped, &c.Gone, &c.Overtook}[r]
 }
 
-// Door holds the queues. The zero value is not usable.
-type Door struct {
+// Controller holds the queues. The zero value is not usable.
+type Controller struct {
 	Count   Count
 	Sojourn *hdrhistogram.Histogram // microseconds that those who waited had waited when let in
 
@@ -199,8 +199,8 @@
 }
 
 // New returns a door that is empty. Equal seeds give equal doors.
-func New(s Settings, seed uint64) *Door {
-	d := &Door{rng: rand.New(rand.NewPCG(seed, 0x646f6f72)), at: map[uint64]int32{}, laneAt: map[laneKey]int{},
+func New(s Settings, seed uint64) *Controller {
+	d := &Controller{rng: rand.New(rand.NewPCG(seed, 0x646f6f72)), at: map[uint64]int32{}, laneAt: map[laneKey]int{},
 		free: none, Sojourn: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)}
 	d.seed = d.rng.Uint64()
 	d.promises = newPromises(s.Bounds.Promises)
@@ -211,7 +211,7 @@
 
 // Step takes one batch of events and appends what is to be done. What ends makes room before anything is let in, and
 // all offers of a batch are queued before any of them goes on, so that a batch after a pause is shared fairly too.
-func (d *Door) Step(now time.Duration, events []Event, out []Action) []Action {
+func (d *Controller) Step(now time.Duration, events []Event, out []Action) []Action {
 	d.now, d.out = max(now, d.now), out
 	if d.seeded == 0 {
 		d.seeded = d.now
@@ -257,9 +257,9 @@
 	return d.out
 }
 
-// Advise tells when one who was let in, and was refused behind the door, should come back. It is a promise as the
+// RetryAfter tells when one who was let in, and was refused behind the door, should come back. It is a promise as the
 // door's own refusals are, no sooner than at least, and must come before the request's end is told.
-func (d *Door) Advise(now time.Duration, request uint64, least time.Duration) time.Duration {
+func (d *Controller) RetryAfter(now time.Duration, request uint64, least time.Duration) time.Duration {
 	d.now = max(now, d.now)
 	at, known := d.at[request]
 	// Where nobody is held back, no queue is known that would tell when there is room: the router's own word stands.
@@ -270,7 +270,7 @@
 }
 
 // offer queues a request, or refuses it at once.
-func (d *Door) offer(request uint64, o *Offer) {
+func (d *Controller) offer(request uint64, o *Offer) {
 	d.Count.Offered++
 	l := d.laneOf(o.Group, d.set.Classes[o.Class].Primary)
 	class, stat := &d.set.Classes[o.Class], &l.classes[o.Class]
@@ -323,7 +323,7 @@
 }
 
 // refuse ends an entry with the time to come back.
-func (d *Door) refuse(at int32, why Reason) {
+func (d *Controller) refuse(at int32, why Reason) {
 	e := &d.entries[at]
 	*d.Count.refused(why)++
 	d.tenants[e.tenant].Refused++
@@ -349,7 +349,7 @@
 }
 
 // admit lets an entry go on.
-func (d *Door) admit(l *lane, at int32) {
+func (d *Controller) admit(l *lane, at int32) {
 	e := &d.entries[at]
 	e.state = inside
 	l.inside++
@@ -370,7 +370,7 @@
 }
 
 // ended takes one that was admitted out, and learns from it.
-func (d *Door) ended(request uint64, o *Outcome) {
+func (d *Controller) ended(request uint64, o *Outcome) {
 	at, known := d.at[request]
 	if !known || d.entries[at].state != inside {
 		return
@@ -391,7 +391,7 @@
 }
 
 // left forgets a request whose client has gone.
-func (d *Door) left(request uint64) {
+func (d *Controller) left(request uint64) {
 	at, known := d.at[request]
 	if !known {
 		return
@@ -406,13 +406,13 @@
 }
 
 // sweep refuses what waits at a lane and can no longer be in time, at once.
-func (d *Door) sweep(l *lane) {
+func (d *Controller) sweep(l *lane) {
 	d.weed(l, func(_ *pair, e *entry, _ float64) bool { return d.now > e.due }, Overtook)
 }
 
 // prune refuses what waits at a lane and will not be in time, as things stand. Against a long queue that stands while
 // what is behind the door has become less: its end would be held for nothing.
-func (d *Door) prune(l *lane) {
+func (d *Controller) prune(l *lane) {
 	d.weed(l, func(p *pair, e *entry, ahead float64) bool {
 		wait := time.Duration(float64(l.ahead(p, ahead)) / doubt)
 		return d.now+wait > e.due
@@ -421,7 +421,7 @@
 
 // weed refuses those who wait at a lane for whom the condition holds. It is told the cost that goes before each in its
 // flow, its own included.
-func (d *Door) weed(l *lane, condition func(*pair, *entry, float64) bool, why Reason) {
+func (d *Controller) weed(l *lane, condition func(*pair, *entry, float64) bool, why Reason) {
 	for t := range l.pairs {
 		p := l.pairs[t]
 		if p == nil || p.queued == 0 || why == TooLate && l.underFloor(d, t) {
@@ -453,7 +453,7 @@
 
 // renew hashes the clients anew, so that two who share a flow by chance do not share it for long, and lets go of what
 // has been idle.
-func (d *Door) renew() {
+func (d *Controller) renew() {
 	d.seeded, d.seed = d.now, d.rng.Uint64()
 	for _, l := range d.lanes {
 		for t, p := range l.pairs {
@@ -470,7 +470,7 @@
 
 // retune takes in new settings. Tenants and classes keep their state by name; those queued for a tenant that is no more
 // wait with the first one's, and those of a class that is no more are refused.
-func (d *Door) retune(s Settings) {
+func (d *Controller) retune(s Settings) {
 	tenantTo, classTo := make([]int32, len(d.set.Tenants)), make([]int32, len(d.set.Classes))
 	tenants := make([]account, len(s.Tenants))
 	for i, old := range d.set.Tenants {
--- a/internal/admission/lane.go
+++ b/internal/admission/lane.go
@@ -38,7 +38,7 @@
 }
 
 // laneOf returns the lane of a group. Beyond their bound, lanes are shared: groups there wait for one another.
-func (d *Door) laneOf(group int, primary bool) *lane {
+func (d *Controller) laneOf(group int, primary bool) *lane {
 	key := laneKey{group, primary}
 	i, known := d.laneAt[key]
 	if !known {
@@ -57,7 +57,7 @@
 }
 
 // pair returns a tenant's place at the lane.
-func (l *lane) pair(d *Door, tenant int) *pair {
+func (l *lane) pair(d *Controller, tenant int) *pair {
 	p := l.pairs[tenant]
 	if p == nil {
 		p = &pair{at: none, kept: [bands]list{{none, none}, {none, none}}, finish: l.vt, weight: d.set.Tenants[tenant].Weight, used: d.now}
@@ -71,7 +71,7 @@
 }
 
 // first is the tenant whose turn it is: one under its floor, or else the one that is the least ahead.
-func (l *lane) first(d *Door) int32 {
+func (l *lane) first(d *Controller) int32 {
 	for i := range d.set.Tenants {
 		if l.pairs[i] != nil && l.pairs[i].at != none && l.underFloor(d, i) {
 			return int32(i)
@@ -81,7 +81,7 @@
 }
 
 // underFloor tells whether a tenant has less than its floors.
-func (l *lane) underFloor(d *Door, i int) bool {
+func (l *lane) underFloor(d *Controller, i int) bool {
 	t := &d.set.Tenants[i]
 	return t.FloorShare > 0 && float64(l.pairs[i].inside+l.pairs[i].queued) < t.FloorShare*l.limiter.limit() ||
 		t.Floor > 0 && d.tenants[i].floor.fill(t.Floor, d.now) >= 1
@@ -89,7 +89,7 @@
 
 // isLong tells whether requests of a class are so long that, with the lane full of them, ones of another class that is
 // asked for here would be late before the first of them has ended.
-func (l *lane) isLong(d *Door, class int) bool {
+func (l *lane) isLong(d *Controller, class int) bool {
 	takes := l.classes[class].cost(&d.set.Classes[class])
 	for i := range l.classes {
 		s, c := &l.classes[i], &d.set.Classes[i]
@@ -110,7 +110,7 @@
 }
 
 // contend looks whether tenants meet here, or a client of one asks for much of what it gets.
-func (l *lane) contend(d *Door) {
+func (l *lane) contend(d *Controller) {
 	tenants := 0
 	l.contested = false
 	for _, p := range l.pairs {
@@ -173,7 +173,7 @@
 }
 
 // roll ends a window, if it is time: the rates and the limit follow what happened in it.
-func (l *lane) roll(d *Door) {
+func (l *lane) roll(d *Controller) {
 	l.full = l.full || l.queued > 0 || float64(l.inside) >= l.limiter.limit()-1
 	took := d.now - l.rolled
 	if took < window {
@@ -206,7 +206,7 @@
 }
 
 // renumber moves the lane to other settings: numbers of old tenants and classes to new ones. Nothing is queued.
-func (l *lane) renumber(d *Door, tenantTo, classTo []int32) {
+func (l *lane) renumber(d *Controller, tenantTo, classTo []int32) {
 	pairs, classes := make([]*pair, len(d.set.Tenants)), make([]classStat, len(d.set.Classes))
 	for i, p := range l.pairs {
 		if to := tenantTo[i]; p != nil && pairs[to] == nil {
@@ -309,7 +309,7 @@
 }
 
 // Tenants returns the figures of all tenants, the busiest first.
-func (d *Door) Tenants() []TenantFigures {
+func (d *Controller) Tenants() []TenantFigures {
 	all := make([]TenantFigures, len(d.tenants))
 	for i, t := range d.tenants {
 		all[i] = TenantFigures{Name: d.set.Tenants[i].Name, Queued: t.Queued, Admitted: t.Admitted, Refused: t.Refused}
@@ -325,22 +325,22 @@
 	return all
 }
 
-// LaneFigures are what operators are shown of a lane.
-type LaneFigures struct {
+// QueueFigures are what operators are shown of a lane.
+type QueueFigures struct {
 	Group          int
 	Primary        bool
 	Limit          float64
 	Inside, Queued int
 }
 
-// Lanes returns the figures of all lanes, by group.
-func (d *Door) Lanes() []LaneFigures {
-	all := make([]LaneFigures, 0, len(d.lanes))
+// Queues returns the figures of all lanes, by group.
+func (d *Controller) Queues() []QueueFigures {
+	all := make([]QueueFigures, 0, len(d.lanes))
 	for key, i := range d.laneAt {
 		l := d.lanes[i]
-		all = append(all, LaneFigures{key.group, key.primary, l.limiter.limit(), l.inside, l.queued})
+		all = append(all, QueueFigures{key.group, key.primary, l.limiter.limit(), l.inside, l.queued})
 	}
-	slices.SortFunc(all, func(a, b LaneFigures) int {
+	slices.SortFunc(all, func(a, b QueueFigures) int {
 		if a.Group != b.Group {
 			return a.Group - b.Group
 		}
@@ -353,4 +353,4 @@
 }
 
 // Queued is how many requests wait.
-func (d *Door) Queued() int { return d.queued }
+func (d *Controller) Queued() int { return d.queued }
--- a/internal/admission/promise.go
+++ b/internal/admission/promise.go
@@ -25,7 +25,7 @@
 func newPromises(size int) promises { return promises{make([]promise, max(ways, size/ways*ways))} }
 
 // promiseKey tells the requests apart that a promise is for.
-func (d *Door) promiseKey(e *entry) uint64 {
+func (d *Controller) promiseKey(e *entry) uint64 {
 	return max(1, hash(e.client, uint64(e.lane)<<40|uint64(e.tenant)<<20|uint64(e.class)))
 }
 
@@ -77,7 +77,7 @@
 // promise returns when the client of an entry should come back: when its tenant will have got through what waits now
 // and what it has promised already. No more is promised than its share of what the databases did lately; beyond
 // MaxRetryAfter nothing is, and the client is told about that long.
-func (d *Door) promise(e *entry, least time.Duration) time.Duration {
+func (d *Controller) promise(e *entry, least time.Duration) time.Duration {
 	if d.set.MaxRetryAfter <= 0 { // nobody may be told anything
 		d.Count.Unpromised++
 		return 0
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -34,7 +34,7 @@
 }
 
 // take returns a free entry.
-func (d *Door) take() int32 {
+func (d *Controller) take() int32 {
 	if d.free == none {
 		d.entries = append(d.entries, entry{next: none})
 		return int32(len(d.entries) - 1)
@@ -45,7 +45,7 @@
 }
 
 // drop frees an entry that is in no queue.
-func (d *Door) drop(at int32) {
+func (d *Controller) drop(at int32) {
 	delete(d.at, d.entries[at].request)
 	d.entries[at] = entry{next: d.free}
 	d.free = at
@@ -96,7 +96,7 @@
 }
 
 // flowOf is the number of a client's flow: its own if it is one of the heaviest, else the one that it hashes to.
-func (p *pair) flowOf(d *Door, client uint64, cost float64, b band) int32 {
+func (p *pair) flowOf(d *Controller, client uint64, cost float64, b band) int32 {
 	p.used = d.now
 	first := int32(b) * (buckets + heavies)
 	if own := p.sketch.add(client, cost); own >= 0 {
@@ -117,7 +117,7 @@
 func bandOf(flow int32) band { return band(flow / (buckets + heavies)) }
 
 // enqueue puts an entry at its place.
-func (d *Door) enqueue(l *lane, p *pair, at int32) {
+func (d *Controller) enqueue(l *lane, p *pair, at int32) {
 	e := &d.entries[at]
 	e.state = queued
 	d.queued++
@@ -173,7 +173,7 @@
 }
 
 // unlink takes a queued entry out; its flow and its tenant are charged nothing.
-func (d *Door) unlink(at int32) {
+func (d *Controller) unlink(at int32) {
 	e := &d.entries[at]
 	l := d.lanes[e.lane]
 	p := l.pairs[e.tenant]
@@ -231,7 +231,7 @@
 
 // next takes the entry out whose turn it is at a tenant, and charges its flow. It returns none if all that waits there
 // is long, and no long ones may go.
-func (d *Door) next(p *pair, longs bool) int32 {
+func (d *Controller) next(p *pair, longs bool) int32 {
 	from := short
 	if longs && p.before(long, short) {
 		from = long
@@ -276,7 +276,7 @@
 }
 
 // dispatch lets go on what there is room for at a lane.
-func (d *Door) dispatch(l *lane) {
+func (d *Controller) dispatch(l *lane) {
 	aside := d.aside[:0] // tenants that have nothing that may go on
 	for l.room(short) > 0 && len(l.active) > 0 {
 		tenant := l.first(d)
@@ -307,7 +307,7 @@
 }
 
 // heaviest is the newest entry of the heaviest flow of the tenant that has the most waiting for its weight.
-func (d *Door) heaviest() int32 {
+func (d *Controller) heaviest() int32 {
 	var worst *pair
 	for _, l := range d.lanes {
 		for _, t := range l.active {
--- a/internal/admission/world_test.go
+++ b/internal/admission/world_test.go
@@ -14,7 +14,7 @@
 // takes its work. It checks as it goes that every offer ends exactly once.
 type world struct {
 	t       *testing.T
-	d       *Door
+	d       *Controller
 	now     time.Duration
 	cores   int
 	queue   []*job // let in, waiting for a core
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -20,13 +20,13 @@
 
 // Client gets the one final answer of a request.
 type Client interface {
-	Served(answer any)           // what the backend reported with the attempt
-	Refused(after time.Duration) // trying again is harmless, after so long
+	Served(answer any)            // what the backend reported with the attempt
+	Rejected(after time.Duration) // trying again is harmless, after so long
 	Failed(why Failure)
 }
 
-// Streamer is a client that can take a long answer in pieces. Served or Failed follows the last one.
-type Streamer interface {
+// StreamingClient is a client that can take a long answer in pieces. Served or Failed follows the last one.
+type StreamingClient interface {
 	// Piece passes bytes on; they are the callee's only until it returns. If there is no room for more, it returns false
 	// and calls more once, later, when there is.
 	Piece(data []byte, more func()) bool
@@ -40,9 +40,9 @@
 type Failure uint8
 
 const (
-	Broke    Failure = iota // it may have run
-	Late                    // no answer in time; it may have run
-	Unusable                // the databases cannot use it
+	ConnectionBroke  Failure = iota // it may have run
+	DeadlineExceeded                // no answer in time; it may have run
+	Unusable                        // the databases cannot use it
 )
 
 // Backend carries attempts to databases over one wire.
@@ -51,11 +51,11 @@
 	Cancel(*Attempt) // no report follows
 }
 
-// Prober asks a database for its report; each call ends with Core.Probed.
-type Prober interface{ Probe(*Member) }
+// HealthChecker asks a database for its report; each call ends with Core.Probed.
+type HealthChecker interface{ Probe(*Member) }
 
-// Lister keeps the member list coming: each call ends with Core.List or Core.ListFailed.
-type Lister interface{ Subscribe() }
+// EndpointLister keeps the member list coming: each call ends with Core.List or Core.ListFailed.
+type EndpointLister interface{ Subscribe() }
 
 // Watcher is told of every change of a member before anything is sent under it, and once it is forgotten: if it comes back, it is
 // another Member.
@@ -67,9 +67,9 @@
 // Member is a database of the list.
 type Member struct {
 	routing.Node
-	Name, Addr string
-	Banned     bool          // by the operators; its primary's writes go on for part of the grace
-	OutSince   time.Duration // when the list first said that it drains, or is gone for good; 0: it is neither
+	Name, Addr    string
+	Excluded      bool          // by the operators; its primary's writes go on for part of the grace
+	DrainingSince time.Duration // when the list first said that it drains, or is gone for good; 0: it is neither
 }
 
 // Request is what a client asks. The front fills in the exported fields.
@@ -78,14 +78,14 @@
 	Name         string // the client's name for it; only one of a name may be open
 	Class, Group int
 	Session      uint64
-	Expires      time.Duration // from now until the client quits; under 0: it has quit waiting
+	TimeLeft     time.Duration // from now until the client quits; under 0: it has quit waiting
 	LastWrite    time.Duration // clock time of the session's last commit; 0: none
 	Payload      any           // for the backend
 	Backend      Backend
 	Client       Client
 	Route        Route         // how it is routed, if not as its class says
-	Work         time.Duration // expected; 0: unknown
-	Learner      Learner       // is told what it took; nil: nobody
+	ExpectedWork time.Duration // expected; 0: unknown
+	CostObserver CostObserver  // is told what it took; nil: nobody
 	Tenant       int           // whose it is, and which client's of theirs, for the door
 	Caller       uint64
 
@@ -108,11 +108,11 @@
 
 // Attempt is one send of a request to a database.
 type Attempt struct {
-	Request *Request
-	Member  *Member
-	Until   time.Duration // it is waited for until then
-	By      time.Duration // it must not be written later than this; 0: at any time; see MaySend
-	Handle  any           // the backend's own
+	Request  *Request
+	Member   *Member
+	Deadline time.Duration // it is waited for until then
+	WriteBy  time.Duration // it must not be written later than this; 0: at any time; see MaySend
+	Handle   any           // the backend's own
 
 	number int
 	sent   time.Duration
@@ -156,10 +156,10 @@
 
 // outcome is the counter of a status.
 func (c *Counters) outcome(s routing.Status) *int64 {
-	return [...]*int64{routing.OK: &c.Served, routing.NodeError: &c.Errors, routing.NodeFull: &c.Full,
-		routing.TimedOut: &c.TimedOut, routing.NoConnect: &c.NoConnect, routing.NoProcess: &c.NoProcess,
-		routing.BrokenOff: &c.Broken,
-		routing.Cancelled: &c.Cancelled, routing.NotSent: &c.NotSent, routing.TurnedAway: &c.Turned}[s]
+	return [...]*int64{routing.OK: &c.Served, routing.NodeError: &c.Errors, routing.NodeOverloaded: &c.Full,
+		routing.TimedOut: &c.TimedOut, routing.ConnectFailed: &c.NoConnect, routing.ConnectRefused: &c.NoProcess,
+		routing.ConnectionBroken: &c.Broken,
+		routing.Cancelled:        &c.Cancelled, routing.NotSent: &c.NotSent, routing.NodeRejected: &c.Turned}[s]
 }
 
 // Core owns the router, the tables and the timers.
@@ -173,14 +173,14 @@
 	wake         func() // asks for a Flush soon
 	awake        bool
 	router       *routing.Router
-	lister       Lister
-	prober       Prober
+	lister       EndpointLister
+	prober       HealthChecker
 	watchers     []Watcher
 	settings     *Settings
 	figures      atomic.Pointer[Figures]
 	bans         map[routing.NodeID]time.Duration // by the operators, and those that are kept off
 	banned       map[routing.NodeID]time.Duration // of them, by the operators
-	off          Off
+	off          Blocks
 	offSince     map[routing.NodeID]time.Duration // of what is kept off: from when it would have been banned
 	lapse        *timerwheel.Timer                // of what is known of it
 	asks         map[int]int64                    // requests by group, where the figures tell what the router sees
@@ -226,7 +226,7 @@
 }
 
 // Attach names who lists, who probes and who is told of members. It comes before the first event.
-func (c *Core) Attach(lister Lister, prober Prober, watchers ...Watcher) {
+func (c *Core) Attach(lister EndpointLister, prober HealthChecker, watchers ...Watcher) {
 	c.lister, c.prober, c.watchers = lister, prober, watchers
 }
 
@@ -302,13 +302,13 @@
 	if c.ended || len(c.requests) >= c.limits.Requests { // Against tables without bound, and requests that are lost with the program.
 		q.done = true
 		q.count.Refused++
-		q.Client.Refused(0)
+		q.Client.Rejected(0)
 		return
 	}
 	c.last++
 	q.id = c.last
-	expires := max(q.Expires-c.limits.Margin, 0)
-	q.deadline, q.aim = c.clock()+expires, c.settings.Classes[q.Class].Aim
+	expires := max(q.TimeLeft-c.limits.Margin, 0)
+	q.deadline, q.aim = c.clock()+expires, c.settings.Classes[q.Class].LatencyObjective
 	c.requests[q.id] = q
 	q.routed, q.writes = c.route(q), c.routesAsWrite(q)
 	c.names[q.Name] = struct{}{}
@@ -319,7 +319,7 @@
 			c.log.Error().Uint64("request", uint64(q.id)).Msg("no answer by the deadline")
 			c.finish(q)
 			q.count.Failed++
-			q.Client.Failed(Late)
+			q.Client.Failed(DeadlineExceeded)
 			c.push(routing.Event{Kind: routing.ClientGone, Request: q.id})
 		}
 	})
@@ -335,11 +335,11 @@
 func (c *Core) arrive(q *Request, expires time.Duration) {
 	c.held.Enter(q.id)
 	c.events = append(c.events, routing.Event{Kind: routing.RequestArrived, Request: q.id, Arrival: routing.Arrival{
-		Class: q.routed, Group: q.Group, Session: q.Session, Expires: expires, Work: q.Work, LastWrite: q.LastWrite}})
+		Class: q.routed, Group: q.Group, Session: q.Session, TimeLeft: expires, Work: q.ExpectedWork, LastWrite: q.LastWrite}})
 }
 
-// Leave tells that the client has gone. Nothing is owed any more; attempts still out are ended.
-func (c *Core) Leave(q *Request) {
+// ClientGone tells that the client has gone. Nothing is owed any more; attempts still out are ended.
+func (c *Core) ClientGone(q *Request) {
 	if q.done {
 		return
 	}
@@ -348,9 +348,9 @@
 	c.push(routing.Event{Kind: routing.ClientGone, Request: q.id})
 }
 
-// Abandon gives all that is open its answer, as the program is about to end, and refuses what is submitted from then on. Against
+// AnswerAll gives all that is open its answer, as the program is about to end, and refuses what is submitted from then on. Against
 // requests that are lost with it.
-func (c *Core) Abandon() {
+func (c *Core) AnswerAll() {
 	c.ended = true
 	for _, q := range c.requests {
 		if !q.done {
@@ -358,10 +358,10 @@
 			c.finish(q)
 			if len(q.attempts) == 0 { // it never ran, and another pooler may take it
 				q.count.Refused++
-				q.Client.Refused(0)
+				q.Client.Rejected(0)
 			} else {
 				q.count.Failed++
-				q.Client.Failed(Broke)
+				q.Client.Failed(ConnectionBroke)
 			}
 			if routed {
 				c.push(routing.Event{Kind: routing.ClientGone, Request: q.id})
@@ -395,9 +395,9 @@
 	}
 }
 
-// Began tells that the answer of an attempt starts to reach the client: from now on no other attempt can answer
+// AnswerStarted tells that the answer of an attempt starts to reach the client: from now on no other attempt can answer
 // the request. It returns false if the request is over and nothing may be passed on.
-func (c *Core) Began(a *Attempt) bool {
+func (c *Core) AnswerStarted(a *Attempt) bool {
 	q := a.Request
 	if a.done || q.done || q.began != nil {
 		return q.began == a && !a.done && !q.done
@@ -411,18 +411,18 @@
 	return true
 }
 
-// Piece passes on a piece of a long answer, as Streamer does. With the first one the request is bound to this attempt,
+// AnswerPiece passes on a piece of a long answer, as Streamer does. With the first one the request is bound to this attempt,
 // and from then on only progress is timed: cut off at the deadline, what the database still gives would be lost.
-func (c *Core) Piece(a *Attempt, data []byte, more func()) (room, ok bool) {
+func (c *Core) AnswerPiece(a *Attempt, data []byte, more func()) (room, ok bool) {
 	q := a.Request
-	if q.began != a && !c.Began(a) || a.done || q.done {
+	if q.began != a && !c.AnswerStarted(a) || a.done || q.done {
 		return false, false
 	}
 	now := c.clock()
 	if a.first == 0 {
 		a.first = now
 		q.guard.Stop()
-		c.push(routing.Event{Kind: routing.AnswerBegan, Request: q.id, Outcome: routing.Outcome{Attempt: a.number}})
+		c.push(routing.Event{Kind: routing.AnswerStarted, Request: q.id, Outcome: routing.Outcome{Attempt: a.number}})
 		q.ran, q.took = true, now-a.sent
 		c.outside(q) // what is left is the client's time, not the databases'
 	}
@@ -431,7 +431,7 @@
 		a.timer = c.Wheel.At(min(c.clock()+c.limits.PieceWait, a.first+c.limits.AnswerLongest),
 			func() { c.cancel(a, routing.TimedOut) })
 	}
-	s, ok := q.Client.(Streamer)
+	s, ok := q.Client.(StreamingClient)
 	if !ok || s.Piece(data, func() {
 		if !a.done {
 			silent()
@@ -476,26 +476,26 @@
 		}
 	}
 	c.push(routing.Event{Kind: routing.AttemptDone, Request: q.id, Outcome: routing.Outcome{Node: a.Member.ID,
-		Attempt: a.number, Status: status, Took: took, Final: q.done, Note: note}})
+		Attempt: a.number, Status: status, Duration: took, Final: q.done, Note: note}})
 	c.forget(q)
 }
 
 func failure(late bool) Failure {
 	if late {
-		return Late
+		return DeadlineExceeded
 	}
-	return Broke
+	return ConnectionBroke
 }
 
-// Unusable ends an attempt whose statement the database cannot use, and the request with it. Against a bad client's
+// DoneUnusable ends an attempt whose statement the database cannot use, and the request with it. Against a bad client's
 // request being sent again and again, each time at the cost of another database's good name.
-func (c *Core) Unusable(a *Attempt, note routing.Evidence) {
+func (c *Core) DoneUnusable(a *Attempt, note routing.Evidence) {
 	if q := a.Request; !a.done && !q.done && (q.began == nil || q.began == a) {
 		c.finish(q)
 		q.count.Failed++
 		q.Client.Failed(Unusable)
 	}
-	c.Done(a, routing.TurnedAway, note, nil)
+	c.Done(a, routing.NodeRejected, note, nil)
 }
 
 // Probed ends a probe.
@@ -505,20 +505,20 @@
 	}
 	delete(c.asking, m.ID)
 	c.reported(took, report)
-	c.push(routing.Event{Kind: routing.ProbeDone, Outcome: routing.Outcome{Node: m.ID, Status: status, Took: took,
+	c.push(routing.Event{Kind: routing.ProbeDone, Outcome: routing.Outcome{Node: m.ID, Status: status, Duration: took,
 		Report: report}})
 }
 
 // ---- From discovery
 
-// Known takes in the list as it was known before the start.
-func (c *Core) Known(entries []Member) {
-	c.List(entries, true)
+// LoadKnownMembers takes in the list as it was known before the start.
+func (c *Core) LoadKnownMembers(entries []Member) {
+	c.UpdateMembers(entries, true)
 	c.listed = false
 }
 
-// List takes in the whole list, or the entries that changed.
-func (c *Core) List(entries []Member, full bool) {
+// UpdateMembers takes in the whole list, or the entries that changed.
+func (c *Core) UpdateMembers(entries []Member, full bool) {
 	c.listed, c.relisted = true, true
 	c.Count.Lists++
 	nodes := make([]routing.Node, 0, len(entries))
@@ -541,9 +541,9 @@
 			}
 		}
 	}
-	kind := routing.ListChange
+	kind := routing.ListUpdated
 	if full {
-		kind = routing.ListFull
+		kind = routing.ListComplete
 	}
 	c.push(routing.Event{Kind: kind, Nodes: nodes})
 	if c.off.All { // what the list has brought, too
@@ -579,11 +579,11 @@
 		m = &Member{}
 		c.members[e.ID] = m
 	}
-	since := m.OutSince
+	since := m.DrainingSince
 	*m = e
-	_, m.Banned = c.bans[m.ID]
-	if m.OutSince = 0; e.State == routing.Draining || e.State == routing.Gone && (since > 0 || !c.settings.DrainOnly) {
-		m.OutSince = cmp.Or(since, c.clock())
+	_, m.Excluded = c.bans[m.ID]
+	if m.DrainingSince = 0; e.State == routing.Draining || e.State == routing.Gone && (since > 0 || !c.settings.OnlyDrainingBinds) {
+		m.DrainingSince = cmp.Or(since, c.clock())
 	}
 	for _, w := range c.watchers {
 		w.Changed(m)
@@ -646,7 +646,7 @@
 		after := c.advise(q, min(q.aim, c.settings.MaxRetryAfter))
 		c.finish(q)
 		q.count.Refused++
-		q.Client.Refused(after)
+		q.Client.Rejected(after)
 	}
 }
 
@@ -656,7 +656,7 @@
 		c.lister.Subscribe()
 		return
 	case routing.SetTimer:
-		c.Wheel.At(c.clock()+a.After, func() { c.push(routing.Event{Kind: routing.TimerFired}) })
+		c.Wheel.At(c.clock()+a.Delay, func() { c.push(routing.Event{Kind: routing.TimerFired}) })
 		return
 	case routing.Probe:
 		c.Count.Probes++
@@ -672,16 +672,16 @@
 		c.send(q, a)
 	case routing.Cancel:
 		c.cancel(q.attempts[a.Attempt], routing.Cancelled)
-	case routing.Refuse, routing.Fail:
+	case routing.Reject, routing.Fail:
 		if q.done {
 			return
 		}
 		c.shed(q)
-		a.After = c.advise(q, a.After)
+		a.Delay = c.advise(q, a.Delay)
 		c.finish(q)
-		if a.Kind == routing.Refuse && q.began == nil {
+		if a.Kind == routing.Reject && q.began == nil {
 			q.count.Refused++
-			q.Client.Refused(a.After)
+			q.Client.Rejected(a.Delay)
 		} else {
 			q.count.Failed++
 			q.Client.Failed(failure(c.clock() >= q.deadline))
@@ -691,15 +691,15 @@
 
 func (c *Core) send(q *Request, a routing.Action) {
 	now := c.clock()
-	try := &Attempt{Request: q, Member: c.members[a.Node], Until: q.deadline, By: a.By, number: len(q.attempts),
+	try := &Attempt{Request: q, Member: c.members[a.Node], Deadline: q.deadline, WriteBy: a.WriteBy, number: len(q.attempts),
 		sent: now}
-	if a.After > 0 {
-		try.Until = min(try.Until, now+a.After)
+	if a.Delay > 0 {
+		try.Deadline = min(try.Deadline, now+a.Delay)
 	}
 	q.attempts = append(q.attempts, try)
 	q.out++
 	c.held.Leave(q.id)
-	if q.Learner != nil {
+	if q.CostObserver != nil {
 		try.others = c.out[a.Node]
 		c.out[a.Node]++
 	}
@@ -712,7 +712,7 @@
 		c.Count.Blind++
 	}
 	// Against peers that are cut off and never close.
-	try.timer = c.Wheel.At(try.Until, func() { c.cancel(try, routing.TimedOut) })
+	try.timer = c.Wheel.At(try.Deadline, func() { c.cancel(try, routing.TimedOut) })
 	q.Backend.Send(try)
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -44,8 +44,8 @@
 func newWorldOf(t *testing.T, ready func()) *world {
 	w := &world{t: t, now: 1_800_000_000 * time.Second}
 	s := routing.Settings{Routers: 1, MaxAttempts: 4, CanCancel: true, CanProbe: true, CanHedge: true, DrainGrace: time.Second,
-		ColdShare: 0.2, ColdTime: 10 * time.Second, FallMultiple: 3, FallWindow: time.Second, Classes: []routing.Class{
-			{Read: routing.AnyRead, Aim: 200 * time.Millisecond, Deadline: 5 * time.Second, Worth: 1, LateWorth: 0.2}}}
+		SlowStartShare: 0.2, SlowStartTime: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second, Classes: []routing.Class{
+			{Read: routing.AnyRead, LatencyObjective: 200 * time.Millisecond, Deadline: 5 * time.Second, Weight: 1, LateWeight: 0.2}}}
 	l := limits.For(limits.Machine{MemoryMB: 64, Sockets: 256}, 250*time.Millisecond, 15*time.Second, 5*time.Second)
 	w.core = core.New(core.Settings{Settings: s, Names: []string{"read"}}, 1, l, zerolog.Nop(),
 		func() time.Duration { return w.now }, func() {}, ready)
@@ -55,7 +55,7 @@
 	for id := routing.NodeID(1); id <= 3; id++ {
 		list = append(list, core.Member{Node: routing.Node{ID: id, State: routing.Ready, Group: 1}})
 	}
-	w.core.List(list, true)
+	w.core.UpdateMembers(list, true)
 	w.pass(50 * time.Millisecond)
 	return w
 }
@@ -76,14 +76,14 @@
 }
 
 func (c *client) Served(answer any)             { c.answers = append(c.answers, "served "+answer.(string)) }
-func (c *client) Refused(time.Duration)         { c.answers = append(c.answers, "refused") }
+func (c *client) Rejected(time.Duration)        { c.answers = append(c.answers, "refused") }
 func (c *client) Failed(core.Failure)           { c.answers = append(c.answers, "failed") }
 func (c *client) Piece(b []byte, _ func()) bool { c.pieces += string(b); return true }
 
 // hedged returns a request of which two attempts are out, at two databases.
 func hedged(t *testing.T) (*world, *client, *core.Attempt, *core.Attempt) {
 	w, c := newWorld(t), &client{}
-	w.core.Submit(&core.Request{Front: "test", Name: "x", Group: 1, Expires: 5 * time.Second, Backend: w, Client: c})
+	w.core.Submit(&core.Request{Front: "test", Name: "x", Group: 1, TimeLeft: 5 * time.Second, Backend: w, Client: c})
 	w.core.Flush()
 	require.Len(t, w.out, 1)
 	w.pass(time.Second) // nothing is heard of the first
@@ -98,13 +98,13 @@
 	for what, late := range map[string]func(w *world, b *core.Attempt){
 		"is answered":    func(w *world, b *core.Attempt) { w.core.Done(b, routing.OK, routing.Evidence{}, "whole") },
 		"fails":          func(w *world, b *core.Attempt) { w.core.Done(b, routing.NodeError, routing.Evidence{}, nil) },
-		"breaks":         func(w *world, b *core.Attempt) { w.core.Done(b, routing.BrokenOff, routing.Evidence{}, nil) },
-		"cannot be used": func(w *world, b *core.Attempt) { w.core.Unusable(b, routing.Evidence{}) },
+		"breaks":         func(w *world, b *core.Attempt) { w.core.Done(b, routing.ConnectionBroken, routing.Evidence{}, nil) },
+		"cannot be used": func(w *world, b *core.Attempt) { w.core.DoneUnusable(b, routing.Evidence{}) },
 		"begins to pass": func(w *world, b *core.Attempt) {
-			_, ok := w.core.Piece(b, []byte("other"), func() {})
+			_, ok := w.core.AnswerPiece(b, []byte("other"), func() {})
 			require.False(t, ok)
 		},
-		"begins, as others": func(w *world, b *core.Attempt) { require.False(t, w.core.Began(b)) },
+		"begins, as others": func(w *world, b *core.Attempt) { require.False(t, w.core.AnswerStarted(b)) },
 		"is heard no more":  func(*world, *core.Attempt) {},
 	} {
 		for _, first := range []int{0, 1} {
@@ -112,15 +112,15 @@
 			if first == 1 {
 				a, b = b, a
 			}
-			_, ok := w.core.Piece(a, []byte("one "), func() {})
+			_, ok := w.core.AnswerPiece(a, []byte("one "), func() {})
 			require.True(t, ok, what)
 			late(w, b)
 			w.core.Flush()
 			require.Equal(t, []*core.Attempt{b}, w.off, what)
-			_, ok = w.core.Piece(a, []byte("two "), func() {})
+			_, ok = w.core.AnswerPiece(a, []byte("two "), func() {})
 			require.True(t, ok, what)
 			w.pass(6 * time.Second) // past the deadline, which binds no more
-			_, ok = w.core.Piece(a, []byte("three"), func() {})
+			_, ok = w.core.AnswerPiece(a, []byte("three"), func() {})
 			require.True(t, ok, what)
 			w.core.Done(a, routing.OK, routing.Evidence{Role: routing.Replica, Position: w.now}, "")
 			w.core.Flush()
@@ -138,7 +138,7 @@
 	const grace = time.Second // as newWorld has it
 	begin := func() (*world, *core.Request, *core.Attempt) {
 		w := newWorld(t)
-		q := &core.Request{Front: "test", Name: "x", Group: 1, Expires: 5 * time.Second, Backend: w, Client: &client{}}
+		q := &core.Request{Front: "test", Name: "x", Group: 1, TimeLeft: 5 * time.Second, Backend: w, Client: &client{}}
 		w.core.Submit(q)
 		w.core.Flush()
 		require.Len(t, w.out, 1)
@@ -148,11 +148,11 @@
 	listed := func(w *world, a *core.Attempt, state routing.NodeState) {
 		m := *a.Member
 		m.State = state
-		w.core.List([]core.Member{m}, false)
+		w.core.UpdateMembers([]core.Member{m}, false)
 	}
 
 	w, q, a := begin()
-	w.core.Leave(q)
+	w.core.ClientGone(q)
 	require.False(t, w.core.MaySend(a), "the client has left")
 
 	w, _, a = begin()
@@ -191,16 +191,16 @@
 func TestAbandoned(t *testing.T) {
 	w := newWorld(t)
 	sent, waits := &client{}, &client{}
-	w.core.Submit(&core.Request{Front: "test", Name: "a", Group: 1, Expires: 5 * time.Second, Backend: w, Client: sent})
+	w.core.Submit(&core.Request{Front: "test", Name: "a", Group: 1, TimeLeft: 5 * time.Second, Backend: w, Client: sent})
 	w.core.Flush()
 	require.Len(t, w.out, 1)
-	w.core.Submit(&core.Request{Front: "test", Name: "b", Group: 1, Expires: 5 * time.Second, Backend: w, Client: waits})
-	w.core.Abandon()
+	w.core.Submit(&core.Request{Front: "test", Name: "b", Group: 1, TimeLeft: 5 * time.Second, Backend: w, Client: waits})
+	w.core.AnswerAll()
 	w.core.Flush()
 	require.Equal(t, []string{"failed"}, sent.answers)
 	require.Equal(t, []string{"refused"}, waits.answers)
 	late := &client{} // such as a call that had been let in and comes to the core only now
-	w.core.Submit(&core.Request{Front: "test", Name: "c", Group: 1, Expires: 5 * time.Second, Backend: w, Client: late})
+	w.core.Submit(&core.Request{Front: "test", Name: "c", Group: 1, TimeLeft: 5 * time.Second, Backend: w, Client: late})
 	require.Equal(t, []string{"refused"}, late.answers)
 	w.core.Flush()
 	require.Len(t, w.out, 1, "nothing is sent any more")
@@ -210,25 +210,25 @@
 // learner keeps how many others each attempt was told of.
 type learner struct{ others []int }
 
-func (l *learner) Learned(_ time.Duration, others int) { l.others = append(l.others, others) }
+func (l *learner) ObserveCost(_ time.Duration, others int) { l.others = append(l.others, others) }
 
 // An attempt that is stopped at the last moment takes none of those that are out at its database out of the count.
 func TestAttemptsOutAtADatabase(t *testing.T) {
 	w, l := newWorld(t), &learner{}
-	w.core.List([]core.Member{{Node: routing.Node{ID: 1, State: routing.Ready, Group: 1}}}, true)
+	w.core.UpdateMembers([]core.Member{{Node: routing.Node{ID: 1, State: routing.Ready, Group: 1}}}, true)
 	ask := func(name string) *core.Request {
-		q := &core.Request{Front: "test", Name: name, Group: 1, Expires: 5 * time.Second, Backend: w, Client: &client{}, Learner: l}
+		q := &core.Request{Front: "test", Name: name, Group: 1, TimeLeft: 5 * time.Second, Backend: w, Client: &client{}, CostObserver: l}
 		w.core.Submit(q)
 		w.core.Flush()
 		return q
 	}
 	ask("stays out")
 	require.Len(t, w.out, 1)
-	w.core.KeepOff(core.Off{Until: w.now + time.Millisecond, Then: map[routing.NodeID]bool{1: true}})
+	w.core.Block(core.Blocks{Until: w.now + time.Millisecond, Then: map[routing.NodeID]bool{1: true}})
 	w.now += 2 * time.Millisecond // what is known has run out, and no timer has come yet
-	w.core.Leave(ask("is stopped"))
+	w.core.ClientGone(ask("is stopped"))
 	require.Len(t, w.out, 1)
-	w.core.KeepOff(core.Off{})
+	w.core.Block(core.Blocks{})
 	ask("is taught")
 	require.Len(t, w.out, 2)
 	w.core.Done(w.out[1], routing.OK, routing.Evidence{}, "")
@@ -241,7 +241,7 @@
 	w := newWorld(t)
 	known := func() (n int) {
 		for id := routing.NodeID(1); id < 20000; id++ {
-			if w.core.Has(id) {
+			if w.core.HasMember(id) {
 				n++
 			}
 		}
@@ -252,15 +252,15 @@
 	}
 	for id := routing.NodeID(10); id < 200; id++ {
 		w.now += time.Minute
-		w.core.List([]core.Member{one(id, routing.Gone), one(id+1, routing.Ready)}, false)
+		w.core.UpdateMembers([]core.Member{one(id, routing.Gone), one(id+1, routing.Ready)}, false)
 		w.core.Flush()
 	}
 	require.LessOrEqual(t, known(), 3+1+11)
 	require.Equal(t, 3+191, known()+len(w.forgotten), "each of those that came is known or was forgotten")
-	w.core.List([]core.Member{one(10, routing.Ready)}, true)
+	w.core.UpdateMembers([]core.Member{one(10, routing.Ready)}, true)
 	w.core.Flush()
 	c := &client{}
-	w.core.Submit(&core.Request{Front: "test", Name: "x", Group: 1, Expires: 5 * time.Second, Backend: w, Client: c})
+	w.core.Submit(&core.Request{Front: "test", Name: "x", Group: 1, TimeLeft: 5 * time.Second, Backend: w, Client: c})
 	w.core.Flush()
 	require.Len(t, w.out, 1)
 	require.Equal(t, routing.NodeID(10), w.out[0].Member.ID)
@@ -270,7 +270,7 @@
 		many = append(many, one(id, routing.Ready))
 	}
 	before := known()
-	w.core.List(many, false)
+	w.core.UpdateMembers(many, false)
 	w.core.Flush()
 	require.Equal(t, 4096, known())
 	require.EqualValues(t, before+len(many)-4096, w.core.Count.Unlisted)
@@ -287,7 +287,7 @@
 // A client has gone and its front has yet to hear of it: nothing more is sent for it, and it is counted as gone once.
 func TestClientFoundToHaveLeft(t *testing.T) {
 	w, c := newWorld(t), &departing{}
-	q := &core.Request{Front: "test", Name: "x", Group: 1, Expires: 5 * time.Second, Backend: w, Client: c}
+	q := &core.Request{Front: "test", Name: "x", Group: 1, TimeLeft: 5 * time.Second, Backend: w, Client: c}
 	w.core.Submit(q)
 	w.core.Flush()
 	require.Len(t, w.out, 1)
@@ -295,7 +295,7 @@
 	c.left = true
 	require.False(t, w.core.MaySend(w.out[0]))
 	w.core.Done(w.out[0], routing.NotSent, routing.Evidence{}, nil)
-	w.core.Leave(q) // the front hears of it
+	w.core.ClientGone(q) // the front hears of it
 	w.pass(time.Second)
 	require.Len(t, w.out, 1, "it is not sent again")
 	require.Empty(t, c.answers)
--- a/internal/core/door.go
+++ b/internal/core/door.go
@@ -9,7 +9,7 @@
 
 // fair is the door, where requests wait for their turn before the router sees them, and what is on its way to it.
 type fair struct {
-	door    *admission.Door
+	door    *admission.Controller
 	config  admission.Config
 	events  []admission.Event
 	spare   []admission.Event
@@ -25,13 +25,13 @@
 	doorInside
 )
 
-// Fair puts a door before the router. It comes before the first request.
-func (c *Core) Fair(cfg admission.Config, seed uint64) {
+// EnableAdmission puts a door before the router. It comes before the first request.
+func (c *Core) EnableAdmission(cfg admission.Config, seed uint64) {
 	c.door = &fair{config: cfg, door: admission.New(c.doorSettings(cfg), seed)}
 }
 
-// Refair takes in other tenants, weights and limits, all at once. What is queued stays.
-func (c *Core) Refair(cfg admission.Config) {
+// ReconfigureAdmission takes in other tenants, weights and limits, all at once. What is queued stays.
+func (c *Core) ReconfigureAdmission(cfg admission.Config) {
 	if c.door == nil {
 		return
 	}
@@ -45,7 +45,7 @@
 	classes := make([]admission.Class, len(routed.Classes))
 	for i, class := range routed.Classes {
 		n := len(c.settings.Names)
-		classes[i] = admission.Class{Name: c.settings.Names[i%n] + Route(i/n).String(), Aim: class.Aim,
+		classes[i] = admission.Class{Name: c.settings.Names[i%n] + Route(i/n).String(), Aim: class.LatencyObjective,
 			Primary: class.Read == routing.Write || class.Read == routing.FreshRead}
 	}
 	return cfg.Settings(classes, admission.Settings{MaxRetryAfter: c.settings.MaxRetryAfter, Bounds: admission.Bounds{Queue: c.limits.DoorQueue,
@@ -63,7 +63,7 @@
 func (c *Core) offer(q *Request, expires time.Duration) {
 	q.door = doorQueued
 	c.tell(admission.Event{Kind: admission.Offered, Request: uint64(q.id), Offer: admission.Offer{Tenant: q.Tenant, Class: q.routed,
-		Group: q.Group, Client: q.Caller, Work: q.Work, Expires: expires}})
+		Group: q.Group, Client: q.Caller, Work: q.ExpectedWork, Expires: expires}})
 }
 
 // outside tells the door that a request is over, or that it holds no database up any more.
@@ -80,7 +80,7 @@
 // learn notes for the door, and for who learns what statements take, how an attempt ended.
 func (c *Core) learn(a *Attempt, status routing.Status, took time.Duration) {
 	q := a.Request
-	if q.Learner != nil {
+	if q.CostObserver != nil {
 		c.teach(a, status, took)
 	}
 	if q.door != doorInside {
@@ -89,7 +89,7 @@
 	if status == routing.OK || status == routing.TimedOut {
 		q.took = took
 	}
-	if status == routing.NodeFull {
+	if status == routing.NodeOverloaded {
 		c.tell(admission.Event{Kind: admission.Full, Request: uint64(q.id)})
 	}
 	q.ran = q.ran || !status.NeverRan()
@@ -108,7 +108,7 @@
 	if c.door == nil || q.door != doorInside {
 		return least
 	}
-	return c.door.door.Advise(c.clock(), uint64(q.id), least)
+	return c.door.door.RetryAfter(c.clock(), uint64(q.id), least)
 }
 
 // enter hands the door what has come, and lets in or refuses what it says. Those let in are with the router in the
@@ -141,26 +141,26 @@
 		q.door = doorNone
 		c.finish(q)
 		q.count.Refused++
-		q.Client.Refused(a.After)
+		q.Client.Rejected(a.After)
 	}
 }
 
-// DoorFigures are what operators are shown of the door.
-type DoorFigures struct {
+// AdmissionFigures are what operators are shown of the door.
+type AdmissionFigures struct {
 	Count   admission.Count
 	Queued  int
 	Sojourn map[string]float64 // quantiles in milliseconds of those who waited and were let in
 	Tenants []admission.TenantFigures
-	Lanes   []admission.LaneFigures
+	Lanes   []admission.QueueFigures
 }
 
-// Door returns the figures of the door, nil if there is none.
-func (c *Core) Door() *DoorFigures {
+// Admission returns the figures of the door, nil if there is none.
+func (c *Core) Admission() *AdmissionFigures {
 	if c.door == nil {
 		return nil
 	}
 	d := c.door.door
-	f := &DoorFigures{Count: d.Count, Queued: d.Queued(), Tenants: d.Tenants(), Lanes: d.Lanes(),
+	f := &AdmissionFigures{Count: d.Count, Queued: d.Queued(), Tenants: d.Tenants(), Lanes: d.Queues(),
 		Sojourn: map[string]float64{}}
 	f.Tenants = f.Tenants[:min(len(f.Tenants), c.limits.DoorShown)]
 	for name, q := range map[string]float64{"p50": 50, "p99": 99, "max": 100} {
--- a/internal/core/off.go
+++ b/internal/core/off.go
@@ -7,9 +7,9 @@
 	"capercove/routing"
 )
 
-// Off is what this pooler keeps off while machines are out for work, as far as it knows what is agreed. What it knows runs out. The
+// Blocks is what this pooler keeps off while machines are out for work, as far as it knows what is agreed. What it knows runs out. The
 // zero value keeps off nothing.
-type Off struct {
+type Blocks struct {
 	All   bool                    // all databases: nothing has been read yet
 	Now   map[routing.NodeID]bool // nothing new is sent there
 	Worn  map[routing.NodeID]bool // have been worked on: when they are let in again they may have been restarted, and are cold
@@ -18,8 +18,8 @@
 	Blind map[routing.NodeID]bool // ... and these could be at work, but nothing else is left: what is sent there is counted
 }
 
-// KeepOff takes in what is kept off. It holds when this returns, as a ban does, but for no primary's writes any longer.
-func (c *Core) KeepOff(o Off) {
+// Block takes in what is kept off. It holds when this returns, as a ban does, but for no primary's writes any longer.
+func (c *Core) Block(o Blocks) {
 	c.off = o
 	c.lapse.Stop()
 	if now := c.clock(); o.Until > now {
@@ -59,7 +59,7 @@
 		}
 	}
 	if lifted {
-		c.push(routing.Event{Kind: routing.BansChanged, Bans: warm})
+		c.push(routing.Event{Kind: routing.ExclusionsChanged, Exclusions: warm})
 	}
 	c.keepOut()
 }
@@ -75,11 +75,11 @@
 		return
 	}
 	c.bans = all
-	c.push(routing.Event{Kind: routing.BansChanged, Bans: all})
+	c.push(routing.Event{Kind: routing.ExclusionsChanged, Exclusions: all})
 	c.Flush()
 	for _, m := range c.members {
-		if _, banned := all[m.ID]; banned != m.Banned {
-			m.Banned = banned
+		if _, banned := all[m.ID]; banned != m.Excluded {
+			m.Excluded = banned
 			for _, w := range c.watchers {
 				w.Changed(m)
 			}
@@ -95,7 +95,7 @@
 func (c *Core) MaySend(a *Attempt) bool {
 	c.leaveUnheard(a.Request)
 	now := c.clock()
-	return !a.done && !a.Request.done && now < a.Until && (a.By == 0 || now <= a.By) && c.may(a.Member)
+	return !a.done && !a.Request.done && now < a.Deadline && (a.WriteBy == 0 || now <= a.WriteBy) && c.may(a.Member)
 }
 
 // leaveUnheard ends a request whose client has gone, before its front has heard of that. Against an attempt for a
@@ -105,7 +105,7 @@
 		return
 	}
 	if client, ok := q.Client.(Leaver); ok && client.HasLeft() {
-		c.Leave(q)
+		c.ClientGone(q)
 	}
 }
 
@@ -113,7 +113,7 @@
 // it was with what is not so any more: its timers come only then. To one that drains goes what was decided on before, or what only
 // it can take, for half of the grace.
 func (c *Core) may(m *Member) bool {
-	if m.OutSince > 0 && c.clock()-m.OutSince >= c.settings.DrainGrace/2 {
+	if m.DrainingSince > 0 && c.clock()-m.DrainingSince >= c.settings.DrainGrace/2 {
 		return false
 	}
 	off := c.off.All || c.off.Now[m.ID]
@@ -126,8 +126,8 @@
 	return !off
 }
 
-// Out is how many attempts are out at each of some databases.
-func (c *Core) Out(at map[routing.NodeID]bool) map[routing.NodeID]int {
+// AttemptsInFlight is how many attempts are out at each of some databases.
+func (c *Core) AttemptsInFlight(at map[routing.NodeID]bool) map[routing.NodeID]int {
 	out := map[routing.NodeID]int{}
 	for _, q := range c.requests {
 		for _, a := range q.attempts {
--- a/internal/core/operators.go
+++ b/internal/core/operators.go
@@ -15,8 +15,8 @@
 	Pending               int
 	Members, Unavailable  int
 	Reloads, ReloadErrors int64
-	Door                  *DoorFigures // nil: there is none
-	Sights                []Sight      // nil: not observed, as with the next
+	Admission             *AdmissionFigures // nil: there is none
+	Databases             []DatabaseStatus  // nil: not observed, as with the next
 	Asks                  map[int]int64
 	Blind                 int64 // attempts sent to databases that could be at work, as nothing else was left
 }
@@ -32,7 +32,7 @@
 // publish shows the figures, again and again.
 func (c *Core) publish() {
 	f := Figures{Classes: map[string]Answers{}, Written: c.Count.Written, Pending: c.Open(), Members: len(c.Members()),
-		Unavailable: c.router.Avoided(), Reloads: c.Count.Reloads, ReloadErrors: c.Count.ReloadErrors}
+		Unavailable: c.router.Unavailable(), Reloads: c.Count.Reloads, ReloadErrors: c.Count.ReloadErrors}
 	for _, name := range c.settings.Names {
 		f.Classes[name] = Answers{}
 	}
@@ -41,9 +41,9 @@
 			f.Classes[name] = f.Classes[name].plus(*a)
 		}
 	}
-	f.Door, f.Sights, f.Asks, f.Blind = c.Door(), c.sights(), maps.Clone(c.asks), c.Count.Blind
+	f.Admission, f.Databases, f.Asks, f.Blind = c.Admission(), c.sights(), maps.Clone(c.asks), c.Count.Blind
 	now := c.clock()
-	if c.ready != nil && !c.stopping && (now >= c.readyBy || c.listed && f.Members > 0 && c.router.Leads()) {
+	if c.ready != nil && !c.stopping && (now >= c.readyBy || c.listed && f.Members > 0 && c.router.HasPrimaries()) {
 		c.ready()
 		c.ready = nil
 	}
@@ -73,22 +73,22 @@
 // Stopping tells that this process is about to end: it is ready no more.
 func (c *Core) Stopping() { c.stopping = true }
 
-// Retune takes in new settings. What was submitted before keeps its class.
-func (c *Core) Retune(s Settings) {
+// Reconfigure takes in new settings. What was submitted before keeps its class.
+func (c *Core) Reconfigure(s Settings) {
 	c.Count.Reloads++
 	c.settings = &s
 	c.retune()
 }
 
-// TurnedDown counts a configuration that was not taken.
-func (c *Core) TurnedDown() { c.Count.ReloadErrors++ }
+// ReloadRejected counts a configuration that was not taken.
+func (c *Core) ReloadRejected() { c.Count.ReloadErrors++ }
 
-// Has tells whether any list has named the database.
-func (c *Core) Has(id routing.NodeID) bool { return c.members[id] != nil }
+// HasMember tells whether any list has named the database.
+func (c *Core) HasMember(id routing.NodeID) bool { return c.members[id] != nil }
 
-// Ban takes in which databases the operators keep out, each since when. It holds when this returns: what was decided
+// Exclude takes in which databases the operators keep out, each since when. It holds when this returns: what was decided
 // before and is not on its way yet is taken back by the backends.
-func (c *Core) Ban(bans map[routing.NodeID]time.Duration) {
+func (c *Core) Exclude(bans map[routing.NodeID]time.Duration) {
 	c.banned = bans
 	c.keepOut()
 }
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -19,14 +19,14 @@
 
 func (r Route) String() string { return [...]string{"", " as a write", " as a read"}[r] }
 
-// Learner is told what the attempts of a request take.
-type Learner interface {
-	// Learned tells what one took, beside so many others at its database.
-	Learned(took time.Duration, others int)
+// CostObserver is told what the attempts of a request take.
+type CostObserver interface {
+	// ObserveCost tells what one took, beside so many others at its database.
+	ObserveCost(took time.Duration, others int)
 }
 
-// Reroute lets requests be routed otherwise than their classes say. Off, the router knows the classes alone.
-func (c *Core) Reroute(on bool) {
+// EnableStatementRouting lets requests be routed otherwise than their classes say. Off, the router knows the classes alone.
+func (c *Core) EnableStatementRouting(on bool) {
 	if on == c.routes {
 		return
 	}
@@ -65,9 +65,9 @@
 		for _, class := range s.Classes {
 			switch r {
 			case AsWrite:
-				class.Read, class.Effect = routing.Write, routing.Unsafe
+				class.Read, class.Effect = routing.Write, routing.NonIdempotent
 			case AsRead:
-				class.Read, class.Effect = routing.FreshRead, routing.Safe
+				class.Read, class.Effect = routing.FreshRead, routing.Idempotent
 			}
 			all = append(all, class)
 		}
@@ -82,7 +82,7 @@
 	c.Count.Routers = s.Routers
 	c.push(routing.Event{Kind: routing.SettingsChanged, Settings: &s})
 	if c.door != nil {
-		c.Refair(c.door.config)
+		c.ReconfigureAdmission(c.door.config)
 	}
 }
 
@@ -94,6 +94,6 @@
 		delete(c.out, a.Member.ID)
 	}
 	if status == routing.OK {
-		a.Request.Learner.Learned(took, a.others)
+		a.Request.CostObserver.ObserveCost(took, a.others)
 	}
 }
--- a/internal/exclusion/exclusion.go
+++ b/internal/exclusion/exclusion.go
@@ -92,7 +92,7 @@
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for ctx.Err() == nil {
-		f.Look()
+		f.Refresh()
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -100,8 +100,8 @@
 	}
 }
 
-// Look takes in what other processes have changed, on disk or not yet, and leaves for them what could not be written.
-func (f *File) Look() {
+// Refresh takes in what other processes have changed, on disk or not yet, and leaves for them what could not be written.
+func (f *File) Refresh() {
 	f.looking.Lock()
 	defer f.looking.Unlock()
 	f.lookAtSet()
--- a/internal/exclusion/exclusion_test.go
+++ b/internal/exclusion/exclusion_test.go
@@ -125,7 +125,7 @@
 func (m *machine) start() *process {
 	p := &process{m: m}
 	p.File = exclusion.Open(m.config(p, disk{fail: p.failing}))
-	p.Look()
+	p.Refresh()
 	return p
 }
 
@@ -403,7 +403,7 @@
 				}
 				return nil
 			}}))
-			p.Look()
+			p.Refresh()
 			p.watch().Change("db-1", true)
 			whole := p.Unsaved() == 0
 			p.stop()
--- a/internal/flight/backend.go
+++ b/internal/flight/backend.go
@@ -59,7 +59,7 @@
 // that reaches whoever has its address now.
 func (b *Backend) Changed(m *core.Member) {
 	c := b.conns[m.ID]
-	if c != nil && (m.State == routing.Gone || m.Banned || c.addr != b.config.addr(m.Name, m.Addr)) {
+	if c != nil && (m.State == routing.Gone || m.Excluded || c.addr != b.config.addr(m.Name, m.Addr)) {
 		c.leave()
 		b.retire(m.ID, c)
 	}
@@ -127,7 +127,7 @@
 func (b *Backend) Send(a *core.Attempt) {
 	c, err := b.conn(a.Member, b.core.Now())
 	if err != nil {
-		status := routing.NoConnect
+		status := routing.ConnectFailed
 		if errors.Is(err, errFull) { // it tells nothing of the database
 			status = routing.NotSent
 		}
@@ -135,7 +135,7 @@
 		return
 	}
 	c.uses++
-	ctx, cancel := context.WithTimeout(context.Background(), a.Until-b.core.Now())
+	ctx, cancel := context.WithTimeout(context.Background(), a.Deadline-b.core.Now())
 	a.Handle = cancel
 	go func() {
 		t := &try{b: b, conn: c, ctx: ctx, a: a, s: a.Request.Payload.(*statement), cancel: cancel}
@@ -150,7 +150,7 @@
 				c.grpc.Close()
 			}
 			if t.unusable {
-				b.core.Unusable(a, t.note)
+				b.core.DoneUnusable(a, t.note)
 			} else {
 				b.core.Done(a, result, t.note, answer)
 			}
@@ -207,7 +207,7 @@
 func (t *try) carry() (routing.Status, any) {
 	up := t.connect()
 	if !up && t.conn.here.Err() == nil && !t.conn.short.Load() {
-		return routing.NoConnect, nil
+		return routing.ConnectFailed, nil
 	}
 	d, err := t.s.descriptor()
 	if !up || err != nil || !t.allowed() {
@@ -222,15 +222,15 @@
 	}
 	t.unusable = status.Code(err) == codes.InvalidArgument
 	result := outcome(err)
-	if result == routing.BrokenOff && !t.handed.Load() { // the connection went before anything was written on it
-		result = routing.NoConnect
+	if result == routing.ConnectionBroken && !t.handed.Load() { // the connection went before anything was written on it
+		result = routing.ConnectFailed
 	}
 	return result, answer
 }
 
 // outgoing is the context of a call that goes out now: it tells the database what is left of the client's time.
 func (t *try) outgoing() context.Context {
-	ctx := metadata.NewOutgoingContext(t.ctx, t.s.headers(t.a.Until-t.b.core.Now()))
+	ctx := metadata.NewOutgoingContext(t.ctx, t.s.headers(t.a.Deadline-t.b.core.Now()))
 	return context.WithValue(ctx, tryKey{}, t)
 }
 
@@ -299,7 +299,7 @@
 			continue
 		}
 		if !begun {
-			if begun = t.ask(t.b.core.Began); !begun {
+			if begun = t.ask(t.b.core.AnswerStarted); !begun {
 				return t.over()
 			}
 			if schema != nil && !t.pass(schema) {
--- a/internal/flight/dial_test.go
+++ b/internal/flight/dial_test.go
@@ -42,7 +42,7 @@
 	t.Cleanup(func() { conn.grpc.Close() })
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	t.Cleanup(cancel)
-	a := &core.Attempt{Request: &core.Request{}, Member: m, Until: c.Now() + patience}
+	a := &core.Attempt{Request: &core.Request{}, Member: m, Deadline: c.Now() + patience}
 	return &try{b: b, conn: conn, ctx: ctx, cancel: cancel, a: a, s: &statement{SQL: "INSERT", update: true}}
 }
 
@@ -67,8 +67,8 @@
 		"EMFILE for ever":           {forEver, syscall.EMFILE, false, routing.NotSent},
 		"ENOMEM for ever":           {forEver, syscall.ENOMEM, false, routing.NotSent},
 		"EADDRNOTAVAIL for ever":    {forEver, syscall.EADDRNOTAVAIL, false, routing.NotSent},
-		"EHOSTUNREACH for ever":     {forEver, syscall.EHOSTUNREACH, false, routing.NoConnect},
-		"ECONNREFUSED, as a server": {forEver, syscall.ECONNREFUSED, false, routing.NoConnect},
+		"EHOSTUNREACH for ever":     {forEver, syscall.EHOSTUNREACH, false, routing.ConnectFailed},
+		"ECONNREFUSED, as a server": {forEver, syscall.ECONNREFUSED, false, routing.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			connect := patience
@@ -101,6 +101,6 @@
 		f()
 	})
 	status, _ := update.carry()
-	require.Equal(t, routing.NoConnect, status)
+	require.Equal(t, routing.ConnectFailed, status)
 	require.NoError(t, update.ctx.Err())
 }
--- a/internal/flight/front.go
+++ b/internal/flight/front.go
@@ -183,10 +183,10 @@
 
 func (c *call) Served(answer any) { c.final <- final{answer: answer} }
 
-func (c *call) Refused(after time.Duration) { c.final <- final{err: Refusal(after)} }
+func (c *call) Rejected(after time.Duration) { c.final <- final{err: Refusal(after)} }
 
 func (c *call) Failed(why core.Failure) {
-	c.final <- final{err: map[core.Failure]error{core.Broke: errFailed, core.Late: errDeadline,
+	c.final <- final{err: map[core.Failure]error{core.ConnectionBroke: errFailed, core.DeadlineExceeded: errDeadline,
 		core.Unusable: errUnusable}[why]}
 }
 
@@ -215,14 +215,14 @@
 			return
 		}
 		// What the connection tells is not enough after a stall: other frames may have come since.
-		asked.Expires -= max(f.core.Now()-sent, f.core.Unread(begun))
+		asked.TimeLeft -= max(f.core.Now()-sent, f.core.Unread(begun))
 		q, asked.Client = asked, c
 		f.core.Submit(q)
 	})
 	leave := func() {
 		f.do(func() {
 			if q != nil {
-				f.core.Leave(q)
+				f.core.ClientGone(q)
 			}
 		})
 	}
@@ -272,7 +272,7 @@
 	bad := func(key, why string) (*core.Request, error) {
 		return nil, status.Error(codes.InvalidArgument, key+": "+why)
 	}
-	a := intake.Ask{Front: "flight", ID: s.ID, Class: s.Class, HasGroup: true, SQL: s.SQL, Update: s.update, Payload: s, Backend: f.backend}
+	a := intake.Input{Front: "flight", ID: s.ID, Class: s.Class, HasGroup: true, SQL: s.SQL, Update: s.update, Payload: s, Backend: f.backend}
 	var err error
 	if a.Group, err = strconv.Atoi(s.Group); err != nil {
 		return bad(KeyGroup, "not a number")
@@ -292,7 +292,7 @@
 		h.Write([]byte(s.Session))
 		a.Key = max(h.Sum64(), 1)
 	}
-	if f.intake.Sorts() {
+	if f.intake.ClassifiesTenants() {
 		a.Caller = caller(ctx)
 	}
 	q, problem := f.intake.Request(&a)
@@ -300,7 +300,7 @@
 		return bad(keys[problem.Field], problem.Why)
 	}
 	if at, ok := ctx.Deadline(); ok {
-		q.Expires = min(q.Expires, time.Until(at))
+		q.TimeLeft = min(q.TimeLeft, time.Until(at))
 	}
 	return q, nil
 }
--- a/internal/flight/protocol.go
+++ b/internal/flight/protocol.go
@@ -162,18 +162,18 @@
 	s := status.Convert(err)
 	switch s.Code() {
 	case codes.FailedPrecondition: // a write, and this is no primary, or too far behind
-		return routing.TurnedAway
+		return routing.NodeRejected
 	case codes.ResourceExhausted:
 		for _, d := range s.Details() {
 			if _, ok := d.(*errdetails.RetryInfo); ok {
-				return routing.NodeFull
+				return routing.NodeOverloaded
 			}
 		}
 		return routing.NodeError
 	case codes.DeadlineExceeded:
 		return routing.TimedOut
 	case codes.Unavailable, codes.Canceled:
-		return routing.BrokenOff
+		return routing.ConnectionBroken
 	}
 	return routing.NodeError
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -12,8 +12,8 @@
 	"capercove/routing"
 )
 
-// Ask is a statement as a front has read it.
-type Ask struct {
+// Input is a statement as a front has read it.
+type Input struct {
 	Front    string // its name, for the counters
 	ID       string // the client's name for the request
 	Class    string
@@ -68,7 +68,7 @@
 func New(c *core.Core) *Intake { return &Intake{core: c} }
 
 // Request makes a request that awaits only its client, or tells what is wrong.
-func (in *Intake) Request(a *Ask) (*core.Request, *Problem) {
+func (in *Intake) Request(a *Input) (*core.Request, *Problem) {
 	number, class, known := in.core.Class(a.Class)
 	switch {
 	case !known:
@@ -82,10 +82,10 @@
 	case in.core.IsOpen(a.ID): // Against two answers of one name: the client could not tell them apart.
 		return nil, &Problem{FieldID, "a request of this id is open"}
 	}
-	q := &core.Request{Front: a.Front, Name: a.ID, Class: number, Group: a.Group, Expires: a.Wait, LastWrite: a.After,
+	q := &core.Request{Front: a.Front, Name: a.ID, Class: number, Group: a.Group, TimeLeft: a.Wait, LastWrite: a.After,
 		Payload: a.Payload, Backend: a.Backend}
-	if q.Expires == 0 {
-		q.Expires = class.Deadline
+	if q.TimeLeft == 0 {
+		q.TimeLeft = class.Deadline
 	}
 	if class.Read == routing.Write || class.Read == routing.SessionRead {
 		q.Session = a.Key
@@ -102,14 +102,16 @@
 	return q, nil
 }
 
-// Sort lets requests be told apart by tenants and clients, from now on by these rules.
-func (in *Intake) Sort(rules *tenant.Rules, client ClientKind) { in.rules, in.client = rules, client }
+// ClassifyTenants lets requests be told apart by tenants and clients, from now on by these rules.
+func (in *Intake) ClassifyTenants(rules *tenant.Rules, client ClientKind) {
+	in.rules, in.client = rules, client
+}
 
-// Sorts tells whether requests are told apart: fronts then say who calls.
-func (in *Intake) Sorts() bool { return in.rules != nil }
+// ClassifiesTenants tells whether requests are told apart: fronts then say who calls.
+func (in *Intake) ClassifiesTenants() bool { return in.rules != nil }
 
 // callerOf numbers the client of a request. It need not be told apart from others for certain.
-func (in *Intake) callerOf(a *Ask, q *core.Request) uint64 {
+func (in *Intake) callerOf(a *Input, q *core.Request) uint64 {
 	switch {
 	case in.client == ByKey && q.Session != 0:
 		return q.Session
--- a/internal/intake/reader.go
+++ b/internal/intake/reader.go
@@ -14,7 +14,7 @@
 type reader struct {
 	config   statement.Config
 	analyser *statement.Analyser
-	shapes   *statement.Shapes
+	shapes   *statement.Fingerprints
 	log      zerolog.Logger
 	every    time.Duration // at most one line in so long
 	logged   time.Duration
@@ -39,13 +39,13 @@
 // Statements lets statements be read from now on by these rules, in a cache of so many bytes; with mode off they are not.
 // What is known of shapes stays.
 func (in *Intake) Statements(c statement.Config, bytes int, seed uint64, every time.Duration, log zerolog.Logger) {
-	in.core.Reroute(c.Enforced())
+	in.core.EnableStatementRouting(c.Enforced())
 	if !c.On() {
 		in.reader = nil
 		return
 	}
 	if in.reader == nil {
-		in.reader = &reader{shapes: statement.NewShapes(bytes, seed), log: log, every: every,
+		in.reader = &reader{shapes: statement.NewFingerprints(bytes, seed), log: log, every: every,
 			count: Readings{Kinds: map[string]int64{}}}
 	}
 	in.reader.config, in.reader.analyser = c, statement.New(c.Rules())
@@ -66,7 +66,7 @@
 }
 
 // Top returns the first shapes in an order, nil if statements are not read.
-func (in *Intake) Top(by statement.Order, most int) []statement.Shape {
+func (in *Intake) Top(by statement.Order, most int) []statement.Fingerprint {
 	if in.reader == nil {
 		return nil
 	}
@@ -74,10 +74,10 @@
 }
 
 // read looks at the statement of a request and says how it is to be routed.
-func (in *Intake) read(a *Ask, class *routing.Class, q *core.Request) *Problem {
+func (in *Intake) read(a *Input, class *routing.Class, q *core.Request) *Problem {
 	r := in.reader
 	info := r.analyser.Read(a.SQL)
-	shape := r.shapes.Get(r.analyser.Shape(), &info)
+	shape := r.shapes.Get(r.analyser.Fingerprint(), &info)
 	shape.Calls++
 	r.count.Read++
 	r.count.Kinds[info.Kind.String()]++
@@ -91,7 +91,7 @@
 		}
 	}
 	mayWrite := info.MayWrite || a.Update
-	q.Learner = shape
+	q.CostObserver = shape
 	switch labelled := class.Read == routing.Write; {
 	case mayWrite && !labelled:
 		r.count.MayWrite++
@@ -110,14 +110,14 @@
 	}
 	if r.config.Enforced() {
 		if typical, _, _, ok := shape.Cost.Estimate(); ok {
-			q.Work = typical
+			q.ExpectedWork = typical
 		}
 	}
 	return nil
 }
 
 // disagrees notes a label that is not what was read. Each shape is logged once, as far as the pace allows.
-func (r *reader) disagrees(now time.Duration, class string, s *statement.Shape, info *statement.Info) {
+func (r *reader) disagrees(now time.Duration, class string, s *statement.Fingerprint, info *statement.Info) {
 	s.Disagreed++
 	if s.Logged || now-r.logged < r.every {
 		return
--- a/internal/lab/talk.go
+++ b/internal/lab/talk.go
@@ -59,7 +59,7 @@
 		}
 	}
 	return fmt.Sprintf("[fleet]\nenabled = true\ncluster = \"lab\"\nlisten = %q\nadvertise = %q\nseeds = [%s]\nslower = %v\ncount = %v\ndoubt = %v\nconnections = %d\n",
-		t.own[i], t.public[i], strings.Join(seeds, ", "), f.Slower, f.Count, f.Doubt, f.Connections)
+		t.own[i], t.public[i], strings.Join(seeds, ", "), f.Slower, f.Count, f.Suspicion, f.Connections)
 }
 
 // faulty does to links what a scenario says; it returns false for a fault of something else.
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -50,8 +50,8 @@
 	Log         zerolog.Logger
 }
 
-// Driver is one pooler's.
-type Driver struct {
+// Agent is one pooler's.
+type Agent struct {
 	pooler Pooler
 	config Config
 	cancel context.CancelFunc
@@ -64,22 +64,22 @@
 	unsaid atomic.Bool // the record has no word of this pooler
 
 	mu     sync.Mutex // guards all below
-	reader *maintenance.Reader
+	reader *maintenance.Follower
 	held   map[string]store.Value // under maintenance.Now
 	at     uint64                 // revision of held
 	record maintenance.Record     // of held
 	broken string                 // why held cannot be read
 	looker looker
-	shown  Shown
-	asked  time.Duration    // when databases were last asked who leads
-	word   maintenance.Word // what this pooler has to say
+	shown  Overview
+	asked  time.Duration            // when databases were last asked who leads
+	word   maintenance.PoolerStatus // what this pooler has to say
 }
 
 // Start begins. Until the record has been read, or for the length of a lease, the pooler keeps off all databases: Off must have been
 // handed to the core before.
-func Start(c Config, p Pooler) *Driver {
+func Start(c Config, p Pooler) *Agent {
 	now := p.Clock()
-	d := &Driver{pooler: p, config: c, kicked: make(chan struct{}, 1), words: make(chan struct{}, 1), reader: maintenance.NewReader(now, maintenance.Rules{Lease: ms(c.LeaseMS)}),
+	d := &Agent{pooler: p, config: c, kicked: make(chan struct{}, 1), words: make(chan struct{}, 1), reader: maintenance.NewFollower(now, maintenance.Rules{Lease: ms(c.LeaseMS)}),
 		held: map[string]store.Value{}, looker: looker{zones: p.Zones, fresh: p.Fresh, peaks: map[int]float64{}}}
 	if c.FreshMS > 0 {
 		d.looker.fresh = ms(c.FreshMS)
@@ -92,13 +92,13 @@
 	return d
 }
 
-// Off is what a pooler keeps off that begins now.
-func (c Config) Off(now time.Duration) core.Off {
-	return core.Off{All: true, Until: now + ms(c.LeaseMS)}
+// InitialBlocks is what a pooler keeps off that begins now.
+func (c Config) InitialBlocks(now time.Duration) core.Blocks {
+	return core.Blocks{All: true, Until: now + ms(c.LeaseMS)}
 }
 
 // Stop ends, once nothing is sent any more, and says in the record that this pooler has left.
-func (d *Driver) Stop() {
+func (d *Agent) Stop() {
 	d.cancel()
 	d.ended.Wait()
 	ctx, cancel := context.WithTimeout(context.Background(), leaves)
@@ -118,7 +118,7 @@
 	}
 }
 
-func (d *Driver) kick() {
+func (d *Agent) kick() {
 	select {
 	case d.kicked <- struct{}{}:
 	default:
@@ -128,12 +128,12 @@
 // ---- Reading
 
 // watch follows what is agreed, as soon as any store that it reaches knows it.
-func (d *Driver) watch(ctx context.Context) {
+func (d *Agent) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.mu.Lock()
 		after := d.at
 		d.mu.Unlock()
-		c, err := d.pooler.Client.Watch(ctx, maintenance.Now, after, watches)
+		c, err := d.pooler.Client.Watch(ctx, maintenance.FollowedPrefix, after, watches)
 		if err != nil {
 			sleep(ctx, pause)
 			continue
@@ -148,7 +148,7 @@
 
 // news takes in what a watch has brought; false: it waits for renew. A plan that is new is read with its lease: what it lists would
 // else be kept off until then.
-func (d *Driver) news(after uint64, c store.Changes) bool {
+func (d *Agent) news(after uint64, c store.Changes) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c.Revision <= d.at || after != d.at && !c.Whole { // renew was faster
@@ -167,13 +167,13 @@
 		return false
 	}
 	if d.take(held, c.Revision) {
-		d.reader.Heard(d.at, d.record.Course())
+		d.reader.Observe(d.at, d.record.PlanSteps())
 	}
 	return true
 }
 
 // renew renews the lease while there is a plan, and reads the record for the first time.
-func (d *Driver) renew(ctx context.Context) {
+func (d *Agent) renew(ctx context.Context) {
 	known, failing := false, false
 	for ctx.Err() == nil {
 		if known && !d.active.Load() {
@@ -182,7 +182,7 @@
 		}
 		asked := d.pooler.Clock()
 		key := d.key()
-		v, err := d.pooler.Client.Read(ctx, maintenance.Now, key)
+		v, err := d.pooler.Client.Read(ctx, maintenance.FollowedPrefix, key)
 		if failed := err != nil; failed != failing && ctx.Err() == nil {
 			failing = failed
 			d.pooler.Log.Warn().Bool("failing", failing).Err(err).Msg("works: reading the record")
@@ -197,7 +197,7 @@
 		delete(v.Values, key)
 		d.mu.Lock()
 		if v.Revision < d.at || d.take(v.Values, v.Revision) {
-			d.reader.Read(asked, d.at, d.record.Course())
+			d.reader.Refresh(asked, d.at, d.record.PlanSteps())
 			known = true
 		}
 		d.mu.Unlock()
@@ -207,7 +207,7 @@
 }
 
 // take takes in what stands under maintenance.Now; mu is held. What cannot be read changes nothing: the lease runs out.
-func (d *Driver) take(held map[string]store.Value, revision uint64) bool {
+func (d *Agent) take(held map[string]store.Value, revision uint64) bool {
 	r, err := parse(held)
 	if err != nil {
 		if err.Error() != d.broken {
@@ -232,7 +232,7 @@
 // ---- Keeping off, and saying so
 
 // act keeps the pooler off what is out. It waits for no call of the record.
-func (d *Driver) act(ctx context.Context) {
+func (d *Agent) act(ctx context.Context) {
 	for ctx.Err() == nil {
 		if w, known := d.keepOff(ctx); known {
 			d.mu.Lock()
@@ -259,17 +259,17 @@
 
 // keepOff hands the pooler what it has to keep off, and returns the tries for which it has nothing out any more, with the plan that
 // they are of.
-func (d *Driver) keepOff(ctx context.Context) (w maintenance.Word, known bool) {
+func (d *Agent) keepOff(ctx context.Context) (w maintenance.PoolerStatus, known bool) {
 	f := d.pooler.Core.Figures()
 	groups, group := map[int][]string{}, map[string]int{}
-	for _, s := range f.Sights {
+	for _, s := range f.Databases {
 		groups[s.Group] = append(groups[s.Group], s.Name)
 		group[s.Name] = s.Group
 	}
 	d.mu.Lock()
 	now := d.pooler.Clock()
-	lapses := d.reader.Lapses()
-	off := core.Off{All: !d.reader.Known(), Until: lapses, Now: map[routing.NodeID]bool{}, Worn: map[routing.NodeID]bool{}, Then: map[routing.NodeID]bool{},
+	lapses := d.reader.LeaseEnd()
+	off := core.Blocks{All: !d.reader.Known(), Until: lapses, Now: map[routing.NodeID]bool{}, Worn: map[routing.NodeID]bool{}, Then: map[routing.NodeID]bool{},
 		Blind: map[routing.NodeID]bool{}}
 	agreed := map[routing.NodeID]bool{}
 	names := slices.Sorted(maps.Keys(group))
@@ -282,19 +282,19 @@
 		id := discovery.ID(name)
 		g, listed := group[name]
 		others := slices.DeleteFunc(slices.Clone(groups[g]), func(o string) bool { return o == name })
-		if may, _ := d.reader.May(now, name, others); !may {
+		if may, _ := d.reader.MaySend(now, name, others); !may {
 			off.Now[id] = true
 		}
-		may, blind := d.reader.May(max(now, lapses), name, others)
+		may, blind := d.reader.MaySend(max(now, lapses), name, others)
 		if !may || blind && !listed {
 			off.Then[id] = true
 		} else if blind {
 			off.Blind[id] = true
 		}
 		switch d.record.Steps[name].State {
-		case maintenance.Agreed:
+		case maintenance.Draining:
 			agreed[id] = true
-		case maintenance.Back:
+		case maintenance.Recovering:
 			off.Worn[id] = true
 		}
 	}
@@ -308,7 +308,7 @@
 		line.Msg("works: the lease on the record")
 	}
 	if !active && d.reader.Known() {
-		off = core.Off{Worn: off.Worn}
+		off = core.Blocks{Worn: off.Worn}
 	}
 	d.shown.Off = nil
 	for _, name := range names {
@@ -316,15 +316,15 @@
 			d.shown.Off = append(d.shown.Off, name)
 		}
 	}
-	ask := d.leaders(now, f.Sights, off.Now)
+	ask := d.leaders(now, f.Databases, off.Now)
 	d.mu.Unlock()
 	left := make(chan map[routing.NodeID]int, 1)
 	d.pooler.Do(func() {
-		d.pooler.Core.KeepOff(off)
+		d.pooler.Core.Block(off)
 		for _, name := range ask {
-			d.pooler.Core.Ask(name)
+			d.pooler.Core.ProbeByName(name)
 		}
-		left <- d.pooler.Core.Out(agreed)
+		left <- d.pooler.Core.AttemptsInFlight(agreed)
 	})
 	select {
 	case out := <-left:
@@ -348,7 +348,7 @@
 
 // leaders are databases to ask, as all that this pooler takes for the primary of their group is kept off: another has taken over, and it
 // has seen nothing of that yet. Mu is held.
-func (d *Driver) leaders(now time.Duration, sights []core.Sight, off map[routing.NodeID]bool) (ask []string) {
+func (d *Agent) leaders(now time.Duration, sights []core.DatabaseStatus, off map[routing.NodeID]bool) (ask []string) {
 	if len(off) == 0 || now-d.asked < look {
 		return nil
 	}
@@ -367,19 +367,19 @@
 }
 
 // key is where this process's word stands. At an upgrade there are two of a name for a while, and each has to say that it stopped.
-func (d *Driver) key() string {
+func (d *Agent) key() string {
 	if d.pooler.Joined() {
-		return maintenance.WordKey(d.pooler.Name)
+		return maintenance.StatusKey(d.pooler.Name)
 	}
-	return maintenance.WordKey(d.pooler.Name + second)
+	return maintenance.StatusKey(d.pooler.Name + second)
 }
 
 // second is of the process of a name that is not part of the fleet yet.
 const second = "+"
 
 // say keeps this pooler's word in the record as it is.
-func (d *Driver) say(ctx context.Context) {
-	var said maintenance.Word
+func (d *Agent) say(ctx context.Context) {
+	var said maintenance.PoolerStatus
 	var at uint64 // revision at which it was said
 	key, stands, first := "", false, true
 	for {
@@ -399,7 +399,7 @@
 			stands, at = false, 0
 		}
 		if first && d.pooler.Joined() { // its own of before, or that of one that ended without a word
-			deleted = []string{maintenance.WordKey(d.pooler.Name + second)}
+			deleted = []string{maintenance.StatusKey(d.pooler.Name + second)}
 		}
 		w.Incarnation, w.LeaseMS = d.pooler.Incarnation(), int64(d.config.LeaseMS)
 		if stands && w.Incarnation == said.Incarnation && w.Plan == said.Plan && maps.Equal(w.Stopped, said.Stopped) {
@@ -424,19 +424,19 @@
 }
 
 // id is a new one of a change.
-func (d *Driver) id() string {
+func (d *Agent) id() string {
 	return fmt.Sprintf("works/%s/%d/%d", d.pooler.Name, d.pooler.Incarnation(), d.calls.Add(1))
 }
 
 // ---- Leading
 
 // lead takes the plan further while this pooler leads the record.
-func (d *Driver) lead(ctx context.Context) {
+func (d *Agent) lead(ctx context.Context) {
 	if d.pooler.Store == nil {
 		return
 	}
 	var l *maintenance.Leader
-	self := maintenance.Life{}
+	self := maintenance.Instance{}
 	for ; ctx.Err() == nil; sleep(ctx, look) {
 		if !d.pooler.Store.Leads() {
 			l = nil
@@ -449,9 +449,9 @@
 		if err != nil {
 			continue
 		}
-		s := d.see(r.Plan.Wish.Bears)
-		o := l.Lead(d.pooler.Clock(), wall(), r, s)
-		d.ask(o.Ask)
+		s := d.see(r.Plan.Spec.Capacity)
+		o := l.Propose(d.pooler.Clock(), wall(), r, s)
+		d.ask(o.Probe)
 		if o.Resign {
 			d.pooler.Log.Info().Msg("works: another is to lead the record, as this pooler is next")
 			if err := d.pooler.Store.HandOver(); err != nil {
@@ -470,35 +470,35 @@
 	}
 }
 
-func (d *Driver) self() maintenance.Life {
-	return maintenance.Life{Name: d.pooler.Name, Incarnation: d.pooler.Incarnation()}
+func (d *Agent) self() maintenance.Instance {
+	return maintenance.Instance{Name: d.pooler.Name, Incarnation: d.pooler.Incarnation()}
 }
 
-func (d *Driver) manner(self maintenance.Life) maintenance.Manner {
-	return maintenance.Manner{Self: self, Hook: len(d.config.Hook) > 0 || d.config.HookURL != "", HandsOver: len(d.config.HandOver) > 0,
+func (d *Agent) manner(self maintenance.Instance) maintenance.Policy {
+	return maintenance.Policy{Self: self, Hook: len(d.config.Hook) > 0 || d.config.HookURL != "", HandsOver: len(d.config.HandOver) > 0,
 		Calls: d.config.HookCalls, Lease: ms(d.config.LeaseMS), Skew: ms(d.config.SkewMS), Settle: ms(d.config.SettleMS)}
 }
 
-func (d *Driver) whole(ctx context.Context) (maintenance.Record, error) {
-	v, err := d.pooler.Client.Read(ctx, maintenance.All)
+func (d *Agent) whole(ctx context.Context) (maintenance.Record, error) {
+	v, err := d.pooler.Client.Read(ctx, maintenance.KeyPrefix)
 	if err != nil {
 		return maintenance.Record{}, err
 	}
 	return parse(v.Values)
 }
 
-func (d *Driver) see(bears float64) maintenance.Seen {
+func (d *Agent) see(bears float64) maintenance.Observation {
 	f, s, leads := d.pooler.Core.Figures(), d.pooler.Fleet(), d.pooler.Store != nil && d.pooler.Store.Leads()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.looker.see(d.pooler.Clock(), f, s, leads, bears)
 }
 
-func (d *Driver) ask(databases []string) {
+func (d *Agent) ask(databases []string) {
 	if len(databases) > 0 {
 		d.pooler.Do(func() {
 			for _, name := range databases {
-				d.pooler.Core.Ask(name)
+				d.pooler.Core.ProbeByName(name)
 			}
 		})
 	}
@@ -506,7 +506,7 @@
 
 // agree writes what is to be agreed on, again and again under one id until it is known whether it was; true: it was, or there is
 // nothing to write.
-func (d *Driver) agree(ctx context.Context, o maintenance.Orders, r maintenance.Record) bool {
+func (d *Agent) agree(ctx context.Context, o maintenance.Proposal, r maintenance.Record) bool {
 	on, set, deleted := o.Change(r)
 	if on == nil {
 		return true
@@ -522,8 +522,8 @@
 			continue
 		}
 		if outcome.Applied {
-			for _, e := range o.Entries {
-				d.pooler.Log.Info().Str("machine", e.Machine).Uint64("number", e.Number).Str("by", e.By).Msg("works: " + e.What)
+			for _, e := range o.History {
+				d.pooler.Log.Info().Str("machine", e.Machine).Uint64("number", e.Number).Str("by", e.By).Msg("works: " + e.Text)
 			}
 		}
 		return outcome.Applied
@@ -533,7 +533,7 @@
 
 // hook calls a hook, and writes how it ended. Only the pooler that called it knows; if its end cannot be written while this process
 // lives, nobody else may write it.
-func (d *Driver) hook(ctx context.Context, call maintenance.Call, self maintenance.Life) {
+func (d *Agent) hook(ctx context.Context, call maintenance.Call, self maintenance.Instance) {
 	d.pooler.Log.Info().Str("machine", call.Machine).Str("to", call.To).Uint64("number", call.Number).Msg("works: a hook is called")
 	ended := make(chan string, 1)
 	go func() { ended <- d.config.call(call) }()
@@ -549,7 +549,7 @@
 		if err != nil {
 			continue
 		}
-		o := m.Ended(d.pooler.Clock(), wall(), r, call, failed)
+		o := m.HookResult(d.pooler.Clock(), wall(), r, call, failed)
 		if on, _, _ := o.Change(r); on == nil {
 			return // it is known, or of a try that is over
 		}
--- a/internal/maintenance/agent/cases_test.go
+++ b/internal/maintenance/agent/cases_test.go
@@ -37,7 +37,7 @@
 }
 
 // shown is what a pooler tells of its part.
-func (r *run) shown(name string) (s agent.Shown) {
+func (r *run) shown(name string) (s agent.Overview) {
 	code, body := r.Beds[name].Call("GET", "/works")
 	require.Equal(r.T, 200, code, body)
 	require.NoError(r.T, json.Unmarshal([]byte(body), &s))
@@ -70,19 +70,19 @@
 		r.passes(50)
 	}
 	r.start("n3", "machines = [\"db-1\"]\nfresh = 1\n")
-	r.reaches("n3", "db-1", maintenance.Agreed)
+	r.reaches("n3", "db-1", maintenance.Draining)
 	r.eventually(func() bool { return r.shown("n3").Out["db-1"] > 0 }, "n3 knows what it has out there")
 	first := r.leader()
 	r.Kill(first)
 	r.leader()
-	require.Equal(t, maintenance.Agreed, r.state("n3", "db-1"), "nobody has gone on without n3")
+	require.Equal(t, maintenance.Draining, r.state("n3", "db-1"), "nobody has gone on without n3")
 	for _, d := range r.Beds["n0"].Databases {
 		d.Release()
 	}
 	require.True(t, held.Next().Complete, "what was held is answered")
 	r.Restart(first) // otherwise the step waits for it
 	h.began(1)
-	require.Equal(t, maintenance.AtWork, r.state("n3", "db-1"))
+	require.Equal(t, maintenance.InMaintenance, r.state("n3", "db-1"))
 	second := r.leader()
 	r.Kill(second)
 	third := r.leader()
@@ -92,7 +92,7 @@
 	r.eventually(func() bool { return !h.calls()[0].to.IsZero() }, "the hook ends")
 	r.passes(2000)
 	require.Len(t, h.calls(), 1, "it is not called again")
-	require.Equal(t, maintenance.AtWork, r.state("n3", "db-1"), "nobody knows that it has ended")
+	require.Equal(t, maintenance.InMaintenance, r.state("n3", "db-1"), "nobody knows that it has ended")
 	r.do("n3", "end", "db-1")
 	r.over("n3")
 	end()
@@ -138,7 +138,7 @@
 	h.open()
 	r.eventually(func() bool { return len(h.calls()) == 2 && !h.calls()[1].to.IsZero() }, "the other is worked on without it")
 	require.True(t, slices.ContainsFunc(r.status(rest[0]).Steps, func(s maintenance.Step) bool {
-		return s.Machine == h.calls()[1].machine && slices.Equal(s.Without, []string{one})
+		return s.Machine == h.calls()[1].machine && slices.Equal(s.Unreachable, []string{one})
 	}), "the record says without whom")
 	require.Zero(t, r.kept(h.calls()))
 	r.Kill(one)
@@ -156,7 +156,7 @@
 	t.Parallel()
 	r := begin(t, 13, 4, 1, "")
 	r.start("n0", "machines = [\"db-1\"]\nfresh = 1\n")
-	r.reaches("n0", "db-1", maintenance.Free)
+	r.reaches("n0", "db-1", maintenance.Drained)
 	r.Kill("n3")
 	r.Net.Partition([]string{"n3"}, []string{"n0", "n1", "n2"})
 	r.Restart("n3")
@@ -241,10 +241,10 @@
 		r.Serve("beside", "n1")
 	}
 	r.start("n0", "machines = [\"db-1\"]\nfresh = 1\n")
-	r.reaches("n0", "db-1", maintenance.Agreed)
+	r.reaches("n0", "db-1", maintenance.Draining)
 	r.do("n2", "abort")
 	r.over("n0")
-	require.Equal(t, maintenance.Undone, r.state("n0", "db-1"))
+	require.Equal(t, maintenance.RolledBack, r.state("n0", "db-1"))
 	for _, d := range r.Beds["n0"].Databases {
 		d.Release()
 	}
@@ -259,12 +259,12 @@
 	other := map[string]string{"db-1": "db-2", "db-2": "db-1"}[one]
 	r.do("n0", "begin", one)
 	r.do("n1", "abort")
-	require.Equal(t, maintenance.AtWork, r.state("n0", one))
+	require.Equal(t, maintenance.InMaintenance, r.state("n0", one))
 	require.Equal(t, maintenance.Aborting, r.status("n0").Plan.State)
-	r.eventually(func() bool { return r.state("n0", other) == maintenance.Undone }, "what waits is given up")
+	r.eventually(func() bool { return r.state("n0", other) == maintenance.RolledBack }, "what waits is given up")
 	r.database(one).Freeze(true) // it does not come back
 	r.do("n0", "end", one)
-	r.reaches("n0", one, maintenance.Back)
+	r.reaches("n0", one, maintenance.Recovering)
 	r.eventually(func() bool { m := r.shown("n0").Look.Machines[one]; return m != nil && !m.Up }, "it is seen to be bad")
 	require.Equal(t, maintenance.Aborting, r.status("n0").Plan.State, "the plan waits for it")
 	r.database(one).Freeze(false)
@@ -306,7 +306,7 @@
 	defer end()
 	r.start("n1", "machines = [\"n0\", \"n1\", \"n2\", \"n3\", \"db-1\"]\nfresh = 1\n")
 	at := func() string { mu.Lock(); defer mu.Unlock(); return r.Running()[0] }
-	require.Eventually(t, func() bool { s := r.status(at()); return s.Agreed && s.Plan.State == maintenance.Over }, 2*testbed.FleetPatience, 5*testbed.Turn)
+	require.Eventually(t, func() bool { s := r.status(at()); return s.Agreed && s.Plan.State == maintenance.Finished }, 2*testbed.FleetPatience, 5*testbed.Turn)
 	end()
 	mu.Lock()
 	defer mu.Unlock()
@@ -343,7 +343,7 @@
 	}, "db-1 holds something of the new process")
 	require.NoError(t, old.Signal(syscall.SIGCONT))
 	r.start("n0", "machines = [\"db-1\"]\nfresh = 1\n")
-	r.reaches("n0", "db-1", maintenance.Agreed)
+	r.reaches("n0", "db-1", maintenance.Draining)
 	r.eventually(func() bool { return slices.Equal(r.status("n0").Missed, []string{"n3+"}) }, "the new process alone is not heard")
 	for _, d := range r.Beds["n0"].Databases {
 		d.Release()
@@ -351,7 +351,7 @@
 	for _, c := range held {
 		require.True(t, c.Next().Complete)
 	}
-	r.reaches("n0", "db-1", maintenance.Free)
+	r.reaches("n0", "db-1", maintenance.Drained)
 	require.NoError(t, end())
 	r.Settled("the old one has left", r.Names...)
 	before := len(r.database("db-1").Got())
@@ -362,7 +362,7 @@
 	r.do("n3", "end", "db-1")
 	r.over("n0")
 	r.start("n0", "machines = [\"db-2\"]\nfresh = 1\n") // nobody waits for a second process any more
-	r.reaches("n0", "db-2", maintenance.Free)
+	r.reaches("n0", "db-2", maintenance.Drained)
 }
 
 // What is wrong with the table, or with a wish, is told with line and key.
--- a/internal/maintenance/agent/look.go
+++ b/internal/maintenance/agent/look.go
@@ -27,8 +27,8 @@
 }
 
 // see looks. The loads are in databases, each of which bears so many requests a second; 0: load is not looked at.
-func (l *looker) see(now time.Duration, f core.Figures, s gossip.State, leads bool, bears float64) maintenance.Seen {
-	seen := maintenance.Seen{Look: maintenance.Look{Machines: map[string]*maintenance.Machine{}, Load: map[int]float64{}}, Lives: map[string]uint64{},
+func (l *looker) see(now time.Duration, f core.Figures, s gossip.State, leads bool, bears float64) maintenance.Observation {
+	seen := maintenance.Observation{Snapshot: maintenance.Snapshot{Machines: map[string]*maintenance.Machine{}, Load: map[int]float64{}}, Incarnations: map[string]uint64{},
 		Left: map[string]uint64{}, Heard: map[string]time.Duration{}}
 	rates := map[int]float64{}
 	reached := map[string]int{} // poolers by zone that are there
@@ -37,8 +37,8 @@
 			seen.Left[p.Name] = p.Incarnation
 			continue
 		}
-		seen.Lives[p.Name] = p.Incarnation
-		m := &maintenance.Machine{Name: p.Name, Kind: maintenance.Pooler, Size: 1, Warm: true, Life: p.Incarnation, Leads: p.Name == s.Name && leads}
+		seen.Incarnations[p.Name] = p.Incarnation
+		m := &maintenance.Machine{Name: p.Name, Kind: maintenance.Pooler, Size: 1, Warm: true, Incarnation: p.Incarnation, Leads: p.Name == s.Name && leads}
 		if p.State != "gone" {
 			seen.Live = append(seen.Live, p.Name)
 			var says peers.Self
@@ -64,17 +64,17 @@
 		}
 	}
 	silent, all := map[int]int{}, map[int]int{} // databases by zone
-	for _, d := range f.Sights {
+	for _, d := range f.Databases {
 		all[d.Zone]++
-		if d.Health == routing.Mute {
+		if d.Health == routing.Unresponsive {
 			silent[d.Zone]++
 		}
 	}
-	for _, d := range f.Sights {
-		seen.Heard[d.Name] = d.Heard
+	for _, d := range f.Databases {
+		seen.Heard[d.Name] = d.LastHeard
 		m := &maintenance.Machine{Name: d.Name, Group: d.Group, Zone: l.zone(d.Zone), Size: 1, Primary: d.Primary, Warm: !d.Cold && !cold[d.Name],
-			Cut: all[d.Zone] > 1 && silent[d.Zone] == all[d.Zone]}
-		m.Up = d.Health == routing.Sound && now-d.Heard < heardLately && 2*bad[d.Name] < max(2, len(seen.Live))
+			Unreachable: all[d.Zone] > 1 && silent[d.Zone] == all[d.Zone]}
+		m.Up = d.Health == routing.Healthy && now-d.LastHeard < heardLately && 2*bad[d.Name] < max(2, len(seen.Live))
 		m.Fresh = d.Position > 0 && d.Behind <= l.fresh
 		seen.Machines[d.Name] = m
 	}
--- a/internal/maintenance/agent/measure_test.go
+++ b/internal/maintenance/agent/measure_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func (r *run) entries() (all []maintenance.Entry) {
+func (r *run) entries() (all []maintenance.HistoryEntry) {
 	out, status := r.Command("works", "history", "--json", r.Beds["n0"].Management)
 	require.Zero(r.T, status, out)
 	require.NoError(r.T, json.Unmarshal([]byte(out), &all))
@@ -45,12 +45,12 @@
 		var told, all []float64
 		for range 8 {
 			r.start("n0", "machines = [\"db-1\"]\nfresh = 1\n")
-			r.reaches("n0", "db-1", maintenance.Free)
+			r.reaches("n0", "db-1", maintenance.Drained)
 			r.do("n0", "end", "db-1")
 			r.over("n0")
 			at := map[string]int64{}
 			for _, e := range r.entries() {
-				at[e.What] = e.At // of the last plan
+				at[e.Text] = e.At // of the last plan
 			}
 			told = append(told, float64(at["free"]-at["agreed"])/1000)
 			all = append(all, float64(at["the plan is over"]-at["agreed"])/1000)
@@ -142,7 +142,7 @@
 						led = true
 						lead()
 					}
-					return s.Agreed && s.Plan.State == maintenance.Over
+					return s.Agreed && s.Plan.State == maintenance.Finished
 				}, testbed.FleetPatience, testbed.Turn)
 			default:
 				for _, name := range []string{"db-0", "db-1", "db-2", "db-3"} {
--- a/internal/maintenance/agent/plant_test.go
+++ b/internal/maintenance/agent/plant_test.go
@@ -21,7 +21,7 @@
 		edits []testbed.Edit
 		play  func(t *testing.T, r *run, h hook)
 	}{
-		"the lease does not bind": {[]testbed.Edit{{File: "internal/maintenance/reader.go", Old: "case now < p.Lapses():", New: "case p.known || now < p.Lapses():"}},
+		"the lease does not bind": {[]testbed.Edit{{File: "internal/maintenance/reader.go", Old: "case now < p.LeaseEnd():", New: "case p.known || now < p.LeaseEnd():"}},
 			func(t *testing.T, r *run, h hook) { // one is cut off, and what it does not hear of is worked on
 				one := r.other(r.leader())
 				r.start("n3", two)
@@ -44,8 +44,8 @@
 				}, "the one that is cut off sends to what is worked on")
 				h.open()
 			}},
-		"a restart is forgotten": {[]testbed.Edit{{File: "internal/maintenance/agent/agent.go", Old: "return core.Off{All: true, ", New: "return core.Off{"},
-			{File: "internal/maintenance/agent/agent.go", Old: "off := core.Off{All: !d.reader.Known(), ", New: "off := core.Off{"},
+		"a restart is forgotten": {[]testbed.Edit{{File: "internal/maintenance/agent/agent.go", Old: "return core.Blocks{All: true, ", New: "return core.Blocks{"},
+			{File: "internal/maintenance/agent/agent.go", Old: "off := core.Blocks{All: !d.reader.Known(), ", New: "off := core.Blocks{"},
 			{File: "internal/maintenance/reader.go", Old: "return p.known, false //", New: "return true, false //"}},
 			func(t *testing.T, r *run, h hook) { // one that had said that it stopped comes back, and reads nothing
 				r.start("n0", two)
@@ -57,13 +57,13 @@
 				r.Net.Heal()
 				h.open()
 			}},
-		"work can be given up": {[]testbed.Edit{{File: "internal/maintenance/step.go", Old: "case s.State == AtWork: // Somebody", New: "case false: // Somebody"}},
+		"work can be given up": {[]testbed.Edit{{File: "internal/maintenance/step.go", Old: "case s.State == InMaintenance: // Somebody", New: "case false: // Somebody"}},
 			func(t *testing.T, r *run, h hook) { // and is begun again while it still goes on
 				r.start("n0", two)
 				h.began(1)
 				r.do("n1", "abort")
 				r.over("n1")
-				r.eventually(func() bool { return r.state("n1", "db-1") == maintenance.Undone }, "it is given up")
+				r.eventually(func() bool { return r.state("n1", "db-1") == maintenance.RolledBack }, "it is given up")
 				r.start("n0", two)
 				h.began(2)
 				h.open()
@@ -107,7 +107,7 @@
 	r.Kill(first) // another's clock counts from here on, be it one of the odd ones
 	r.eventually(func() bool { return !h.calls()[0].to.IsZero() }, "the hook ends")
 	r.Restart(first)
-	if r.state("n3", "db-1") == maintenance.AtWork { // who called the hook could not write that it ended
+	if r.state("n3", "db-1") == maintenance.InMaintenance { // who called the hook could not write that it ended
 		r.do("n3", "end", "db-1")
 	}
 	r.over("n3")
--- a/internal/maintenance/agent/process_test.go
+++ b/internal/maintenance/agent/process_test.go
@@ -99,7 +99,7 @@
 	r.T.Helper()
 	require.Eventually(r.T, func() bool {
 		for _, s := range r.status(at).Steps {
-			if s.State == maintenance.Free {
+			if s.State == maintenance.Drained {
 				name = s.Machine
 			}
 		}
@@ -114,7 +114,7 @@
 	r.T.Helper()
 	require.Eventually(r.T, func() bool {
 		s := r.status(at)
-		return s.Agreed && s.Plan.State == maintenance.Over
+		return s.Agreed && s.Plan.State == maintenance.Finished
 	}, testbed.FleetPatience, testbed.Turn, "the plan ends")
 }
 
--- a/internal/maintenance/agent/show.go
+++ b/internal/maintenance/agent/show.go
@@ -24,25 +24,25 @@
 	"capercove/internal/store"
 )
 
-// Shown is what operators see of a pooler's part.
-type Shown struct {
-	Name     string             `json:"name"`
-	Leads    bool               `json:"leads"`            // the record
-	Record   []string           `json:"record"`           // where it is called
-	Revision uint64             `json:"revision"`         // of what this pooler has read
-	Lapses   int64              `json:"lapses_ms"`        // until the lease runs out; under 0: it has
-	Broken   string             `json:"broken,omitempty"` // why the record cannot be read
-	Off      []string           `json:"off,omitempty"`    // databases to which it sends nothing new
-	Out      map[string]int     `json:"out,omitempty"`    // requests that are out where it is to stop
-	Blind    int64              `json:"blind"`            // requests sent to what could be at work, as nothing else was left
-	Plan     maintenance.Plan   `json:"plan"`             // as this pooler has it, as the next
-	Steps    []maintenance.Step `json:"steps"`
-	Look     maintenance.Look   `json:"look"`
+// Overview is what operators see of a pooler's part.
+type Overview struct {
+	Name     string               `json:"name"`
+	Leads    bool                 `json:"leads"`            // the record
+	Record   []string             `json:"record"`           // where it is called
+	Revision uint64               `json:"revision"`         // of what this pooler has read
+	Lapses   int64                `json:"lapses_ms"`        // until the lease runs out; under 0: it has
+	Broken   string               `json:"broken,omitempty"` // why the record cannot be read
+	Off      []string             `json:"off,omitempty"`    // databases to which it sends nothing new
+	Out      map[string]int       `json:"out,omitempty"`    // requests that are out where it is to stop
+	Blind    int64                `json:"blind"`            // requests sent to what could be at work, as nothing else was left
+	Plan     maintenance.Plan     `json:"plan"`             // as this pooler has it, as the next
+	Steps    []maintenance.Step   `json:"steps"`
+	Look     maintenance.Snapshot `json:"look"`
 }
 
-// Show is what this pooler sees and has read. It asks databases of which nothing has been heard of late, so that a later look has
+// Overview is what this pooler sees and has read. It asks databases of which nothing has been heard of late, so that a later look has
 // more to see.
-func (d *Driver) Show(bears float64) Shown {
+func (d *Agent) Overview(bears float64) Overview {
 	seen := d.see(bears)
 	now := d.pooler.Clock()
 	var ask []string
@@ -56,8 +56,8 @@
 	defer d.mu.Unlock()
 	s := d.shown
 	s.Name, s.Leads, s.Record = d.pooler.Name, d.pooler.Store != nil && d.pooler.Store.Leads(), d.pooler.Client.At()
-	s.Revision, s.Lapses, s.Broken, s.Blind = d.at, (d.reader.Lapses() - now).Milliseconds(), d.broken, d.pooler.Core.Figures().Blind
-	s.Plan, s.Steps, s.Look = d.record.Plan, d.record.Course(), seen.Look
+	s.Revision, s.Lapses, s.Broken, s.Blind = d.at, (d.reader.LeaseEnd() - now).Milliseconds(), d.broken, d.pooler.Core.Figures().Blind
+	s.Plan, s.Steps, s.Look = d.record.Plan, d.record.PlanSteps(), seen.Snapshot
 	return s
 }
 
@@ -73,7 +73,7 @@
 type operator struct {
 	at     string
 	client *store.Client
-	shown  Shown
+	shown  Overview
 	out    io.Writer
 }
 
@@ -88,11 +88,11 @@
 	}
 	verb, rest := args[0], flags.Args()
 	names := 0 // before the address
-	if verb == "plan" || verb == "start" || maintenance.Verb(verb).OfMachine() {
+	if verb == "plan" || verb == "start" || maintenance.Command(verb).OfMachine() {
 		names = 1
 	}
-	known := []string{"plan", "start", "status", "history", string(maintenance.Pause), string(maintenance.Resume), string(maintenance.GiveUp), string(maintenance.Pass),
-		string(maintenance.Begin), string(maintenance.End), string(maintenance.Forget)}
+	known := []string{"plan", "start", "status", "history", string(maintenance.Pause), string(maintenance.Resume), string(maintenance.AbortPlan), string(maintenance.SkipMachine),
+		string(maintenance.BeginWork), string(maintenance.EndWork), string(maintenance.ForgetPooler)}
 	if !slices.Contains(known, verb) || len(rest) != names+1 {
 		return 0, false
 	}
@@ -115,8 +115,8 @@
 		if names > 0 {
 			name = rest[0]
 		}
-		err = o.change(func(r maintenance.Record, wall time.Duration) (maintenance.Orders, error) {
-			return maintenance.Do(wall, r, maintenance.Verb(verb), name, who())
+		err = o.change(func(r maintenance.Record, wall time.Duration) (maintenance.Proposal, error) {
+			return maintenance.Execute(wall, r, maintenance.Command(verb), name, who())
 		})
 	}
 	if err != nil {
@@ -144,7 +144,7 @@
 }
 
 func (o *operator) record() (maintenance.Record, error) {
-	v, err := o.client.Read(context.Background(), maintenance.All)
+	v, err := o.client.Read(context.Background(), maintenance.KeyPrefix)
 	if err != nil {
 		return maintenance.Record{}, fmt.Errorf("the record has no majority, or cannot be reached: %w", err)
 	}
@@ -152,7 +152,7 @@
 }
 
 // change makes a change on what stands in the record, anew where somebody else's came first.
-func (o *operator) change(decide func(maintenance.Record, time.Duration) (maintenance.Orders, error)) error {
+func (o *operator) change(decide func(maintenance.Record, time.Duration) (maintenance.Proposal, error)) error {
 	id := fmt.Sprintf("works/operator/%d/%016x", os.Getpid(), rand.Uint64())
 	for try := range 20 {
 		r, err := o.record()
@@ -176,8 +176,8 @@
 			return fmt.Errorf("it is not known whether it was agreed on: %w", err)
 		}
 		if outcome.Applied {
-			for _, e := range orders.Entries {
-				fmt.Fprintln(o.out, strings.TrimSpace(e.Machine+" "+e.What))
+			for _, e := range orders.History {
+				fmt.Fprintln(o.out, strings.TrimSpace(e.Machine+" "+e.Text))
 			}
 			return nil
 		}
@@ -194,13 +194,13 @@
 	if err != nil {
 		return err
 	}
-	var order []maintenance.Stage
+	var order []maintenance.DryRunStep
 	for begun := time.Now(); ; time.Sleep(look) { // evidence comes in as it is asked for
-		if err := o.ask(w.Bears); err != nil {
+		if err := o.ask(w.Capacity); err != nil {
 			return err
 		}
 		if err = w.Check(o.shown.Look.Machines); err == nil {
-			if order, err = maintenance.Dry(w, o.shown.Look); err == nil {
+			if order, err = maintenance.DryRun(w, o.shown.Look); err == nil {
 				break
 			}
 		}
@@ -214,7 +214,7 @@
 		return nil
 	}
 	id := planID(clock.Wall())
-	return o.change(func(r maintenance.Record, wall time.Duration) (maintenance.Orders, error) {
+	return o.change(func(r maintenance.Record, wall time.Duration) (maintenance.Proposal, error) {
 		return maintenance.Start(wall, r, id, who(), w, o.shown.Look)
 	})
 }
@@ -226,7 +226,7 @@
 }
 
 // readWish reads a file with a wish. Errors name the line and the key.
-func readWish(path string) (w maintenance.Wish, err error) {
+func readWish(path string) (w maintenance.PlanSpec, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return w, err
@@ -237,7 +237,7 @@
 	return w, nil
 }
 
-func (o *operator) order(order []maintenance.Stage) {
+func (o *operator) order(order []maintenance.DryRunStep) {
 	t := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
 	for i, s := range order {
 		text := ""
@@ -257,29 +257,29 @@
 	Steps  []maintenance.Step `json:"steps"`
 	Waits  map[string]string  `json:"waits"` // why each machine waits
 	Missed []string           `json:"missed,omitempty"`
-	Pooler Shown              `json:"pooler"`
+	Pooler Overview           `json:"pooler"`
 }
 
 func (o *operator) look() (s Status) {
 	r, err := o.record()
-	s = Status{Agreed: err == nil, Plan: r.Plan, Steps: r.Course(), Pooler: o.shown}
+	s = Status{Agreed: err == nil, Plan: r.Plan, Steps: r.PlanSteps(), Pooler: o.shown}
 	if err != nil {
 		s.Why, s.Plan, s.Steps = err.Error(), o.shown.Plan, o.shown.Steps
 	}
 	at := map[string]maintenance.State{}
 	for _, step := range s.Steps {
 		at[step.Machine] = step.State
-		for name := range r.Words { // whose word a step waits for
-			if step.State == maintenance.Agreed && step.Stopped[name] < r.Words[name].Incarnation && !slices.Contains(s.Missed, name) {
+		for name := range r.Statuses { // whose word a step waits for
+			if step.State == maintenance.Draining && step.Stopped[name] < r.Statuses[name].Incarnation && !slices.Contains(s.Missed, name) {
 				s.Missed = append(s.Missed, name)
 			}
 		}
 	}
 	slices.Sort(s.Missed)
-	d := maintenance.Next(s.Plan.Wish, at, o.shown.Look)
-	s.Waits = d.Waits
-	if d.AskBack != "" {
-		s.Waits[d.AskBack] = "asked back, as its group has become too small"
+	d := maintenance.Decide(s.Plan.Spec, at, o.shown.Look)
+	s.Waits = d.Reasons
+	if d.PutBack != "" {
+		s.Waits[d.PutBack] = "asked back, as its group has become too small"
 	}
 	return s
 }
@@ -304,7 +304,7 @@
 			}
 			return 1
 		}
-		if err := o.ask(s.Plan.Wish.Bears); err != nil {
+		if err := o.ask(s.Plan.Spec.Capacity); err != nil {
 			fmt.Fprintln(o.out, err)
 		}
 	}
@@ -327,10 +327,10 @@
 	for _, step := range s.Steps {
 		text := s.Waits[step.Machine]
 		switch {
-		case step.State == maintenance.Agreed && len(s.Missed) > 0:
+		case step.State == maintenance.Draining && len(s.Missed) > 0:
 			text = "not heard yet: " + strings.Join(s.Missed, " ")
-		case len(step.Without) > 0:
-			text = strings.TrimSpace(text + " without " + strings.Join(step.Without, " "))
+		case len(step.Unreachable) > 0:
+			text = strings.TrimSpace(text + " without " + strings.Join(step.Unreachable, " "))
 		}
 		number := ""
 		if step.Number > 0 {
@@ -353,7 +353,7 @@
 		return json.NewEncoder(o.out).Encode(r.History)
 	}
 	for _, e := range r.History {
-		fmt.Fprintln(o.out, strings.TrimSpace(fmt.Sprintf("%s %s: %s %s", time.UnixMilli(e.At).UTC().Format("2006-01-02 15:04:05.000"), e.By, e.Machine, e.What)))
+		fmt.Fprintln(o.out, strings.TrimSpace(fmt.Sprintf("%s %s: %s %s", time.UnixMilli(e.At).UTC().Format("2006-01-02 15:04:05.000"), e.By, e.Machine, e.Text)))
 	}
 	return nil
 }
--- a/internal/maintenance/lead.go
+++ b/internal/maintenance/lead.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Seen is what the leader sees now.
-type Seen struct {
-	Look
-	Lives map[string]uint64        // of the poolers in the fleet's view that live or went without a word, with their incarnation
-	Live  []string                 // ... of them that live
-	Left  map[string]uint64        // those that left by their own word
-	Heard map[string]time.Duration // last evidence of each database, on this pooler's clock
+// Observation is what the leader sees now.
+type Observation struct {
+	Snapshot
+	Incarnations map[string]uint64        // of the poolers in the fleet's view that live or went without a word, with their incarnation
+	Live         []string                 // ... of them that live
+	Left         map[string]uint64        // those that left by their own word
+	Heard        map[string]time.Duration // last evidence of each database, on this pooler's clock
 }
 
-// Manner is how work is done here.
-type Manner struct {
-	Self      Life
+// Policy is how work is done here.
+type Policy struct {
+	Self      Instance
 	Hook      bool          // does the work; otherwise a person says when it begins and ends
 	HandsOver bool          // a hook lets a replica take over; otherwise a person does
 	Calls     int           // of a hook that fails, or whose caller is gone, at the most
@@ -37,7 +37,7 @@
 // Leader takes a plan through, look by look. It holds what only this pooler knows: since when it has seen what, on its own clock, as
 // no other's can be compared. A new leader begins with nothing and waits anew.
 type Leader struct {
-	manner Manner
+	manner Policy
 	seen   map[string]sight // by machine
 	window window
 }
@@ -57,17 +57,17 @@
 }
 
 // NewLeader returns one that has seen nothing yet.
-func NewLeader(m Manner) *Leader { return &Leader{manner: m, seen: map[string]sight{}} }
+func NewLeader(m Policy) *Leader { return &Leader{manner: m, seen: map[string]sight{}} }
 
 // evidence that is older is asked for.
 const evidence = 2 * time.Second
 
-// Lead decides what to do next. Wall is the Unix time, to be shown, and to find how much of the plan's time is left
+// Propose decides what to do next. Wall is the Unix time, to be shown, and to find how much of the plan's time is left
 // when it is first seen. No step of the wall clock changes anything else.
-func (l *Leader) Lead(now, wall time.Duration, r Record, s Seen) (o Orders) {
+func (l *Leader) Propose(now, wall time.Duration, r Record, s Observation) (o Proposal) {
 	me := l.manner.Self.Name
-	for _, name := range slices.Sorted(maps.Keys(r.Words)) {
-		if _, lives := s.Lives[name]; !lives && leftSince(r.Words[name].Incarnation, s.Left[name]) {
+	for _, name := range slices.Sorted(maps.Keys(r.Statuses)) {
+		if _, lives := s.Incarnations[name]; !lives && leftSince(r.Statuses[name].Incarnation, s.Left[name]) {
 			o.Forget = append(o.Forget, name)
 		}
 	}
@@ -80,7 +80,7 @@
 	all := fleet(r, s, o.Forget)
 	c := &course{now: now, rules: l.rules(r)}
 	at := map[string]State{}
-	for _, step := range r.Course() {
+	for _, step := range r.PlanSteps() {
 		c.step, c.fleet = step, all
 		last := l.see(now, step, s)
 		c.step.Since = last.at // against another leader's clock: counted from when this one saw it
@@ -97,8 +97,8 @@
 		o.Plan = &plan
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Heard)) {
-		if now-s.Heard[name] > evidence && !at[name].Barred() {
-			o.Ask = append(o.Ask, name)
+		if now-s.Heard[name] > evidence && !at[name].Blocked() {
+			o.Probe = append(o.Probe, name)
 		}
 	}
 	return o
@@ -117,26 +117,26 @@
 // open begins to count the time that a plan leaves, once.
 func (l *Leader) open(now, wall time.Duration, plan Plan) {
 	if l.window.plan != plan.ID {
-		l.window = window{plan: plan.ID, opened: now, left: plan.Wish.Until.Sub(time.Unix(0, int64(wall)))}
+		l.window = window{plan: plan.ID, opened: now, left: plan.Spec.Until.Sub(time.Unix(0, int64(wall)))}
 	}
 }
 
 // next takes, hands over or asks back what the planner names.
-func (l *Leader) next(c *course, plan *Plan, at map[string]State, r Record, s Seen, o *Orders, wall time.Duration) {
+func (l *Leader) next(c *course, plan *Plan, at map[string]State, r Record, s Observation, o *Proposal, wall time.Duration) {
 	me := l.manner.Self.Name
-	out := slices.ContainsFunc(plan.Wish.Machines, func(name string) bool { return at[name].Out() })
-	switch d := Next(plan.Wish, at, s.Look); {
+	out := slices.ContainsFunc(plan.Spec.Machines, func(name string) bool { return at[name].Unavailable() })
+	switch d := Decide(plan.Spec, at, s.Snapshot); {
 	case d.Complete, plan.State == Aborting && !out:
-		plan.State, plan.Why, plan.HandOver = Over, "", nil
+		plan.State, plan.Why, plan.HandOver = Finished, "", nil
 		o.tell(me, wall, "", 0, "the plan is over")
 	case plan.State != Running:
-	case !plan.Wish.Until.IsZero() && c.now-l.window.opened > l.window.left:
+	case !plan.Spec.Until.IsZero() && c.now-l.window.opened > l.window.left:
 		plan.State, plan.Why = Paused, "the time for it is over"
 		o.tell(me, wall, "", 0, "%s: %s", plan.State, plan.Why)
-	case d.AskBack != "":
-		c.step = r.step(d.AskBack)
-		if c.on(Event{What: Return}) {
-			o.put(me, wall, at[d.AskBack], c.step, "asked back, as its group has become too small")
+	case d.PutBack != "":
+		c.step = r.step(d.PutBack)
+		if c.on(Event{Kind: PutBack}) {
+			o.put(me, wall, at[d.PutBack], c.step, "asked back, as its group has become too small")
 		}
 	case plan.HandOver != nil:
 	case d.HandOver[0] != "":
@@ -148,8 +148,8 @@
 	case d.Take != "":
 		plan.Number++
 		c.step = r.step(d.Take)
-		if next, err := c.step.On(Event{What: Take, Number: plan.Number}, c.now, c.fleet, c.rules); err == nil {
-			next.Life = s.Machines[d.Take].Life
+		if next, err := c.step.Apply(Event{Kind: Take, Number: plan.Number}, c.now, c.fleet, c.rules); err == nil {
+			next.Incarnation = s.Machines[d.Take].Incarnation
 			o.put(me, wall, at[d.Take], next, "")
 		}
 	}
@@ -157,16 +157,16 @@
 
 // fleet are the poolers that could send to a machine: all that have ever said something in the record and have not left, whether
 // the fleet's view still knows them or not, and all that this view knows.
-func fleet(r Record, s Seen, left []string) Fleet {
-	f := Fleet{Lives: map[string]uint64{}, Read: map[string]uint64{}}
-	maps.Copy(f.Lives, s.Lives)
-	for name, word := range r.Words {
+func fleet(r Record, s Observation, left []string) Poolers {
+	f := Poolers{Incarnations: map[string]uint64{}, PlanReadBy: map[string]uint64{}}
+	maps.Copy(f.Incarnations, s.Incarnations)
+	for name, word := range r.Statuses {
 		if slices.Contains(left, name) {
 			continue
 		}
-		f.Lives[name] = max(f.Lives[name], word.Incarnation)
+		f.Incarnations[name] = max(f.Incarnations[name], word.Incarnation)
 		if word.Plan == r.Plan.ID {
-			f.Read[name] = word.Incarnation
+			f.PlanReadBy[name] = word.Incarnation
 		}
 	}
 	return f
@@ -175,20 +175,20 @@
 // rules are those that bind all poolers: the longest lease of any.
 func (l *Leader) rules(r Record) Rules {
 	lease := l.manner.Lease
-	for _, word := range r.Words {
+	for _, word := range r.Statuses {
 		lease = max(lease, time.Duration(word.LeaseMS)*time.Millisecond)
 	}
-	return Rules{Lease: lease, Skew: l.manner.Skew, GoOn: r.Plan.Wish.GoOn, Calls: l.manner.Calls}
+	return Rules{Lease: lease, Skew: l.manner.Skew, IgnoreUnreachable: r.Plan.Spec.IgnoreUnreachable, Calls: l.manner.Calls}
 }
 
 // see keeps since when a step is as it is, and its machine is well.
-func (l *Leader) see(now time.Duration, step Step, s Seen) sight {
+func (l *Leader) see(now time.Duration, step Step, s Observation) sight {
 	last := l.seen[step.Machine]
 	if last.number != step.Number || last.state != step.State {
 		last = sight{number: step.Number, state: step.State, at: now}
 	}
 	m := s.Machines[step.Machine]
-	if well := m != nil && m.ready() && (m.Kind == Pooler && m.Life > step.Life || m.Kind == Database && s.Heard[m.Name] > last.at); !well {
+	if well := m != nil && m.ready() && (m.Kind == Pooler && m.Incarnation > step.Incarnation || m.Kind == Database && s.Heard[m.Name] > last.at); !well {
 		last.well = 0
 	} else if last.well == 0 {
 		last.well = now
@@ -201,14 +201,14 @@
 type course struct {
 	step  Step
 	now   time.Duration
-	fleet Fleet
+	fleet Poolers
 	rules Rules
 }
 
 // on lets the step take in an event of its present try, and tells whether it fitted.
 func (c *course) on(e Event) bool {
 	e.Number = c.step.Number
-	next, err := c.step.On(e, c.now, c.fleet, c.rules)
+	next, err := c.step.Apply(e, c.now, c.fleet, c.rules)
 	if err == nil {
 		c.step = next
 	}
@@ -216,42 +216,42 @@
 }
 
 // further takes one step further, and tells whether anything has changed.
-func (l *Leader) further(c *course, plan *Plan, last sight, r Record, s Seen, o *Orders) (why string, changed bool) {
+func (l *Leader) further(c *course, plan *Plan, last sight, r Record, s Observation, o *Proposal) (why string, changed bool) {
 	name := c.step.Machine
-	if plan.State == Aborting && c.on(Event{What: Abort}) {
+	if plan.State == Aborting && c.on(Event{Kind: Abort}) {
 		return "given up by the operators", true
 	}
 	switch m := s.Machines[name]; c.step.State {
-	case Agreed:
+	case Draining:
 		if m != nil && m.Kind == Pooler { // poolers do not send to it
-			c.fleet = Fleet{}
+			c.fleet = Poolers{}
 		}
-		for _, pooler := range slices.Sorted(maps.Keys(r.Words)) {
-			word := r.Words[pooler]
-			if word.Stopped[name] == c.step.Number && c.step.Stopped[pooler] < word.Incarnation && c.on(Event{What: Said, Life: Life{pooler, word.Incarnation}}) {
+		for _, pooler := range slices.Sorted(maps.Keys(r.Statuses)) {
+			word := r.Statuses[pooler]
+			if word.Stopped[name] == c.step.Number && c.step.Stopped[pooler] < word.Incarnation && c.on(Event{Kind: PoolerStopped, Instance: Instance{pooler, word.Incarnation}}) {
 				changed = true
 			}
 		}
-		c.on(Event{What: Check})
-		if c.step.State != Free {
+		c.on(Event{Kind: Reevaluate})
+		if c.step.State != Drained {
 			return "", changed
 		}
-		if len(c.step.Without) > 0 {
-			why = fmt.Sprintf("without the word of %v, whose lease has run out", c.step.Without)
+		if len(c.step.Unreachable) > 0 {
+			why = fmt.Sprintf("without the word of %v, whose lease has run out", c.step.Unreachable)
 		}
 		return why, true
-	case Free:
-		if !l.manner.Hook || plan.State != Running || !c.on(Event{What: HookCall, Life: l.manner.Self}) {
+	case Drained:
+		if !l.manner.Hook || plan.State != Running || !c.on(Event{Kind: HookStarted, Instance: l.manner.Self}) {
 			return "", false
 		}
-	case AtWork: // Whoever calls the hook writes how it ended; who is gone does not.
-		if !l.manner.Hook || c.step.By == (Life{}) || alive(c.step.By, s) || !c.on(Event{What: HookCall, Life: l.manner.Self}) {
+	case InMaintenance: // Whoever calls the hook writes how it ended; who is gone does not.
+		if !l.manner.Hook || c.step.HookCaller == (Instance{}) || alive(c.step.HookCaller, s) || !c.on(Event{Kind: HookStarted, Instance: l.manner.Self}) {
 			return "", false
 		}
 		o.Calls = append(o.Calls, Call{Machine: name, Number: c.step.Number})
 		return "", true
-	case Back:
-		return "", last.well > 0 && c.now-last.well >= l.manner.Settle && c.on(Event{What: Ready})
+	case Recovering:
+		return "", last.well > 0 && c.now-last.well >= l.manner.Settle && c.on(Event{Kind: Ready})
 	default:
 		return "", false
 	}
@@ -260,12 +260,12 @@
 }
 
 // alive tells whether a life of a pooler is not over, as far as can be seen.
-func alive(l Life, s Seen) bool {
-	return s.Lives[l.Name] <= l.Incarnation && slices.Contains(s.Live, l.Name)
+func alive(l Instance, s Observation) bool {
+	return s.Incarnations[l.Name] <= l.Incarnation && slices.Contains(s.Live, l.Name)
 }
 
 // handOver lets a replica take over from a primary that is next.
-func (l *Leader) handOver(plan *Plan, s Seen, o *Orders, wall time.Duration) {
+func (l *Leader) handOver(plan *Plan, s Observation, o *Proposal, wall time.Duration) {
 	h := plan.HandOver
 	if h == nil {
 		return
@@ -277,15 +277,15 @@
 	case plan.State == Aborting || to == nil || !to.ready():
 		plan.HandOver = nil
 		o.tell(l.manner.Self.Name, wall, h.From, h.Number, "%s does not take over", h.To)
-	case l.manner.HandsOver && plan.State == Running && h.Hooks < max(1, l.manner.Calls) && (h.By == Life{} || !alive(h.By, s)):
-		plan.HandOver = &HandOver{From: h.From, To: h.To, Number: h.Number, Hooks: h.Hooks + 1, By: l.manner.Self}
+	case l.manner.HandsOver && plan.State == Running && h.HookCalls < max(1, l.manner.Calls) && (h.HookCaller == Instance{} || !alive(h.HookCaller, s)):
+		plan.HandOver = &HandOver{From: h.From, To: h.To, Number: h.Number, HookCalls: h.HookCalls + 1, HookCaller: l.manner.Self}
 		o.Calls = append(o.Calls, Call{Machine: h.From, To: h.To, Number: h.Number})
 	}
 }
 
-// Ended is what the pooler that called a hook writes when the call has ended, for a reason if it failed: nobody else knows. It is
+// HookResult is what the pooler that called a hook writes when the call has ended, for a reason if it failed: nobody else knows. It is
 // called again if Calls says so. A call of a try that is over changes nothing.
-func (m Manner) Ended(now, wall time.Duration, r Record, call Call, failed string) (o Orders) {
+func (m Policy) HookResult(now, wall time.Duration, r Record, call Call, failed string) (o Proposal) {
 	plan, me := r.Plan, m.Self.Name
 	stop := func(text string) {
 		if plan.State == Running { // nothing further while nobody knows what has become of it
@@ -296,9 +296,9 @@
 	if call.To != "" {
 		h := plan.HandOver
 		switch {
-		case h == nil || h.Number != call.Number || h.By != m.Self || failed == "": // that it is done shows by itself
-		case h.Hooks < max(1, m.Calls):
-			plan.HandOver, o.Plan = &HandOver{From: h.From, To: h.To, Number: h.Number, Hooks: h.Hooks + 1, By: m.Self}, &plan
+		case h == nil || h.Number != call.Number || h.HookCaller != m.Self || failed == "": // that it is done shows by itself
+		case h.HookCalls < max(1, m.Calls):
+			plan.HandOver, o.Plan = &HandOver{From: h.From, To: h.To, Number: h.Number, HookCalls: h.HookCalls + 1, HookCaller: m.Self}, &plan
 			o.Calls = append(o.Calls, call)
 		default:
 			plan.HandOver, o.Plan = nil, &plan
@@ -307,16 +307,16 @@
 		return o
 	}
 	c := &course{step: r.step(call.Machine), now: now, rules: Rules{Calls: m.Calls}}
-	if c.step.Number != call.Number || c.step.By != m.Self {
+	if c.step.Number != call.Number || c.step.HookCaller != m.Self {
 		return o
 	}
 	before := c.step.State
 	switch {
-	case failed != "" && c.step.State == AtWork && c.on(Event{What: HookCall, Life: m.Self}):
+	case failed != "" && c.step.State == InMaintenance && c.on(Event{Kind: HookStarted, Instance: m.Self}):
 		o.Calls = append(o.Calls, call)
 		o.put(me, wall, before, c.step, "")
 		o.tell(me, wall, call.Machine, call.Number, "called again, as the work failed: %s", failed)
-	case c.on(Event{What: HookOver, OK: failed == ""}):
+	case c.on(Event{Kind: HookFinished, OK: failed == ""}):
 		o.put(me, wall, before, c.step, failed)
 		if failed != "" {
 			stop(fmt.Sprintf("the work on %s failed: %s", call.Machine, failed))
@@ -328,7 +328,7 @@
 // ---- What operators may do
 
 // Start hands in a plan. Its machines are ordered as the dry run has them.
-func Start(wall time.Duration, r Record, id, by string, w Wish, look Look) (o Orders, err error) {
+func Start(wall time.Duration, r Record, id, by string, w PlanSpec, look Snapshot) (o Proposal, err error) {
 	if r.Plan.ID == id { // a repeated call
 		return o, nil
 	}
@@ -338,7 +338,7 @@
 	if err := w.Check(look.Machines); err != nil {
 		return o, err
 	}
-	order, err := Dry(w, look)
+	order, err := DryRun(w, look)
 	if err != nil {
 		return o, err
 	}
@@ -353,31 +353,33 @@
 			o.Drop = append(o.Drop, name)
 		}
 	}
-	o.Plan = &Plan{ID: id, Wish: w, State: Running, Number: r.Plan.Number}
+	o.Plan = &Plan{ID: id, Spec: w, State: Running, Number: r.Plan.Number}
 	o.tell(by, wall, "", 0, "plan %s of %d machines", id, len(order))
 	return o, nil
 }
 
-// Verb is what operators may do about a plan or one machine of it.
-type Verb string
+// Command is what operators may do about a plan or one machine of it.
+type Command string
 
 const (
-	Pause  Verb = "pause"
-	Resume Verb = "resume"
-	GiveUp Verb = "abort"
-	Pass   Verb = "skip"   // a machine that waits
-	Begin  Verb = "begin"  // a person works on a machine that is free
-	End    Verb = "end"    // the work is over
-	Forget Verb = "forget" // a pooler that is gone for good, and never left
+	Pause        Command = "pause"
+	Resume       Command = "resume"
+	AbortPlan    Command = "abort"
+	SkipMachine  Command = "skip"   // a machine that waits
+	BeginWork    Command = "begin"  // a person works on a machine that is free
+	EndWork      Command = "end"    // the work is over
+	ForgetPooler Command = "forget" // a pooler that is gone for good, and never left
 )
 
 // OfMachine tells whether the verb wants the name of a machine, or of a pooler.
-func (v Verb) OfMachine() bool { return slices.Contains([]Verb{Pass, Begin, End, Forget}, v) }
+func (v Command) OfMachine() bool {
+	return slices.Contains([]Command{SkipMachine, BeginWork, EndWork, ForgetPooler}, v)
+}
 
-// Do is what an operator wants to do; an error says why it cannot be done.
-func Do(wall time.Duration, r Record, v Verb, name, by string) (o Orders, err error) {
-	if v == Forget {
-		if _, known := r.Words[name]; !known {
+// Execute is what an operator wants to do; an error says why it cannot be done.
+func Execute(wall time.Duration, r Record, v Command, name, by string) (o Proposal, err error) {
+	if v == ForgetPooler {
+		if _, known := r.Statuses[name]; !known {
 			return o, fmt.Errorf("no pooler %q has said anything", name)
 		}
 		o.Forget = []string{name}
@@ -394,7 +396,7 @@
 			plan.State, plan.Why = Paused, "by "+by
 		case v == Resume && plan.State == Paused:
 			plan.State, plan.Why = Running, ""
-		case v == GiveUp && plan.State != Aborting:
+		case v == AbortPlan && plan.State != Aborting:
 			plan.State, plan.Why = Aborting, "by "+by
 		default:
 			return o, fmt.Errorf("the plan is %s", plan.State)
@@ -403,22 +405,22 @@
 		o.tell(by, wall, "", 0, "%s", plan.State)
 		return o, nil
 	}
-	if !slices.Contains(r.Plan.Wish.Machines, name) {
+	if !slices.Contains(r.Plan.Spec.Machines, name) {
 		return o, fmt.Errorf("the plan has no machine %q", name)
 	}
 	c := &course{step: r.step(name), now: wall, rules: Rules{Calls: 1 << 30}} // a person may say what no count of calls lets a hook do
 	before := c.step.State
 	done := false
 	switch v {
-	case Pass:
-		done = c.on(Event{What: Skip})
-	case Begin:
-		done = before == Free && c.on(Event{What: HookCall})
-	case End:
-		if before == Free {
-			c.on(Event{What: HookCall})
+	case SkipMachine:
+		done = c.on(Event{Kind: Skip})
+	case BeginWork:
+		done = before == Drained && c.on(Event{Kind: HookStarted})
+	case EndWork:
+		if before == Drained {
+			c.on(Event{Kind: HookStarted})
 		}
-		done = c.on(Event{What: HookOver, OK: true})
+		done = c.on(Event{Kind: HookFinished, OK: true})
 	}
 	if !done {
 		return o, fmt.Errorf("%s is %s", name, before)
--- a/internal/maintenance/lead_test.go
+++ b/internal/maintenance/lead_test.go
@@ -30,7 +30,7 @@
 }
 
 // write applies orders that were made on a record as it was read; false: it has changed since.
-func (p *paper) write(r Record, o Orders) bool {
+func (p *paper) write(r Record, o Proposal) bool {
 	on, set, deleted := o.Change(r)
 	for key, revision := range on {
 		if p.revisions[key] != revision {
@@ -48,27 +48,27 @@
 	return true
 }
 
-func (p *paper) say(name string, w Word) {
+func (p *paper) say(name string, w PoolerStatus) {
 	text, _ := json.Marshal(w)
 	p.revision++
-	p.values[WordKey(name)], p.revisions[WordKey(name)] = text, p.revision
+	p.values[StatusKey(name)], p.revisions[StatusKey(name)] = text, p.revision
 }
 
 const sec = time.Second
 
-func manner(name string, life uint64) Manner {
-	return Manner{Self: Life{name, life}, Hook: true, Calls: 1, Lease: 2 * sec, Skew: sec, Settle: 2 * sec}
+func manner(name string, life uint64) Policy {
+	return Policy{Self: Instance{name, life}, Hook: true, Calls: 1, Lease: 2 * sec, Skew: sec, Settle: 2 * sec}
 }
 
 // view is of a group of databases that are all well, and of poolers with their incarnations.
-func view(now time.Duration, databases int, poolers map[string]uint64) Seen {
-	s := Seen{Look: Look{Machines: groupOf(1, "a", databases), Load: map[int]float64{}}, Lives: maps.Clone(poolers), Heard: map[string]time.Duration{}}
+func view(now time.Duration, databases int, poolers map[string]uint64) Observation {
+	s := Observation{Snapshot: Snapshot{Machines: groupOf(1, "a", databases), Load: map[int]float64{}}, Incarnations: maps.Clone(poolers), Heard: map[string]time.Duration{}}
 	for name := range s.Machines {
 		s.Heard[name] = now
 	}
 	s.Live = slices.Sorted(maps.Keys(poolers))
 	for name, life := range poolers {
-		s.Machines[name] = &Machine{Name: name, Kind: Pooler, Zone: name, Size: 1, Up: true, Warm: true, Life: life}
+		s.Machines[name] = &Machine{Name: name, Kind: Pooler, Zone: name, Size: 1, Up: true, Warm: true, Incarnation: life}
 	}
 	return s
 }
@@ -81,44 +81,44 @@
 	now     time.Duration
 	stepped time.Duration // by which the wall clock is ahead
 	poolers map[string]uint64
-	change  func(*Seen) // what is seen otherwise
+	change  func(*Observation) // what is seen otherwise
 	calls   []Call
 }
 
-func newPlay(t *testing.T, m Manner, w Wish) *play {
-	p := &play{t: t, paper: newPaper(), leader: NewLeader(m), now: 1000 * sec, poolers: map[string]uint64{"p": 1, "q": 1}, change: func(*Seen) {}}
+func newPlay(t *testing.T, m Policy, w PlanSpec) *play {
+	p := &play{t: t, paper: newPaper(), leader: NewLeader(m), now: 1000 * sec, poolers: map[string]uint64{"p": 1, "q": 1}, change: func(*Observation) {}}
 	p.start(w)
 	return p
 }
 
-func (p *play) start(w Wish) {
+func (p *play) start(w PlanSpec) {
 	r := p.paper.read(p.t)
-	o, err := Start(p.now, r, fmt.Sprint("plan", p.paper.revision), "ann", w, p.see().Look)
+	o, err := Start(p.now, r, fmt.Sprint("plan", p.paper.revision), "ann", w, p.see().Snapshot)
 	require.NoError(p.t, err)
 	require.True(p.t, p.paper.write(r, o))
 }
 
-func (p *play) see() Seen {
+func (p *play) see() Observation {
 	s := view(p.now, 4, p.poolers)
 	p.change(&s)
 	return s
 }
 
 // look is one look, a second after the one before; the poolers have said by then what they have to.
-func (p *play) look() Orders {
+func (p *play) look() Proposal {
 	p.now += sec
 	r := p.paper.read(p.t)
 	for name, life := range p.poolers {
-		w := Word{Incarnation: life, Plan: r.Plan.ID, Stopped: map[string]uint64{}}
-		for _, s := range r.Course() {
-			if s.State == Agreed {
+		w := PoolerStatus{Incarnation: life, Plan: r.Plan.ID, Stopped: map[string]uint64{}}
+		for _, s := range r.PlanSteps() {
+			if s.State == Draining {
 				w.Stopped[s.Machine] = s.Number
 			}
 		}
 		p.paper.say(name, w)
 	}
 	r = p.paper.read(p.t)
-	o := p.leader.Lead(p.now, p.now+p.stepped, r, p.see())
+	o := p.leader.Propose(p.now, p.now+p.stepped, r, p.see())
 	require.True(p.t, p.paper.write(r, o))
 	p.calls = append(p.calls, o.Calls...)
 	return o
@@ -134,20 +134,20 @@
 		p.look()
 	}
 	r := p.paper.read(p.t)
-	require.Fail(p.t, "not reached", "%s %s: %v", machine, s, r.Course())
+	require.Fail(p.t, "not reached", "%s %s: %v", machine, s, r.PlanSteps())
 	return Step{}
 }
 
-func (p *play) ended(c Call, failed string) Orders {
+func (p *play) ended(c Call, failed string) Proposal {
 	r := p.paper.read(p.t)
-	o := p.leader.manner.Ended(p.now, p.now, r, c, failed)
+	o := p.leader.manner.HookResult(p.now, p.now, r, c, failed)
 	require.True(p.t, p.paper.write(r, o))
 	return o
 }
 
-func (p *play) do(v Verb, name string) error {
+func (p *play) do(v Command, name string) error {
 	r := p.paper.read(p.t)
-	o, err := Do(p.now, r, v, name, "ann")
+	o, err := Execute(p.now, r, v, name, "ann")
 	require.True(p.t, p.paper.write(r, o))
 	return err
 }
@@ -156,9 +156,9 @@
 
 // The course of a plan with a hook: one machine after the other, each with a number of its own; the record tells all of it.
 func TestCourse(t *testing.T) {
-	p := newPlay(t, manner("p", 1), Wish{Machines: []string{"a1", "a2"}, Fresh: 1})
+	p := newPlay(t, manner("p", 1), PlanSpec{Machines: []string{"a1", "a2"}, Fresh: 1})
 	for i, name := range []string{"a1", "a2"} {
-		p.until(name, AtWork)
+		p.until(name, InMaintenance)
 		require.Equal(t, Call{Machine: name, Number: uint64(i + 1)}, p.calls[i])
 		require.Len(t, p.calls, i+1)
 		p.ended(p.calls[i], "")
@@ -169,12 +169,12 @@
 	}
 	var told []string
 	for _, e := range p.paper.read(t).History {
-		told = append(told, fmt.Sprint(e.Machine, " ", e.What))
+		told = append(told, fmt.Sprint(e.Machine, " ", e.Text))
 	}
 	require.Equal(t, []string{" plan plan0 of 2 machines", "a1 agreed", "a1 free", "a1 at work", "a1 back", "a1 done", "a2 agreed", "a2 free", "a2 at work", "a2 back",
 		"a2 done", " the plan is over"}, told)
-	p.start(Wish{Machines: []string{"a2"}, Fresh: 1})
-	require.Equal(t, uint64(3), p.until("a2", AtWork).Number, "numbers go on over plans")
+	p.start(PlanSpec{Machines: []string{"a2"}, Fresh: 1})
+	require.Equal(t, uint64(3), p.until("a2", InMaintenance).Number, "numbers go on over plans")
 	require.Len(t, p.paper.read(t).Steps, 1, "steps of the plan before are gone")
 	require.Empty(t, p.ended(p.calls[1], "").Steps, "the late end of an earlier try")
 	require.NotEmpty(t, p.ended(p.calls[2], "").Steps)
@@ -184,8 +184,8 @@
 func TestHookFails(t *testing.T) {
 	m := manner("p", 1)
 	m.Calls = 2
-	p := newPlay(t, m, Wish{Machines: []string{"a1", "a2"}, Fresh: 1})
-	p.until("a1", AtWork)
+	p := newPlay(t, m, PlanSpec{Machines: []string{"a1", "a2"}, Fresh: 1})
+	p.until("a1", InMaintenance)
 	o := p.ended(p.calls[0], "no disk")
 	require.Equal(t, p.calls[:1], o.Calls)
 	require.Empty(t, p.ended(p.calls[0], "no disk").Calls)
@@ -198,7 +198,7 @@
 	require.Equal(t, Waiting, p.paper.read(t).States()["a2"], "nothing further")
 	require.Empty(t, p.ended(p.calls[0], "").Steps, "a word of a try that is over")
 	require.NoError(t, p.do(Resume, ""))
-	p.until("a2", AtWork)
+	p.until("a2", InMaintenance)
 }
 
 // Who called a hook and is gone leaves it to a person, or to another call under the same number.
@@ -206,9 +206,9 @@
 	for calls, again := range map[int]bool{1: false, 2: true} {
 		m := manner("p", 1)
 		m.Calls = calls
-		p := newPlay(t, m, Wish{Machines: []string{"a1"}, Fresh: 1})
-		p.until("a1", AtWork)
-		m.Self = Life{"q", 1}
+		p := newPlay(t, m, PlanSpec{Machines: []string{"a1"}, Fresh: 1})
+		p.until("a1", InMaintenance)
+		m.Self = Instance{"q", 1}
 		p.leader = NewLeader(m)
 		for range 3 {
 			p.look()
@@ -223,7 +223,7 @@
 			continue
 		}
 		require.Len(t, p.calls, 1)
-		require.NoError(t, p.do(End, "a1"))
+		require.NoError(t, p.do(EndWork, "a1"))
 		p.until("a1", Done)
 	}
 }
@@ -232,7 +232,7 @@
 func TestHandOver(t *testing.T) {
 	m := manner("p", 1)
 	m.HandsOver = true
-	p := newPlay(t, m, Wish{Machines: []string{"a0"}, Fresh: 1})
+	p := newPlay(t, m, PlanSpec{Machines: []string{"a0"}, Fresh: 1})
 	for len(p.calls) == 0 {
 		p.look()
 	}
@@ -242,13 +242,13 @@
 		p.look()
 	}
 	require.Equal(t, Waiting, p.paper.read(t).States()["a0"], "it still leads")
-	p.change = func(s *Seen) {
+	p.change = func(s *Observation) {
 		s.Machines["a0"].Primary, s.Machines["a0"].Fresh, s.Machines["a1"].Primary = false, true, true
 	}
-	p.until("a0", AtWork)
+	p.until("a0", InMaintenance)
 	require.Equal(t, uint64(2), p.calls[1].Number)
 
-	p = newPlay(t, m, Wish{Machines: []string{"a0"}, Fresh: 1})
+	p = newPlay(t, m, PlanSpec{Machines: []string{"a0"}, Fresh: 1})
 	for len(p.calls) == 0 {
 		p.look()
 	}
@@ -262,24 +262,24 @@
 func TestSeenDecides(t *testing.T) {
 	m := manner("p", 1)
 	m.Hook = false
-	w := Wish{Machines: []string{"a1", "a2"}, Fresh: 1, Bears: 100}
+	w := PlanSpec{Machines: []string{"a1", "a2"}, Fresh: 1, Capacity: 100}
 	p := newPlay(t, m, w)
-	p.until("a1", Free)
-	p.change = func(s *Seen) { s.Load[1] = 3.5 } // three are left
+	p.until("a1", Drained)
+	p.change = func(s *Observation) { s.Load[1] = 3.5 } // three are left
 	p.until("a1", Waiting)
 	for range 5 {
 		p.look()
 	}
 	require.Equal(t, map[string]State{"a1": Waiting, "a2": Waiting}, p.paper.read(t).States())
-	p.change = func(s *Seen) { s.Load[1] = 1.5 }
-	require.Greater(t, p.until("a1", Free).Number, uint64(1), "a new try")
-	require.NoError(t, p.do(End, "a1"))
-	p.change = func(s *Seen) { s.Machines["a1"].Warm = false }
+	p.change = func(s *Observation) { s.Load[1] = 1.5 }
+	require.Greater(t, p.until("a1", Drained).Number, uint64(1), "a new try")
+	require.NoError(t, p.do(EndWork, "a1"))
+	p.change = func(s *Observation) { s.Machines["a1"].Warm = false }
 	for range 5 {
 		p.look()
 	}
-	require.Equal(t, Back, p.paper.read(t).States()["a1"], "it is cold yet")
-	p.change = func(*Seen) {}
+	require.Equal(t, Recovering, p.paper.read(t).States()["a1"], "it is cold yet")
+	p.change = func(*Observation) {}
 	p.until("a1", Done)
 
 	w.Until = time.Unix(1010, 0)
@@ -288,16 +288,16 @@
 	p.look()
 	require.Equal(t, "the time for it is over", p.plan().Why)
 
-	p = newPlay(t, manner("p", 1), Wish{Machines: []string{"p"}})
-	p.change = func(s *Seen) { s.Machines["p"].Leads = true }
+	p = newPlay(t, manner("p", 1), PlanSpec{Machines: []string{"p"}})
+	p.change = func(s *Observation) { s.Machines["p"].Leads = true }
 	require.True(t, p.look().Resign)
-	p.change = func(*Seen) {}
-	p.until("p", AtWork)
+	p.change = func(*Observation) {}
+	p.until("p", InMaintenance)
 	p.ended(p.calls[0], "")
 	for range 5 {
 		p.look()
 	}
-	require.Equal(t, Back, p.paper.read(t).States()["p"], "it is the life that was taken out")
+	require.Equal(t, Recovering, p.paper.read(t).States()["p"], "it is the life that was taken out")
 	p.poolers["p"] = 2
 	p.until("p", Done)
 }
@@ -309,10 +309,10 @@
 	const window = 30 // looks, each of a second
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
-			p := newPlay(t, manner("p", 0), Wish{Machines: []string{"a1", "a2"}, Fresh: 1, Until: time.Unix(1000+window, 0)})
+			p := newPlay(t, manner("p", 0), PlanSpec{Machines: []string{"a1", "a2"}, Fresh: 1, Until: time.Unix(1000+window, 0)})
 			p.look()
 			p.stepped = step
-			p.until("a1", Free)
+			p.until("a1", Drained)
 			for p.now < (1000+window)*sec {
 				require.Equal(t, Running, p.plan().State)
 				p.look()
@@ -321,20 +321,20 @@
 			require.Equal(t, "the time for it is over", p.plan().Why)
 		})
 		t.Run("lease, "+step.String(), func(t *testing.T) {
-			p := newPlay(t, manner("p", 0), Wish{Machines: []string{"a1"}, Fresh: 1, GoOn: true})
+			p := newPlay(t, manner("p", 0), PlanSpec{Machines: []string{"a1"}, Fresh: 1, IgnoreUnreachable: true})
 			p.look() // all know the plan
 			delete(p.poolers, "q")
-			p.change = func(s *Seen) { s.Lives["q"] = 1 }
-			agreed := p.until("a1", Agreed)
+			p.change = func(s *Observation) { s.Incarnations["q"] = 1 }
+			agreed := p.until("a1", Draining)
 			began := p.now
-			require.Equal(t, Agreed, agreed.State)
+			require.Equal(t, Draining, agreed.State)
 			p.stepped = step
 			rules := p.leader.rules(p.paper.read(t))
 			lease := rules.Lease + rules.Skew
-			free := p.until("a1", Free)
+			free := p.until("a1", Drained)
 			require.GreaterOrEqual(t, p.now-began, lease)
 			require.LessOrEqual(t, p.now-began, lease+3*sec)
-			require.Equal(t, []string{"q"}, free.Without)
+			require.Equal(t, []string{"q"}, free.Unreachable)
 		})
 	}
 }
@@ -343,47 +343,47 @@
 // without its word.
 func TestClockSteppedBackBetweenTwoLives(t *testing.T) {
 	const left, back = 1_800_000_000_000, 1_800_000_000_000 - 3_600_000 // ms
-	p := newPlay(t, manner("p", 1), Wish{Machines: []string{"a1"}, Fresh: 1})
+	p := newPlay(t, manner("p", 1), PlanSpec{Machines: []string{"a1"}, Fresh: 1})
 	p.poolers = map[string]uint64{"p": 1}
-	p.change = func(s *Seen) { s.Left = map[string]uint64{"q": left} }
-	p.paper.say("q", Word{Incarnation: back})
+	p.change = func(s *Observation) { s.Left = map[string]uint64{"q": left} }
+	p.paper.say("q", PoolerStatus{Incarnation: back})
 	for range 20 {
 		require.Empty(t, p.look().Forget)
 	}
 	step := p.paper.read(t).Steps["a1"]
-	require.Equal(t, Agreed, step.State)
-	p.paper.say("q", Word{Incarnation: back, Stopped: map[string]uint64{"a1": step.Number}})
-	p.until("a1", Free)
-	p.paper.say("q", Word{Incarnation: left - 2})
+	require.Equal(t, Draining, step.State)
+	p.paper.say("q", PoolerStatus{Incarnation: back, Stopped: map[string]uint64{"a1": step.Number}})
+	p.until("a1", Drained)
+	p.paper.say("q", PoolerStatus{Incarnation: left - 2})
 	require.Equal(t, []string{"q"}, p.look().Forget, "its own word, from before it was refuted")
 }
 
 // A pooler that was cut off for so long that the fleet's view has forgotten it is no yes; one that left is not waited for.
 func TestLongGone(t *testing.T) {
-	p := newPlay(t, manner("p", 1), Wish{Machines: []string{"a1"}, Fresh: 1})
-	p.paper.say("z", Word{Incarnation: 7, LeaseMS: 9000})
+	p := newPlay(t, manner("p", 1), PlanSpec{Machines: []string{"a1"}, Fresh: 1})
+	p.paper.say("z", PoolerStatus{Incarnation: 7, LeaseMS: 9000})
 	for range 30 {
 		p.look()
 	}
-	require.Equal(t, Agreed, p.paper.read(t).States()["a1"])
-	p.change = func(s *Seen) { s.Left = map[string]uint64{"z": 7} }
-	p.until("a1", AtWork)
-	require.NotContains(t, p.paper.read(t).Words, "z")
-
-	p = newPlay(t, manner("p", 1), Wish{Machines: []string{"a1"}, Fresh: 1, GoOn: true})
-	p.paper.say("z", Word{Incarnation: 7, LeaseMS: 9000, Plan: p.plan().ID})
-	p.until("a1", Agreed)
+	require.Equal(t, Draining, p.paper.read(t).States()["a1"])
+	p.change = func(s *Observation) { s.Left = map[string]uint64{"z": 7} }
+	p.until("a1", InMaintenance)
+	require.NotContains(t, p.paper.read(t).Statuses, "z")
+
+	p = newPlay(t, manner("p", 1), PlanSpec{Machines: []string{"a1"}, Fresh: 1, IgnoreUnreachable: true})
+	p.paper.say("z", PoolerStatus{Incarnation: 7, LeaseMS: 9000, Plan: p.plan().ID})
+	p.until("a1", Draining)
 	began := p.now
-	require.Equal(t, []string{"z"}, p.until("a1", AtWork).Without)
+	require.Equal(t, []string{"z"}, p.until("a1", InMaintenance).Unreachable)
 	require.GreaterOrEqual(t, p.now-began, 10*sec, "the longest lease of any, and what clocks run apart")
 
-	p = newPlay(t, manner("p", 1), Wish{Machines: []string{"a1"}, Fresh: 1, GoOn: true})
-	p.paper.say("z", Word{Incarnation: 7, LeaseMS: 9000, Plan: p.plan().ID})
-	p.until("a1", Agreed)
+	p = newPlay(t, manner("p", 1), PlanSpec{Machines: []string{"a1"}, Fresh: 1, IgnoreUnreachable: true})
+	p.paper.say("z", PoolerStatus{Incarnation: 7, LeaseMS: 9000, Plan: p.plan().ID})
+	p.until("a1", Draining)
 	p.leader = NewLeader(manner("q", 1))
 	p.now += 120 * sec // on another's clock
 	began = p.now
-	p.until("a1", AtWork)
+	p.until("a1", InMaintenance)
 	require.GreaterOrEqual(t, p.now-began, 10*sec, "a new leader waits anew")
 }
 
@@ -399,10 +399,10 @@
 		called := map[uint64]bool{}
 		type one struct {
 			leader *Leader
-			manner Manner
+			manner Policy
 			apart  time.Duration
 			record Record
-			orders *Orders
+			orders *Proposal
 			calls  []Call // that go on
 		}
 		leaders := []*one{{apart: -120 * sec}, {apart: 120 * sec}}
@@ -415,13 +415,13 @@
 		restart(0)
 		restart(1)
 		r := paper.read(t)
-		o, err := Start(now, r, "plan", "ann", Wish{Machines: []string{"a1", "a2", "a3"}, Fresh: 1}, view(now, 4, lives).Look)
+		o, err := Start(now, r, "plan", "ann", PlanSpec{Machines: []string{"a1", "a2", "a3"}, Fresh: 1}, view(now, 4, lives).Snapshot)
 		require.NoError(t, err)
 		require.True(t, paper.write(r, o))
-		said := map[string]Word{}
+		said := map[string]PoolerStatus{}
 		look := func(l *one) {
 			l.record = paper.read(t)
-			o := l.leader.Lead(now+l.apart, now+l.apart, l.record, view(now+l.apart, 4, lives))
+			o := l.leader.Propose(now+l.apart, now+l.apart, l.record, view(now+l.apart, 4, lives))
 			l.orders = &o
 		}
 		write := func(l *one) {
@@ -433,12 +433,12 @@
 			after := paper.read(t)
 			out := 0
 			for name, s := range after.Steps {
-				if s.State.Out() {
+				if s.State.Unavailable() {
 					out++
 				}
-				if _, mine := l.orders.Steps[name]; mine && s.State == Free && before[name] == Agreed {
+				if _, mine := l.orders.Steps[name]; mine && s.State == Drained && before[name] == Draining {
 					for pooler, life := range lives {
-						require.True(t, said[pooler].Incarnation == life && said[pooler].Stopped[name] == s.Number || l.record.Words[pooler].Incarnation < life,
+						require.True(t, said[pooler].Incarnation == life && said[pooler].Stopped[name] == s.Number || l.record.Statuses[pooler].Incarnation < life,
 							"seed %d: %s is free, and %s has not stopped", seed, name, pooler)
 					}
 				}
@@ -455,16 +455,16 @@
 		ends := func(l *one) {
 			c := l.calls[0]
 			r := paper.read(t)
-			if paper.write(r, l.manner.Ended(now+l.apart, now, r, c, "")) {
+			if paper.write(r, l.manner.HookResult(now+l.apart, now, r, c, "")) {
 				l.calls = l.calls[1:]
 				delete(open, c.Machine)
 			}
 		}
 		speak := func(name string) {
 			r := paper.read(t)
-			w := Word{Incarnation: lives[name], Plan: r.Plan.ID, Stopped: map[string]uint64{}}
-			for _, s := range r.Course() {
-				if s.State == Agreed {
+			w := PoolerStatus{Incarnation: lives[name], Plan: r.Plan.ID, Stopped: map[string]uint64{}}
+			for _, s := range r.PlanSteps() {
+				if s.State == Draining {
 					w.Stopped[s.Machine] = s.Number
 				}
 			}
@@ -473,10 +473,10 @@
 		}
 		operator := func() {
 			for name, s := range paper.read(t).Steps {
-				caller := slices.IndexFunc(leaders, func(l *one) bool { return l.manner.Self == s.By })
-				if s.State == AtWork && (caller < 0 || len(leaders[caller].calls) == 0 && leaders[caller].orders == nil) { // nobody will tell
+				caller := slices.IndexFunc(leaders, func(l *one) bool { return l.manner.Self == s.HookCaller })
+				if s.State == InMaintenance && (caller < 0 || len(leaders[caller].calls) == 0 && leaders[caller].orders == nil) { // nobody will tell
 					r := paper.read(t)
-					o, err := Do(now, r, End, name, "ann")
+					o, err := Execute(now, r, EndWork, name, "ann")
 					require.NoError(t, err)
 					require.True(t, paper.write(r, o))
 					delete(open, name)
@@ -512,7 +512,7 @@
 					lives["r"]++
 				default:
 					r := paper.read(t)
-					if o, err := Do(now, r, []Verb{Pause, Resume, Resume}[random.IntN(3)], "", "ann"); err == nil {
+					if o, err := Execute(now, r, []Command{Pause, Resume, Resume}[random.IntN(3)], "", "ann"); err == nil {
 						paper.write(r, o)
 					}
 				}
@@ -522,13 +522,13 @@
 			step(true)
 		}
 		if r := paper.read(t); r.Plan.State == Paused {
-			o, err := Do(now, r, Resume, "", "ann")
+			o, err := Execute(now, r, Resume, "", "ann")
 			require.NoError(t, err)
 			require.True(t, paper.write(r, o))
 		}
 		for n := 0; n < 3000 && paper.read(t).Plan.Active(); n++ {
 			step(false)
 		}
-		require.Equal(t, Over, paper.read(t).Plan.State, "seed %d: %v", seed, paper.read(t).Steps)
+		require.Equal(t, Finished, paper.read(t).Plan.State, "seed %d: %v", seed, paper.read(t).Steps)
 	}
 }
--- a/internal/maintenance/model_test.go
+++ b/internal/maintenance/model_test.go
@@ -17,10 +17,10 @@
 
 const tick = time.Second
 
-var modelRules = Rules{Lease: 2 * tick, Skew: 0, GoOn: true}
+var modelRules = Rules{Lease: 2 * tick, Skew: 0, IgnoreUnreachable: true}
 
 type word struct {
-	life   Life
+	life   Instance
 	number uint64
 }
 
@@ -32,7 +32,7 @@
 type actor struct {
 	up      bool
 	life    uint64
-	reader  *Reader
+	reader  *Follower
 	out     bool // a request is out at the machine
 	blind   bool // ... which was sent in the one case that is counted
 	pending *answer
@@ -55,15 +55,17 @@
 
 // made is what the poolers and the record do; planted faults change it.
 type made struct {
-	on   func(Step, Event, time.Duration, Fleet, Rules) (Step, error)
-	may  func(*Reader, time.Duration) (may, blind bool)
-	read func(r *Reader, asked, now time.Duration, s Step)
+	on   func(Step, Event, time.Duration, Poolers, Rules) (Step, error)
+	may  func(*Follower, time.Duration) (may, blind bool)
+	read func(r *Follower, asked, now time.Duration, s Step)
 }
 
 var sound = made{
-	on:   func(s Step, e Event, now time.Duration, f Fleet, r Rules) (Step, error) { return s.On(e, now, f, r) },
-	may:  func(r *Reader, now time.Duration) (bool, bool) { return r.May(now, "m", []string{"other"}) },
-	read: func(r *Reader, asked, _ time.Duration, s Step) { r.Read(asked, revision(s), []Step{s}) },
+	on: func(s Step, e Event, now time.Duration, f Poolers, r Rules) (Step, error) {
+		return s.Apply(e, now, f, r)
+	},
+	may:  func(r *Follower, now time.Duration) (bool, bool) { return r.MaySend(now, "m", []string{"other"}) },
+	read: func(r *Follower, asked, _ time.Duration, s Step) { r.Refresh(asked, revision(s), []Step{s}) },
 }
 
 // revision is of a record that holds one step: its states come in order, within a number and from one to the next.
@@ -74,16 +76,16 @@
 func begin(l spend) *worldState {
 	w := &worldState{now: 10 * tick, step: Step{Machine: "m"}, lives: map[string]uint64{}, called: map[uint64]int{}, left: l, actors: make([]actor, l.poolers)}
 	for i := range w.actors {
-		r := NewReader(w.now, modelRules)
-		r.Read(w.now, revision(w.step), []Step{w.step})
+		r := NewFollower(w.now, modelRules)
+		r.Refresh(w.now, revision(w.step), []Step{w.step})
 		w.actors[i] = actor{up: true, life: 1, reader: r}
 		w.lives[actorName(i)] = 1
 	}
 	return w
 }
 
-func (w *worldState) fleet() Fleet { // all have read the plan in their first life, and none yet in a later one
-	return Fleet{Lives: w.lives, Read: map[string]uint64{"a": 1, "b": 1, "c": 1}}
+func (w *worldState) fleet() Poolers { // all have read the plan in their first life, and none yet in a later one
+	return Poolers{Incarnations: w.lives, PlanReadBy: map[string]uint64{"a": 1, "b": 1, "c": 1}}
 }
 
 func (w *worldState) clone(what string, a ...any) *worldState {
@@ -105,7 +107,7 @@
 	for i, a := range w.actors {
 		name := actorName(i)
 		var b strings.Builder
-		fmt.Fprint(&b, a.up, a.life, a.out, w.lives[name], w.freed[name], w.step.Stopped[name], slices.Contains(w.step.Without, name))
+		fmt.Fprint(&b, a.up, a.life, a.out, w.lives[name], w.freed[name], w.step.Stopped[name], slices.Contains(w.step.Unreachable, name))
 		if r := a.reader; r != nil {
 			fmt.Fprint(&b, " ", r.known, min(w.now-r.read, 3*tick), min(w.now-r.began, 3*tick), a.blind, r.steps["m"].State, r.steps["m"].Number)
 		}
@@ -120,7 +122,7 @@
 		each = append(each, b.String())
 	}
 	slices.Sort(each)
-	return fmt.Sprint(w.step.State, w.step.Number, w.step.Hooks, min(w.now-w.step.Since, 3*tick), w.called, w.left, each)
+	return fmt.Sprint(w.step.State, w.step.Number, w.step.HookCalls, min(w.now-w.step.Since, 3*tick), w.called, w.left, each)
 }
 
 // record lets the record take in an event, and keeps those that do not fit out.
@@ -129,12 +131,12 @@
 	if err != nil {
 		return nil
 	}
-	c := w.clone("%s %d: %v", "event", e.What, e.Life)
+	c := w.clone("%s %d: %v", "event", e.Kind, e.Instance)
 	c.step = s
-	if s.State == Free && w.step.State != Free {
+	if s.State == Drained && w.step.State != Drained {
 		c.freed = maps.Clone(w.lives)
 	}
-	if e.What == HookCall {
+	if e.Kind == HookStarted {
 		c.called[s.Number]++
 	}
 	return c
@@ -154,21 +156,21 @@
 		add(c)
 	}
 	switch {
-	case w.step.State == Waiting || w.step.State == Undone:
-		add(w.record(m, Event{What: Take, Number: w.step.Number + 1}))
-	case w.step.State == Agreed && w.left.aborts > 0:
-		if c := w.record(m, Event{What: Abort, Number: w.step.Number}); c != nil {
+	case w.step.State == Waiting || w.step.State == RolledBack:
+		add(w.record(m, Event{Kind: Take, Number: w.step.Number + 1}))
+	case w.step.State == Draining && w.left.aborts > 0:
+		if c := w.record(m, Event{Kind: Abort, Number: w.step.Number}); c != nil {
 			c.left.aborts--
 			add(c)
 		}
 	}
-	for _, what := range []What{Check, HookCall, HookOver} {
-		if c := w.record(m, Event{What: what, Number: w.step.Number, OK: true}); c != nil && c.text() != w.text() {
+	for _, what := range []EventKind{Reevaluate, HookStarted, HookFinished} {
+		if c := w.record(m, Event{Kind: what, Number: w.step.Number, OK: true}); c != nil && c.text() != w.text() {
 			add(c)
 		}
 	}
 	for i, x := range w.words {
-		c := w.record(m, Event{What: Said, Number: x.number, Life: x.life})
+		c := w.record(m, Event{Kind: PoolerStopped, Number: x.number, Instance: x.life})
 		if c == nil { // it changes nothing now, and may fit no later: an older life or try
 			continue
 		}
@@ -190,7 +192,7 @@
 		}
 		if !a.up {
 			c := w.clone("%s restarts", name)
-			c.actors[i] = actor{up: true, life: a.life + 1, reader: NewReader(w.now, modelRules)}
+			c.actors[i] = actor{up: true, life: a.life + 1, reader: NewFollower(w.now, modelRules)}
 			add(c)
 			continue
 		}
@@ -236,7 +238,7 @@
 			}
 			return 0
 		}) {
-			x := word{Life{name, a.life}, number}
+			x := word{Instance{name, a.life}, number}
 			if !slices.Contains(w.words, x) {
 				c := w.clone("%s says that it has stopped", name)
 				c.words = append(c.words, x)
@@ -249,7 +251,7 @@
 
 // wrong tells what a state breaks.
 func (w *worldState) wrong(before *worldState) string {
-	at := w.step.State == Free || w.step.State == AtWork
+	at := w.step.State == Drained || w.step.State == InMaintenance
 	for i, a := range w.actors {
 		// The one case that is counted: it began anew where nobody knew, and finds no record.
 		if at && a.out && a.blind && w.freed[actorName(i)] != a.life {
@@ -258,7 +260,7 @@
 		if at && a.out && !before.actors[i].out {
 			return actorName(i) + " sends to a machine that is free"
 		}
-		if at && a.out && !slices.Contains(w.step.Without, actorName(i)) {
+		if at && a.out && !slices.Contains(w.step.Unreachable, actorName(i)) {
 			return actorName(i) + " has a request out at a machine that is free"
 		}
 	}
@@ -278,7 +280,7 @@
 	for len(queue) > 0 && len(seen) < most {
 		w := queue[0]
 		queue = queue[1:]
-		if w.step.State == Back { // what may be sent from here on is another matter
+		if w.step.State == Recovering { // what may be sent from here on is another matter
 			continue
 		}
 		for _, c := range w.steps(m) {
@@ -311,7 +313,7 @@
 		states, reached, course := explore(sound, l, statesMost)
 		require.Less(t, states, statesMost, "%s: all are explored", what)
 		require.Empty(t, course, "%s:\n%s", what, strings.Join(course, "\n"))
-		require.True(t, reached[Free] && reached[AtWork] && reached[Back], "%s: the work is done in some course", what)
+		require.True(t, reached[Drained] && reached[InMaintenance] && reached[Recovering], "%s: the work is done in some course", what)
 		t.Logf("%s: %d states", what, states)
 	}
 }
@@ -324,47 +326,47 @@
 	}
 	for what, f := range map[string]fault{
 		"a word of an earlier life counts": {"a crash and a restart", func(m *made) {
-			m.on = func(s Step, e Event, now time.Duration, f Fleet, r Rules) (Step, error) {
-				if e.What == Said {
-					e.Life.Incarnation = f.Lives[e.Life.Name]
+			m.on = func(s Step, e Event, now time.Duration, f Poolers, r Rules) (Step, error) {
+				if e.Kind == PoolerStopped {
+					e.Instance.Incarnation = f.Incarnations[e.Instance.Name]
 				}
-				return s.On(e, now, f, r)
+				return s.Apply(e, now, f, r)
 			}
 		}},
 		"a word of an earlier try counts": {"given up and tried again", func(m *made) {
-			m.on = func(s Step, e Event, now time.Duration, f Fleet, r Rules) (Step, error) {
+			m.on = func(s Step, e Event, now time.Duration, f Poolers, r Rules) (Step, error) {
 				e.Number = max(e.Number, s.Number)
-				return s.On(e, now, f, r)
+				return s.Apply(e, now, f, r)
 			}
 		}},
 		"it goes on before the lease is over": {"a pooler that is cut off", func(m *made) {
-			m.on = func(s Step, e Event, now time.Duration, f Fleet, r Rules) (Step, error) {
+			m.on = func(s Step, e Event, now time.Duration, f Poolers, r Rules) (Step, error) {
 				r.Lease = tick
-				return s.On(e, now, f, r)
+				return s.Apply(e, now, f, r)
 			}
 		}},
 		"the lease counts from the answer": {"an answer that is late", func(m *made) {
-			m.read = func(r *Reader, _, now time.Duration, s Step) { r.Read(now, revision(s), []Step{s}) }
+			m.read = func(r *Follower, _, now time.Duration, s Step) { r.Refresh(now, revision(s), []Step{s}) }
 		}},
 		"the lease does not bind": {"a pooler that is cut off", func(m *made) {
-			m.may = func(r *Reader, now time.Duration) (bool, bool) { return r.May(r.read, "m", []string{"other"}) }
+			m.may = func(r *Follower, now time.Duration) (bool, bool) { return r.MaySend(r.read, "m", []string{"other"}) }
 		}},
 		"one that begins does not read first": {"a crash and a restart", func(m *made) {
-			m.may = func(r *Reader, now time.Duration) (bool, bool) {
-				may, blind := r.May(now, "m", []string{"other"})
+			m.may = func(r *Follower, now time.Duration) (bool, bool) {
+				may, blind := r.MaySend(now, "m", []string{"other"})
 				return !r.known || may, blind
 			}
 		}},
 		"a pooler that has not read the plan is left behind": {"a crash and a restart", func(m *made) {
-			m.on = func(s Step, e Event, now time.Duration, f Fleet, r Rules) (Step, error) {
-				f.Read = f.Lives
-				return s.On(e, now, f, r)
+			m.on = func(s Step, e Event, now time.Duration, f Poolers, r Rules) (Step, error) {
+				f.PlanReadBy = f.Incarnations
+				return s.Apply(e, now, f, r)
 			}
 		}},
 		"the hook is called again": {"given up and tried again", func(m *made) {
-			m.on = func(s Step, e Event, now time.Duration, f Fleet, r Rules) (Step, error) {
+			m.on = func(s Step, e Event, now time.Duration, f Poolers, r Rules) (Step, error) {
 				r.Calls = 2
-				return s.On(e, now, f, r)
+				return s.Apply(e, now, f, r)
 			}
 		}},
 	} {
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -21,41 +21,41 @@
 
 // Machine is one that may be taken out, as it is seen now by enough poolers.
 type Machine struct {
-	Name    string  `json:"name"`
-	Kind    Kind    `json:"kind"`
-	Group   int     `json:"group"` // of a database
-	Zone    string  `json:"zone,omitempty"`
-	Size    float64 `json:"size"` // what it can do when warm, in the unit of the load
-	Up      bool    `json:"up"`   // it is seen well
-	Warm    bool    `json:"warm"`
-	Fresh   bool    `json:"fresh,omitempty"`   // a replica: near enough to its primary to serve every class, and to take over
-	Primary bool    `json:"primary,omitempty"` // of a database
-	Leads   bool    `json:"leads,omitempty"`   // of a pooler: the record's leader
-	Cut     bool    `json:"cut,omitempty"`     // its zone cannot be reached: what is seen of it says nothing
-	Life    uint64  `json:"life,omitempty"`    // of a pooler: its present incarnation
+	Name        string  `json:"name"`
+	Kind        Kind    `json:"kind"`
+	Group       int     `json:"group"` // of a database
+	Zone        string  `json:"zone,omitempty"`
+	Size        float64 `json:"size"` // what it can do when warm, in the unit of the load
+	Up          bool    `json:"up"`   // it is seen well
+	Warm        bool    `json:"warm"`
+	Fresh       bool    `json:"fresh,omitempty"`   // a replica: near enough to its primary to serve every class, and to take over
+	Primary     bool    `json:"primary,omitempty"` // of a database
+	Leads       bool    `json:"leads,omitempty"`   // of a pooler: the record's leader
+	Unreachable bool    `json:"cut,omitempty"`     // its zone cannot be reached: what is seen of it says nothing
+	Incarnation uint64  `json:"life,omitempty"`    // of a pooler: its present incarnation
 }
 
 // ready tells whether the machine does all that it is there for.
 func (m *Machine) ready() bool {
-	return m.Up && m.Warm && !m.Cut && (m.Kind == Pooler || m.Primary || m.Fresh)
+	return m.Up && m.Warm && !m.Unreachable && (m.Kind == Pooler || m.Primary || m.Fresh)
 }
 
-// Wish is what operators hand in.
-type Wish struct {
+// PlanSpec is what operators hand in.
+type PlanSpec struct {
 	Machines []string `toml:"machines" json:"machines"` // in the order in which they would have them, all else being equal
 	// Most are out at once of each kind, those that died by themselves among them; 0: one.
-	PerGroup int       `toml:"per_group" json:"per_group,omitempty"`
-	PerZone  int       `toml:"per_zone" json:"per_zone,omitempty"`
-	InAll    int       `toml:"in_all" json:"in_all,omitempty"`
-	Margin   float64   `toml:"margin" json:"margin,omitempty"` // share of what is left that must stay free, such as 0.2
-	Fresh    int       `toml:"fresh" json:"fresh,omitempty"`   // replicas that keep up and are left in each group, at the least
-	Bears    float64   `toml:"bears" json:"bears,omitempty"`   // requests a second that one database can do; 0: load is not looked at
-	Until    time.Time `toml:"until" json:"until,omitzero"`    // nothing further is taken after this; zero: no end
-	GoOn     bool      `toml:"go_on" json:"go_on,omitempty"`   // without poolers that are not heard, once their lease must have run out
+	PerGroup          int       `toml:"per_group" json:"per_group,omitempty"`
+	PerZone           int       `toml:"per_zone" json:"per_zone,omitempty"`
+	InAll             int       `toml:"in_all" json:"in_all,omitempty"`
+	Margin            float64   `toml:"margin" json:"margin,omitempty"` // share of what is left that must stay free, such as 0.2
+	Fresh             int       `toml:"fresh" json:"fresh,omitempty"`   // replicas that keep up and are left in each group, at the least
+	Capacity          float64   `toml:"bears" json:"bears,omitempty"`   // requests a second that one database can do; 0: load is not looked at
+	Until             time.Time `toml:"until" json:"until,omitzero"`    // nothing further is taken after this; zero: no end
+	IgnoreUnreachable bool      `toml:"go_on" json:"go_on,omitempty"`   // without poolers that are not heard, once their lease must have run out
 }
 
 // Check finds what is wrong with a wish. Known are the machines that there are; nil: that is not looked at.
-func (w Wish) Check(known map[string]*Machine) error {
+func (w PlanSpec) Check(known map[string]*Machine) error {
 	seen := map[string]bool{}
 	for i, name := range w.Machines {
 		if known != nil && known[name] == nil {
@@ -74,8 +74,8 @@
 			return fmt.Errorf("%s: %d is under 0", key, n)
 		}
 	}
-	if !(w.Bears >= 0) {
-		return fmt.Errorf("bears: %v is under 0", w.Bears)
+	if !(w.Capacity >= 0) {
+		return fmt.Errorf("bears: %v is under 0", w.Capacity)
 	}
 	if !(w.Margin >= 0 && w.Margin < 1) {
 		return fmt.Errorf("margin: %v is no share under 1", w.Margin)
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// Look is what is known now.
-type Look struct {
+// Snapshot is what is known now.
+type Snapshot struct {
 	Machines map[string]*Machine `json:"machines"`
 	Load     map[int]float64     `json:"load"` // of each group: what is expected for the time of the work, at the least what is asked now
 }
@@ -93,34 +93,34 @@
 type Decision struct {
 	Take     string            // may be taken out now; empty: none
 	HandOver [2]string         // a primary that is next, and the replica that is to take over first
-	AskBack  string            // is out, and is asked back as its group has become too small
-	Waits    map[string]string // why each of the others is not taken
+	PutBack  string            // is out, and is asked back as its group has become too small
+	Reasons  map[string]string // why each of the others is not taken
 	Complete bool              // nothing is left to be done
 }
 
-// Next decides what may be done, given how far each machine of the wish is. It is called again at each change, as what is taken out
+// Decide decides what may be done, given how far each machine of the wish is. It is called again at each change, as what is taken out
 // changes all that is left. Equal inputs give equal decisions.
-func Next(w Wish, at map[string]State, look Look) Decision {
-	d := Decision{Waits: map[string]string{}, Complete: true}
+func Decide(w PlanSpec, at map[string]State, look Snapshot) Decision {
+	d := Decision{Reasons: map[string]string{}, Complete: true}
 	p := &planner{wish: w, at: at, look: look}
 	var left []*Machine
 	for _, name := range w.Machines {
-		if s := at[name]; !s.Over() {
+		if s := at[name]; !s.Finished() {
 			d.Complete = false
 			if m := look.Machines[name]; s == Waiting && m != nil {
 				left = append(left, m)
 			} else if m == nil {
-				d.Waits[name] = "it is not known any more"
+				d.Reasons[name] = "it is not known any more"
 			}
 		}
 	}
-	d.AskBack = p.back()
+	d.PutBack = p.back()
 	slices.SortStableFunc(left, p.before)
 	for _, m := range left {
 		why, to := p.forbids(m, left)
 		switch {
-		case d.AskBack != "":
-			why = fmt.Sprintf("%s is asked back first", d.AskBack)
+		case d.PutBack != "":
+			why = fmt.Sprintf("%s is asked back first", d.PutBack)
 		case why == "" && (d.Take != "" || d.HandOver[0] != ""):
 			why = "another is next"
 		case why == "" && to != "":
@@ -130,19 +130,19 @@
 			d.Take = m.Name
 			continue
 		}
-		d.Waits[m.Name] = why
+		d.Reasons[m.Name] = why
 	}
 	return d
 }
 
 type planner struct {
-	wish Wish
+	wish PlanSpec
 	at   map[string]State
-	look Look
+	look Snapshot
 }
 
 // out tells whether a machine is out, be it by itself. One that has come back counts once it is ready.
-func (p *planner) out(m *Machine) bool { return p.at[m.Name].Out() || !m.ready() }
+func (p *planner) out(m *Machine) bool { return p.at[m.Name].Unavailable() || !m.ready() }
 
 // before orders those that are left: databases before poolers, replicas before their primary, the record's leader last, groups
 // with the most to spare first, then as they were wished.
@@ -183,7 +183,7 @@
 
 // forbids names the constraint that keeps a machine from being taken now, or else, of a primary, who has to take over first.
 func (p *planner) forbids(m *Machine, left []*Machine) (why, handOver string) {
-	if m.Cut {
+	if m.Unreachable {
 		return fmt.Sprintf("zone %s cannot be reached", m.Zone), ""
 	}
 	all, zone, group := 0, 0, 0
@@ -252,7 +252,9 @@
 }
 
 // later tells whether one is the better one to take over: rather one whose own work is done, so that no second hand-over follows.
-func (p *planner) later(a, b *Machine) bool { return p.at[a.Name].Over() && !p.at[b.Name].Over() }
+func (p *planner) later(a, b *Machine) bool {
+	return p.at[a.Name].Finished() && !p.at[b.Name].Finished()
+}
 
 // back names the machine to ask back where a group has become too small since it was taken: of those that can still come back the
 // one that was not at work yet, by name.
@@ -260,7 +262,7 @@
 	var free, work string
 	for _, name := range slices.Sorted(maps.Keys(p.at)) {
 		m := p.look.Machines[name]
-		if m == nil || m.Kind == Pooler || !p.at[name].Out() || p.at[name] >= Back {
+		if m == nil || m.Kind == Pooler || !p.at[name].Unavailable() || p.at[name] >= Recovering {
 			continue
 		}
 		out := 0
@@ -272,7 +274,7 @@
 		if out <= max(1, p.wish.PerGroup) && p.spare(m) >= 0 {
 			continue
 		}
-		if p.at[name] == AtWork {
+		if p.at[name] == InMaintenance {
 			work = cmp.Or(work, name)
 		} else {
 			free = cmp.Or(free, name)
@@ -281,40 +283,40 @@
 	return cmp.Or(free, work)
 }
 
-// Stage is one step of a dry run.
-type Stage struct {
+// DryRunStep is one step of a dry run.
+type DryRunStep struct {
 	Machine  string
 	HandOver string  // who takes over first, of a primary
 	Leaves   float64 // what its group could do beyond its load meanwhile
 }
 
-// Dry plays the wish through as if all went well, one after the other, and returns the order. If it cannot be done, why names each
+// DryRun plays the wish through as if all went well, one after the other, and returns the order. If it cannot be done, why names each
 // machine that is left and its constraint; those in the order are the nearest wish that can.
-func Dry(w Wish, look Look) (order []Stage, why error) {
-	now := Look{Machines: map[string]*Machine{}, Load: look.Load}
+func DryRun(w PlanSpec, look Snapshot) (order []DryRunStep, why error) {
+	now := Snapshot{Machines: map[string]*Machine{}, Load: look.Load}
 	for name, m := range look.Machines {
 		c := *m
 		now.Machines[name] = &c
 	}
 	at := map[string]State{}
 	for range 2*len(w.Machines) + 1 {
-		d := Next(w, at, now)
+		d := Decide(w, at, now)
 		switch {
 		case d.Complete:
 			return order, nil
 		case d.HandOver[0] != "":
 			from, to := now.Machines[d.HandOver[0]], now.Machines[d.HandOver[1]]
 			from.Primary, from.Fresh, to.Primary = false, true, true
-			order = append(order, Stage{from.Name, to.Name, (&planner{w, at, now}).spare(from)})
+			order = append(order, DryRunStep{from.Name, to.Name, (&planner{w, at, now}).spare(from)})
 			at[from.Name] = Done // it was the last of its group
 		case d.Take != "":
 			m := now.Machines[d.Take]
-			order = append(order, Stage{m.Name, "", (&planner{w, at, now}).spare(m)})
+			order = append(order, DryRunStep{m.Name, "", (&planner{w, at, now}).spare(m)})
 			at[m.Name] = Done
 		default:
 			var lines []string
 			for _, name := range w.Machines {
-				if text := d.Waits[name]; text != "" {
+				if text := d.Reasons[name]; text != "" {
 					lines = append(lines, name+": "+text)
 				}
 			}
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -20,7 +20,7 @@
 	return all
 }
 
-func names(order []Stage) (all []string) {
+func names(order []DryRunStep) (all []string) {
 	for _, s := range order {
 		all = append(all, s.Machine)
 	}
@@ -29,17 +29,17 @@
 
 // Replicas go before their primary, which hands over to one whose own work is done.
 func TestOrder(t *testing.T) {
-	look := Look{Machines: groupOf(1, "a", 3), Load: map[int]float64{1: 1}}
-	order, err := Dry(Wish{Machines: []string{"a0", "a1", "a2"}, Fresh: 1}, look)
+	look := Snapshot{Machines: groupOf(1, "a", 3), Load: map[int]float64{1: 1}}
+	order, err := DryRun(PlanSpec{Machines: []string{"a0", "a1", "a2"}, Fresh: 1}, look)
 	require.NoError(t, err)
 	require.Equal(t, []string{"a1", "a2"}, names(order)[:2])
-	require.Equal(t, Stage{Machine: "a0", HandOver: "a1", Leaves: 1}, order[2])
+	require.Equal(t, DryRunStep{Machine: "a0", HandOver: "a1", Leaves: 1}, order[2])
 	require.True(t, look.Machines["a0"].Primary, "a dry run changes nothing")
 
 	both := groupOf(1, "a", 3)
 	maps.Copy(both, groupOf(2, "b", 5))
-	look = Look{Machines: both, Load: map[int]float64{1: 1, 2: 1}}
-	order, err = Dry(Wish{Machines: []string{"a1", "b1"}, Fresh: 1}, look)
+	look = Snapshot{Machines: both, Load: map[int]float64{1: 1, 2: 1}}
+	order, err = DryRun(PlanSpec{Machines: []string{"a1", "b1"}, Fresh: 1}, look)
 	require.NoError(t, err)
 	require.Equal(t, []string{"b1", "a1"}, names(order), "the group with the most to spare first")
 
@@ -47,7 +47,7 @@
 		name := fmt.Sprint("p", i)
 		both[name] = &Machine{Name: name, Kind: Pooler, Zone: "x", Size: 1, Up: true, Warm: true, Leads: i == 0}
 	}
-	order, err = Dry(Wish{Machines: []string{"p0", "p1", "a1", "p2"}, Fresh: 1}, look)
+	order, err = DryRun(PlanSpec{Machines: []string{"p0", "p1", "a1", "p2"}, Fresh: 1}, look)
 	require.NoError(t, err)
 	require.Equal(t, []string{"a1", "p1", "p2", "p0"}, names(order), "poolers behind databases, the leader last")
 }
@@ -55,50 +55,50 @@
 // Each constraint is named where it forbids, and what can be done all the same is the nearest order.
 func TestForbidden(t *testing.T) {
 	for what, c := range map[string]struct {
-		change func(w *Wish, l *Look)
+		change func(w *PlanSpec, l *Snapshot)
 		why    string
 	}{
-		"load":      {func(_ *Wish, l *Look) { l.Load[1] = 2.5 }, "short of 0.50 for the load of 2.50"},
-		"margin":    {func(w *Wish, l *Look) { w.Margin, l.Load[1] = 0.5, 1.5 }, "short of 0.50 for the load of 1.50"},
-		"freshness": {func(w *Wish, _ *Look) { w.Fresh = 2 }, "1 replicas of group 1 that keep up would be left, 2 at the least"},
-		"a sibling": {func(_ *Wish, l *Look) { l.Machines["a2"].Up = false }, "of group 1 are out, 1 at the most"},
-		"its zone":  {func(_ *Wish, l *Look) { l.Machines["a1"].Cut = true }, "zone y cannot be reached"},
-		"not warm":  {func(_ *Wish, l *Look) { l.Machines["a2"].Warm = false }, "of group 1 are out, 1 at the most"},
-		"of its zone": {func(w *Wish, l *Look) {
+		"load":      {func(_ *PlanSpec, l *Snapshot) { l.Load[1] = 2.5 }, "short of 0.50 for the load of 2.50"},
+		"margin":    {func(w *PlanSpec, l *Snapshot) { w.Margin, l.Load[1] = 0.5, 1.5 }, "short of 0.50 for the load of 1.50"},
+		"freshness": {func(w *PlanSpec, _ *Snapshot) { w.Fresh = 2 }, "1 replicas of group 1 that keep up would be left, 2 at the least"},
+		"a sibling": {func(_ *PlanSpec, l *Snapshot) { l.Machines["a2"].Up = false }, "of group 1 are out, 1 at the most"},
+		"its zone":  {func(_ *PlanSpec, l *Snapshot) { l.Machines["a1"].Unreachable = true }, "zone y cannot be reached"},
+		"not warm":  {func(_ *PlanSpec, l *Snapshot) { l.Machines["a2"].Warm = false }, "of group 1 are out, 1 at the most"},
+		"of its zone": {func(w *PlanSpec, l *Snapshot) {
 			w.InAll, w.PerGroup = 9, 9
 			l.Machines["z"] = &Machine{Name: "z", Group: 7, Zone: "y", Primary: true}
 		}, "of zone y are out"},
 	} {
-		look := Look{Machines: groupOf(1, "a", 3), Load: map[int]float64{1: 1}}
-		w := Wish{Machines: []string{"a1"}, Fresh: 1, InAll: 9}
+		look := Snapshot{Machines: groupOf(1, "a", 3), Load: map[int]float64{1: 1}}
+		w := PlanSpec{Machines: []string{"a1"}, Fresh: 1, InAll: 9}
 		c.change(&w, &look)
-		require.Empty(t, Next(w, nil, look).Take, what)
-		_, err := Dry(w, look)
+		require.Empty(t, Decide(w, nil, look).Take, what)
+		_, err := DryRun(w, look)
 		require.ErrorContains(t, err, "a1: ", what)
 		require.ErrorContains(t, err, c.why, what)
 	}
-	look := Look{Machines: groupOf(1, "a", 2), Load: map[int]float64{1: 0.5}}
-	order, err := Dry(Wish{Machines: []string{"a1", "a0"}, Fresh: 0}, look)
+	look := Snapshot{Machines: groupOf(1, "a", 2), Load: map[int]float64{1: 0.5}}
+	order, err := DryRun(PlanSpec{Machines: []string{"a1", "a0"}, Fresh: 0}, look)
 	require.NoError(t, err)
 	require.Equal(t, []string{"a1", "a0"}, names(order))
-	order, err = Dry(Wish{Machines: []string{"a0", "a1"}, Fresh: 1}, look)
+	order, err = DryRun(PlanSpec{Machines: []string{"a0", "a1"}, Fresh: 1}, look)
 	require.ErrorContains(t, err, "2 of 2 machines cannot be taken")
 	require.Empty(t, order)
 }
 
 // While one is out its sibling dies: nothing further is taken, and the one that is out is asked back, one that is not at work first.
 func TestAskedBack(t *testing.T) {
-	look := Look{Machines: groupOf(1, "a", 5), Load: map[int]float64{1: 2.5}}
-	w := Wish{Machines: []string{"a1", "a2", "a3"}, PerGroup: 2, PerZone: 2, InAll: 2}
-	at := map[string]State{"a1": AtWork, "a2": Free}
-	require.Empty(t, Next(w, at, look).AskBack)
+	look := Snapshot{Machines: groupOf(1, "a", 5), Load: map[int]float64{1: 2.5}}
+	w := PlanSpec{Machines: []string{"a1", "a2", "a3"}, PerGroup: 2, PerZone: 2, InAll: 2}
+	at := map[string]State{"a1": InMaintenance, "a2": Drained}
+	require.Empty(t, Decide(w, at, look).PutBack)
 	look.Machines["a4"].Up = false
-	d := Next(w, at, look)
-	require.Equal(t, "a2", d.AskBack)
+	d := Decide(w, at, look)
+	require.Equal(t, "a2", d.PutBack)
 	require.Empty(t, d.Take)
-	require.Equal(t, "a2 is asked back first", d.Waits["a3"])
-	at["a2"] = Back
-	require.Equal(t, "a1", Next(w, at, look).AskBack)
+	require.Equal(t, "a2 is asked back first", d.Reasons["a3"])
+	at["a2"] = Recovering
+	require.Equal(t, "a1", Decide(w, at, look).PutBack)
 }
 
 // Whatever happens to machines while a plan goes on, never more are taken out than allowed, no group is left short by the plan's
@@ -113,22 +113,22 @@
 			load[g] = float64(n-2) * random.Float64()
 		}
 		all := slices.Sorted(maps.Keys(machines))
-		w := Wish{Machines: slices.Clone(all), PerGroup: 1 + random.IntN(2), PerZone: 1 + random.IntN(3), InAll: 1 + random.IntN(4), Fresh: 1,
+		w := PlanSpec{Machines: slices.Clone(all), PerGroup: 1 + random.IntN(2), PerZone: 1 + random.IntN(3), InAll: 1 + random.IntN(4), Fresh: 1,
 			Margin: random.Float64() / 10}
 		random.Shuffle(len(w.Machines), func(i, j int) { w.Machines[i], w.Machines[j] = w.Machines[j], w.Machines[i] })
 		at, dead := map[string]State{}, map[string]bool{}
 		lead := func(from, to *Machine) { from.Primary, from.Fresh, to.Primary, to.Fresh = false, true, true, false }
 		round := func(faults bool) bool {
-			look := Look{Machines: machines, Load: load}
-			d := Next(w, at, look)
-			require.Equal(t, d, Next(w, at, look), "seed %d", seed)
+			look := Snapshot{Machines: machines, Load: load}
+			d := Decide(w, at, look)
+			require.Equal(t, d, Decide(w, at, look), "seed %d", seed)
 			if d.HandOver[0] != "" {
 				lead(machines[d.HandOver[0]], machines[d.HandOver[1]])
 			}
 			if m := machines[d.Take]; m != nil {
 				before := map[string]State{}
 				maps.Copy(before, at)
-				at[d.Take] = Agreed
+				at[d.Take] = Draining
 				p := &planner{w, at, look}
 				out, group, fresh := 0, 0, 0
 				for _, o := range machines {
@@ -148,7 +148,7 @@
 				require.False(t, m.Primary, "seed %d: a primary that has not handed over", seed)
 			}
 			for _, name := range all { // what is out goes on, now and then
-				if s := at[name]; s.Out() && random.IntN(2) == 0 {
+				if s := at[name]; s.Unavailable() && random.IntN(2) == 0 {
 					at[name] = s + 1
 				}
 			}
@@ -172,7 +172,7 @@
 				break
 			}
 		}
-		if _, err := Dry(w, Look{Machines: machines, Load: load}); err == nil {
+		if _, err := DryRun(w, Snapshot{Machines: machines, Load: load}); err == nil {
 			require.True(t, ended, "seed %d: the plan ends: %v", seed, at)
 		}
 	}
@@ -180,14 +180,14 @@
 
 func TestWishCheck(t *testing.T) {
 	known := groupOf(1, "a", 3)
-	good := Wish{Machines: []string{"a0"}}
+	good := PlanSpec{Machines: []string{"a0"}}
 	require.NoError(t, good.Check(known))
-	for key, change := range map[string]func(*Wish){
-		"machines":    func(w *Wish) { w.Machines = nil },
-		"machines[1]": func(w *Wish) { w.Machines = []string{"a0", "a0"} },
-		"machines[0]": func(w *Wish) { w.Machines = []string{"odd"} },
-		"per_zone":    func(w *Wish) { w.PerZone = -1 },
-		"margin":      func(w *Wish) { w.Margin = 1 },
+	for key, change := range map[string]func(*PlanSpec){
+		"machines":    func(w *PlanSpec) { w.Machines = nil },
+		"machines[1]": func(w *PlanSpec) { w.Machines = []string{"a0", "a0"} },
+		"machines[0]": func(w *PlanSpec) { w.Machines = []string{"odd"} },
+		"per_zone":    func(w *PlanSpec) { w.PerZone = -1 },
+		"margin":      func(w *PlanSpec) { w.Margin = 1 },
 	} {
 		w := good
 		change(&w)
--- a/internal/maintenance/reader.go
+++ b/internal/maintenance/reader.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Reader is a pooler's part: where it may send, by what it has read of the record. It knows its own lease alone, and asks nobody on a
+// Follower is a pooler's part: where it may send, by what it has read of the record. It knows its own lease alone, and asks nobody on a
 // request's path.
-type Reader struct {
+type Follower struct {
 	rules    Rules
 	began    time.Duration
 	read     time.Duration
@@ -17,19 +17,19 @@
 	listed   []string // machines of the plan that are not over, in its order
 }
 
-// NewReader returns the reader of a pooler that has just begun, with nothing in mind.
-func NewReader(now time.Duration, r Rules) *Reader { return &Reader{rules: r, began: now} }
+// NewFollower returns the reader of a pooler that has just begun, with nothing in mind.
+func NewFollower(now time.Duration, r Rules) *Follower { return &Follower{rules: r, began: now} }
 
-// Read takes in the record as a majority held it at a moment after it was asked for. The lease counts from when that was: what has been
+// Refresh takes in the record as a majority held it at a moment after it was asked for. The lease counts from when that was: what has been
 // agreed since is not in it. Steps are in the order of the plan.
-func (p *Reader) Read(asked time.Duration, revision uint64, steps []Step) {
+func (p *Follower) Refresh(asked time.Duration, revision uint64, steps []Step) {
 	p.read = max(p.read, asked)
 	p.known = true
-	p.Heard(revision, steps)
+	p.Observe(revision, steps)
 }
 
-// Heard takes in what has been agreed up to a revision. It renews no lease: more may have been agreed since.
-func (p *Reader) Heard(revision uint64, steps []Step) {
+// Observe takes in what has been agreed up to a revision. It renews no lease: more may have been agreed since.
+func (p *Follower) Observe(revision uint64, steps []Step) {
 	if revision < p.revision { // Against answers that overtake each other.
 		return
 	}
@@ -37,35 +37,35 @@
 	p.steps, p.listed = map[string]Step{}, nil
 	for _, s := range steps {
 		p.steps[s.Machine] = s
-		if !s.State.Over() {
+		if !s.State.Finished() {
 			p.listed = append(p.listed, s.Machine)
 		}
 	}
 }
 
 // Known tells whether the record has been read.
-func (p *Reader) Known() bool { return p.known }
+func (p *Follower) Known() bool { return p.known }
 
-// Lapses is when the lease runs out, if nothing is read before.
-func (p *Reader) Lapses() time.Duration {
+// LeaseEnd is when the lease runs out, if nothing is read before.
+func (p *Follower) LeaseEnd() time.Duration {
 	if !p.known {
 		return p.began + p.rules.Lease
 	}
 	return p.read + p.rules.Lease
 }
 
-// May tells whether anything new may be sent to a machine. The others are those of its group that could serve in its place. Blind tells
+// MaySend tells whether anything new may be sent to a machine. The others are those of its group that could serve in its place. Blind tells
 // that this is the one case in which a request can reach a machine at work.
 //
 // While the lease holds it may, unless the machine is barred. Once it has run out, anything that the plan still lists could be at work:
 // it may send to what is not listed. Where all of a group are listed, and at a start that finds no record, something has to
 // serve all the same: of those not known to be barred the one that the plan takes last, or any if none was read; that is blind.
-func (p *Reader) May(now time.Duration, machine string, others []string) (may, blind bool) {
-	barred := func(name string) bool { return p.steps[name].State.Barred() }
+func (p *Follower) MaySend(now time.Duration, machine string, others []string) (may, blind bool) {
+	barred := func(name string) bool { return p.steps[name].State.Blocked() }
 	switch {
 	case barred(machine):
 		return false, false
-	case now < p.Lapses():
+	case now < p.LeaseEnd():
 		return p.known, false // or else it will be read in a moment
 	case !p.known:
 		return true, true
@@ -84,10 +84,10 @@
 
 // Stopped are the tries for which this pooler is to say that it has stopped: those agreed on machines where it has nothing out any
 // more.
-func (p *Reader) Stopped(out func(machine string) int) (said map[string]uint64) {
+func (p *Follower) Stopped(out func(machine string) int) (said map[string]uint64) {
 	said = map[string]uint64{}
 	for name, s := range p.steps {
-		if s.State == Agreed && out(name) == 0 {
+		if s.State == Draining && out(name) == 0 {
 			said[name] = s.Number
 		}
 	}
--- a/internal/maintenance/record.go
+++ b/internal/maintenance/record.go
@@ -11,7 +11,7 @@
 // Plan is what operators have handed in, as it stands in the record.
 type Plan struct {
 	ID       string    `json:"id"`   // of the request that handed it in
-	Wish     Wish      `json:"wish"` // its machines in the order of the dry run
+	Spec     PlanSpec  `json:"wish"` // its machines in the order of the dry run
 	State    PlanState `json:"state"`
 	Why      string    `json:"why,omitempty"` // of the state
 	Number   uint64    `json:"number"`        // the last that was given to a try, or to a hand-over, over all plans
@@ -20,11 +20,11 @@
 
 // HandOver is of a primary that is next, under way.
 type HandOver struct {
-	From   string `json:"from"`
-	To     string `json:"to"`
-	Number uint64 `json:"number"`
-	Hooks  int    `json:"hooks,omitempty"` // times the hook has been called
-	By     Life   `json:"by,omitzero"`     // who called it last; the zero value: nobody yet, or a person does it
+	From       string   `json:"from"`
+	To         string   `json:"to"`
+	Number     uint64   `json:"number"`
+	HookCalls  int      `json:"hooks,omitempty"` // times the hook has been called
+	HookCaller Instance `json:"by,omitzero"`     // who called it last; the zero value: nobody yet, or a person does it
 }
 
 // PlanState is how far a plan is.
@@ -34,51 +34,51 @@
 	Running  PlanState = "running"
 	Paused   PlanState = "paused"   // nothing further is taken; what is out comes back
 	Aborting PlanState = "aborting" // what is not at work yet is put back
-	Over     PlanState = "over"
+	Finished PlanState = "over"
 )
 
 // Active tells whether there is a plan that is not over.
-func (p Plan) Active() bool { return p.ID != "" && p.State != Over }
+func (p Plan) Active() bool { return p.ID != "" && p.State != Finished }
 
-// Word is what a pooler says of itself in the record. It stands there until the pooler leaves: one that is not heard is known by it.
-type Word struct {
+// PoolerStatus is what a pooler says of itself in the record. It stands there until the pooler leaves: one that is not heard is known by it.
+type PoolerStatus struct {
 	Incarnation uint64            `json:"incarnation"`
 	Plan        string            `json:"plan"`     // the last that it has read
 	LeaseMS     int64             `json:"lease_ms"` // its own
 	Stopped     map[string]uint64 `json:"stopped,omitempty"`
 }
 
-// Entry is a line of the history.
-type Entry struct {
+// HistoryEntry is a line of the history.
+type HistoryEntry struct {
 	At      int64  `json:"at_ms"` // Unix, on the clock of who wrote it
 	By      string `json:"by"`
 	Machine string `json:"machine,omitempty"`
 	Number  uint64 `json:"number,omitempty"`
-	What    string `json:"what"`
+	Text    string `json:"what"`
 }
 
 // Keys of the record. What poolers have to follow stands under one name.
 const (
-	Now        = "works/now/" // all that poolers follow
-	All        = "works/"
-	keyPlan    = Now + "plan"
-	keyStep    = Now + "step/" // of each machine
-	keyWord    = "works/said/" // of each pooler
-	keyHistory = "works/history"
+	FollowedPrefix = "works/now/" // all that poolers follow
+	KeyPrefix      = "works/"
+	keyPlan        = FollowedPrefix + "plan"
+	keyStep        = FollowedPrefix + "step/" // of each machine
+	keyWord        = "works/said/"            // of each pooler
+	keyHistory     = "works/history"
 
 	machinesMost = 400 // of a plan: the record has room for so many steps
 	historyMost  = 200 // entries that are kept
 )
 
-// WordKey is where a pooler's word stands.
-func WordKey(pooler string) string { return keyWord + pooler }
+// StatusKey is where a pooler's word stands.
+func StatusKey(pooler string) string { return keyWord + pooler }
 
 // Record is what is agreed, as read at one moment.
 type Record struct {
-	Plan    Plan
-	Steps   map[string]Step
-	Words   map[string]Word
-	History []Entry
+	Plan     Plan
+	Steps    map[string]Step
+	Statuses map[string]PoolerStatus
+	History  []HistoryEntry
 
 	revisions map[string]uint64
 }
@@ -86,7 +86,7 @@
 // Parse reads values of the record: the plan and its steps, and what else of the works is among them. A value that cannot be read
 // is an error, as of another version.
 func Parse(values map[string]json.RawMessage, revisions map[string]uint64) (r Record, err error) {
-	r = Record{Steps: map[string]Step{}, Words: map[string]Word{}, revisions: revisions}
+	r = Record{Steps: map[string]Step{}, Statuses: map[string]PoolerStatus{}, revisions: revisions}
 	for key, text := range values {
 		var e error
 		switch {
@@ -99,9 +99,9 @@
 			e = json.Unmarshal(text, &s)
 			r.Steps[strings.TrimPrefix(key, keyStep)] = s
 		case strings.HasPrefix(key, keyWord):
-			var w Word
+			var w PoolerStatus
 			e = json.Unmarshal(text, &w)
-			r.Words[strings.TrimPrefix(key, keyWord)] = w
+			r.Statuses[strings.TrimPrefix(key, keyWord)] = w
 		}
 		if e != nil {
 			return r, fmt.Errorf("%s: %w", key, e)
@@ -110,9 +110,9 @@
 	return r, nil
 }
 
-// Course are the steps of the plan, in its order.
-func (r Record) Course() (steps []Step) {
-	for _, name := range r.Plan.Wish.Machines {
+// PlanSteps are the steps of the plan, in its order.
+func (r Record) PlanSteps() (steps []Step) {
+	for _, name := range r.Plan.Spec.Machines {
 		steps = append(steps, r.step(name))
 	}
 	return steps
@@ -129,27 +129,27 @@
 // States is how far each machine is.
 func (r Record) States() map[string]State {
 	at := map[string]State{}
-	for _, s := range r.Course() {
+	for _, s := range r.PlanSteps() {
 		at[s.Machine] = s.State
 	}
 	return at
 }
 
-// Orders are what is to be agreed on, if the record is still as it was read, and to be done once it is.
-type Orders struct {
+// Proposal are what is to be agreed on, if the record is still as it was read, and to be done once it is.
+type Proposal struct {
 	Plan    *Plan           // changed
 	Steps   map[string]Step // changed
 	Drop    []string        // machines whose steps are of a plan before
 	Forget  []string        // poolers that left, or that operators know to be gone for good
-	Entries []Entry
+	History []HistoryEntry
 	Calls   []Call   // hooks
 	Resign  bool     // another is to lead the record, as this pooler is next
-	Ask     []string // databases of which nothing has been heard of late
+	Probe   []string // databases of which nothing has been heard of late
 }
 
 // Change is the change of the record: what is set, what is deleted, and at which revisions the keys must still be. Nothing is to be
 // changed where set and deleted are empty. The plan is always a condition: operators and leaders change it one after the other.
-func (o *Orders) Change(r Record) (on map[string]uint64, set map[string]json.RawMessage, deleted []string) {
+func (o *Proposal) Change(r Record) (on map[string]uint64, set map[string]json.RawMessage, deleted []string) {
 	if o.Plan == nil && len(o.Steps)+len(o.Drop)+len(o.Forget) == 0 {
 		return nil, nil, nil
 	}
@@ -172,22 +172,22 @@
 		deleted = append(deleted, keyStep+name)
 	}
 	for _, name := range o.Forget {
-		on[WordKey(name)] = r.revisions[WordKey(name)]
-		deleted = append(deleted, WordKey(name))
+		on[StatusKey(name)] = r.revisions[StatusKey(name)]
+		deleted = append(deleted, StatusKey(name))
 	}
-	if len(o.Entries) > 0 {
-		history := slices.Concat(r.History, o.Entries)
+	if len(o.History) > 0 {
+		history := slices.Concat(r.History, o.History)
 		put(keyHistory, history[max(0, len(history)-historyMost):])
 	}
 	return on, set, deleted
 }
 
-func (o *Orders) tell(by string, wall time.Duration, machine string, number uint64, text string, a ...any) {
-	o.Entries = append(o.Entries, Entry{At: wall.Milliseconds(), By: by, Machine: machine, Number: number, What: fmt.Sprintf(text, a...)})
+func (o *Proposal) tell(by string, wall time.Duration, machine string, number uint64, text string, a ...any) {
+	o.History = append(o.History, HistoryEntry{At: wall.Milliseconds(), By: by, Machine: machine, Number: number, Text: fmt.Sprintf(text, a...)})
 }
 
 // put adds a changed step, with an entry if its state has changed.
-func (o *Orders) put(by string, wall time.Duration, before State, s Step, why string) {
+func (o *Proposal) put(by string, wall time.Duration, before State, s Step, why string) {
 	if o.Steps == nil {
 		o.Steps = map[string]Step{}
 	}
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -44,7 +44,7 @@
 // are in them.
 type Statements struct {
 	intake.Readings
-	ByCalls, ByTime, ByDisagreement []statement.Shape
+	ByCalls, ByTime, ByDisagreement []statement.Fingerprint
 }
 
 // Server answers operators.
@@ -102,8 +102,8 @@
 		f.Written, f.Pending, f.Members, f.Unavailable)
 	fmt.Fprintf(&b, "app.config_reloads=%d\napp.config_reload_errors=%d\n", f.Reloads, f.ReloadErrors)
 	fmt.Fprintf(&b, "app.bans_unsaved=%d\n", s.pooler.BansUnsaved())
-	if f.Door != nil {
-		doorLines(&b, f.Door)
+	if f.Admission != nil {
+		doorLines(&b, f.Admission)
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Write([]byte(b.String()))
@@ -153,7 +153,7 @@
 	}
 }
 
-func doorLines(b *strings.Builder, f *core.DoorFigures) {
+func doorLines(b *strings.Builder, f *core.AdmissionFigures) {
 	c := &f.Count
 	for _, v := range []struct {
 		name  string
--- a/internal/membership/advice.go
+++ b/internal/membership/advice.go
@@ -10,12 +10,12 @@
 // Uses are what a pooler does with the view. Each stands alone, and none replaces what the pooler knows by itself.
 type Uses struct {
 	Count       bool `toml:"count"`       // the live poolers are counted, in place of the number in the settings
-	Doubt       bool `toml:"doubt"`       // a database that others doubt, or say leads, is asked
+	Suspicion   bool `toml:"doubt"`       // a database that others doubt, or say leads, is asked
 	Connections int  `toml:"connections"` // idle ones that all poolers together keep to one database; 0: each as many as ever
 }
 
-// AdviceBounds are the times and counts of the uses.
-type AdviceBounds struct {
+// AdvisorBounds are the times and counts of the uses.
+type AdvisorBounds struct {
 	Stands  time.Duration // a lower count of poolers is believed once it has stood for so long
 	Turn    time.Duration // poolers ask a database that is doubted one after the other, so far apart
 	Turns   time.Duration // ... and all of them within this
@@ -24,14 +24,14 @@
 	Least   int           // poolers whose word it takes: one may be the only one that is cut off
 }
 
-// DefaultAdvice is for periods of 200 ms.
-func DefaultAdvice() AdviceBounds {
-	return AdviceBounds{Stands: 10 * time.Second, Turn: 50 * time.Millisecond, Turns: time.Second, Again: 2 * time.Second, Askings: 4,
+// DefaultAdvisorBounds is for periods of 200 ms.
+func DefaultAdvisorBounds() AdvisorBounds {
+	return AdvisorBounds{Stands: 10 * time.Second, Turn: 50 * time.Millisecond, Turns: time.Second, Again: 2 * time.Second, Askings: 4,
 		Least: 2}
 }
 
-// Advice is what the view comes down to for the pooler that holds it. The zero value changes nothing.
-type Advice struct {
+// Hints is what the view comes down to for the pooler that holds it. The zero value changes nothing.
+type Hints struct {
 	Routers int            // that share the databases; 0: as many as the settings say
 	Ask     []string       // databases to probe now
 	Idle    map[string]int // idle connections that may be kept to each database; nil: as many as ever
@@ -43,13 +43,13 @@
 
 	name    string
 	uses    Uses
-	bounds  AdviceBounds
+	bounds  AdvisorBounds
 	routers int // as in the settings
 	counted int // that is believed; 0: all that are known
 	lower   int // a lower one, which has stood since
 	since   time.Duration
 	doubts  map[string]*doubt
-	words   map[string][]Heard // of the last step
+	words   map[string][]PeerObservation // of the last step
 }
 
 // doubt is of a database that others say something of which this pooler has not seen.
@@ -59,7 +59,7 @@
 }
 
 // NewAdvisor returns one for a pooler of this name, where the settings say that there are so many.
-func NewAdvisor(name string, u Uses, b AdviceBounds, routers int) *Advisor {
+func NewAdvisor(name string, u Uses, b AdvisorBounds, routers int) *Advisor {
 	return &Advisor{name: name, uses: u, bounds: b, routers: routers, doubts: map[string]*doubt{}}
 }
 
@@ -67,11 +67,11 @@
 func (a *Advisor) Settings(routers int) { a.routers, a.counted, a.lower = routers, 0, 0 }
 
 // Step decides anew. It is called once a period.
-func (a *Advisor) Step(now time.Duration, v *View, sights []Sight) (out Advice) {
+func (a *Advisor) Step(now time.Duration, v *View, sights []LocalObservation) (out Hints) {
 	live := v.Live()
-	a.words = v.Words()
+	a.words = v.Observations()
 	if !slices.Contains(live, a.name) { // nothing has been said yet
-		return Advice{}
+		return Hints{}
 	}
 	if a.uses.Count {
 		known := len(live)
@@ -85,7 +85,7 @@
 	if a.uses.Connections > 0 {
 		out.Idle = a.idle(max(len(live), cmp.Or(out.Routers, a.routers), 1), live, sights)
 	}
-	if a.uses.Doubt {
+	if a.uses.Suspicion {
 		out.Ask = a.ask(now, live, sights)
 	}
 	return out
@@ -122,7 +122,7 @@
 
 // idle deals the connections of each database out to n poolers. Where those are all live ones, the whole is dealt, and what is left
 // over of it goes to those who come first by rendezvous hashing: to others for each database.
-func (a *Advisor) idle(n int, live []string, sights []Sight) map[string]int {
+func (a *Advisor) idle(n int, live []string, sights []LocalObservation) map[string]int {
 	idle := make(map[string]int, len(sights))
 	for _, s := range sights {
 		idle[s.Database] = a.uses.Connections / n
@@ -136,7 +136,7 @@
 // ask names the databases of which others have something to say that is newer than all that this pooler has seen of them: that
 // some are bad, each by its own evidence, or that one leads. Their word is a reason to ask, and what comes back is evidence. They
 // ask in turn, so that a database that is in trouble is not asked by all at once.
-func (a *Advisor) ask(now time.Duration, live []string, sights []Sight) (ask []string) {
+func (a *Advisor) ask(now time.Duration, live []string, sights []LocalObservation) (ask []string) {
 	left := map[string]bool{}
 	for _, s := range sights {
 		bad, leads := 0, false
@@ -183,11 +183,11 @@
 
 // Contested tells whether somebody said at the last step that a database is bad.
 func (a *Advisor) Contested(database string) bool {
-	return slices.ContainsFunc(a.words[database], func(h Heard) bool { return h.State.Bad() })
+	return slices.ContainsFunc(a.words[database], func(h PeerObservation) bool { return h.State.Bad() })
 }
 
-// Doubted are the databases of which others say what this pooler has not seen, sorted.
-func (a *Advisor) Doubted() []string {
+// Suspected are the databases of which others say what this pooler has not seen, sorted.
+func (a *Advisor) Suspected() []string {
 	names := make([]string, 0, len(a.doubts))
 	for name := range a.doubts {
 		names = append(names, name)
