--- a/internal/membership/advice_test.go
+++ b/internal/membership/advice_test.go
@@ -13,8 +13,8 @@
 func viewOf(live int, ends ...End) *View {
 	v := NewView(DefaultBounds())
 	for i := range live {
-		a := NewAuthor(fmt.Sprint("n", i), 1, DefaultBounds())
-		v.Merge(now, a.Say(now, map[Key][]byte{{}: []byte("up")}))
+		a := NewPublisher(fmt.Sprint("n", i), 1, DefaultBounds())
+		v.Merge(now, a.Publish(now, map[Key][]byte{{}: []byte("up")}))
 	}
 	v.Merge(now, Delta{Ends: ends})
 	return v
@@ -46,18 +46,18 @@
 		{"half of more than in the settings", 5, 4, dead("n4", "n5", "n6", "n7"), 8, 8},
 		{"they left", 2, 3, []End{{"n3", 1, now, true}, {"n4", 1, now, true}}, 3, 3},
 	} {
-		a := NewAdvisor("n0", Uses{Count: true}, DefaultAdvice(), c.settings)
+		a := NewAdvisor("n0", Uses{Count: true}, DefaultAdvisorBounds(), c.settings)
 		v := viewOf(c.live, c.gone...)
 		require.Equal(t, c.at, a.Step(now, v, nil).Routers, c.what)
 		a.Step(now+9*time.Second, v, nil)
 		require.Equal(t, c.then, a.Step(now+10*time.Second, v, nil).Routers, c.what)
 	}
-	a := NewAdvisor("n0", Uses{Count: true}, DefaultAdvice(), 5)
+	a := NewAdvisor("n0", Uses{Count: true}, DefaultAdvisorBounds(), 5)
 	less, all := viewOf(4, dead("n4")...), viewOf(5)
 	a.Step(now, less, nil)
 	a.Step(now+9*time.Second, all, nil)
 	require.Equal(t, 5, a.Step(now+10*time.Second, less, nil).Routers, "it has not stood since it came back")
-	require.Zero(t, NewAdvisor("n0", Uses{}, DefaultAdvice(), 5).Step(now, less, nil).Routers, "off")
+	require.Zero(t, NewAdvisor("n0", Uses{}, DefaultAdvisorBounds(), 5).Step(now, less, nil).Routers, "off")
 	require.Zero(t, a.Step(now, NewView(DefaultBounds()), nil).Routers, "nothing is known")
 }
 
@@ -74,12 +74,12 @@
 		}
 		share := func(side func(i, at int) []bool) (sum float64) {
 			for i, name := range all {
-				a := NewAdvisor(name, Uses{Count: true}, DefaultAdvice(), settings)
+				a := NewAdvisor(name, Uses{Count: true}, DefaultAdvisorBounds(), settings)
 				for at := range 4 {
 					v := NewView(DefaultBounds())
 					for j, sees := range side(i, at) {
 						if j == i || sees {
-							v.Merge(now, NewAuthor(all[j], 1, DefaultBounds()).Say(now, map[Key][]byte{{}: nil}))
+							v.Merge(now, NewPublisher(all[j], 1, DefaultBounds()).Publish(now, map[Key][]byte{{}: nil}))
 						} else {
 							v.Merge(now, Delta{Ends: dead(all[j])})
 						}
@@ -118,16 +118,16 @@
 // The connections of a database are dealt out whole where all see the same, and to others for each database; never more than
 // twice in any views.
 func TestIdle(t *testing.T) {
-	var sights []Sight
+	var sights []LocalObservation
 	for i := range 20 {
-		sights = append(sights, Sight{Database: fmt.Sprint("db", i)})
+		sights = append(sights, LocalObservation{Database: fmt.Sprint("db", i)})
 	}
 	v := viewOf(7)
 	first := map[string]int{}
 	for _, s := range sights {
 		sum := 0
 		for i := range 7 {
-			a := NewAdvisor(fmt.Sprint("n", i), Uses{Connections: 24}, DefaultAdvice(), 7)
+			a := NewAdvisor(fmt.Sprint("n", i), Uses{Connections: 24}, DefaultAdvisorBounds(), 7)
 			idle := a.Step(now, v, sights).Idle[s.Database]
 			if idle == 4 {
 				first[fmt.Sprint("n", i)]++
@@ -137,25 +137,25 @@
 		require.Equal(t, 24, sum, s.Database)
 	}
 	require.Len(t, first, 7, "what is left over falls on all")
-	alone := NewAdvisor("n0", Uses{Connections: 24}, DefaultAdvice(), 7).Step(now, viewOf(1), sights)
+	alone := NewAdvisor("n0", Uses{Connections: 24}, DefaultAdvisorBounds(), 7).Step(now, viewOf(1), sights)
 	require.Equal(t, 3, alone.Idle["db0"], "with nobody else in sight, what the settings say")
 }
 
 // says merges one pooler's word.
-func says(v *View, name, database string, w Word) {
-	a := NewAuthor(name, 2, DefaultBounds())
-	v.Merge(now, a.Say(now, map[Key][]byte{{}: []byte("up"), {OfDatabase, database}: w.Append(nil)}))
+func says(v *View, name, database string, w Observation) {
+	a := NewPublisher(name, 2, DefaultBounds())
+	v.Merge(now, a.Publish(now, map[Key][]byte{{}: []byte("up"), {OfDatabase, database}: w.Append(nil)}))
 }
 
 // Two words that are newer than what this pooler has seen make it ask, twice and then rarely; one word does not, nor one that
 // is older, nor does anything where it knows itself, or may not ask.
 func TestDoubt(t *testing.T) {
 	later := (now + time.Second).Milliseconds()
-	bad := Word{State: Silent, Since: later}
-	sight := Sight{Database: "db", State: Answers, Heard: now, MayAsk: true}
-	step := func(v *View, s Sight) []string {
-		a := NewAdvisor("n0", Uses{Doubt: true}, DefaultAdvice(), 5)
-		return a.Step(now+3*time.Second, v, []Sight{s}).Ask
+	bad := Observation{State: Unresponsive, Since: later}
+	sight := LocalObservation{Database: "db", State: Healthy, Heard: now, MayAsk: true}
+	step := func(v *View, s LocalObservation) []string {
+		a := NewAdvisor("n0", Uses{Suspicion: true}, DefaultAdvisorBounds(), 5)
+		return a.Step(now+3*time.Second, v, []LocalObservation{s}).Ask
 	}
 	one, two := viewOf(1), viewOf(1)
 	says(one, "n1", "db", bad)
@@ -167,41 +167,41 @@
 	heard.Heard = now + 2*time.Second
 	require.Empty(t, step(two, heard), "its own evidence is newer")
 	down, gone := sight, sight
-	down.State, gone.MayAsk = Silent, false
+	down.State, gone.MayAsk = Unresponsive, false
 	require.Empty(t, step(two, down))
 	require.Empty(t, step(two, gone))
-	require.Empty(t, NewAdvisor("n0", Uses{}, DefaultAdvice(), 5).Step(now, two, []Sight{sight}).Ask, "off")
+	require.Empty(t, NewAdvisor("n0", Uses{}, DefaultAdvisorBounds(), 5).Step(now, two, []LocalObservation{sight}).Ask, "off")
 
 	leads := viewOf(1)
-	says(leads, "n1", "db", Word{State: Answers, Primary: true, Since: later})
+	says(leads, "n1", "db", Observation{State: Healthy, Primary: true, Since: later})
 	require.Equal(t, []string{"db"}, step(leads, sight), "one word that it leads is enough to ask")
 	knows := sight
 	knows.Primary = true
 	require.Empty(t, step(leads, knows))
 
-	a, at := NewAdvisor("n0", Uses{Doubt: true}, DefaultAdvice(), 5), []time.Duration{}
+	a, at := NewAdvisor("n0", Uses{Suspicion: true}, DefaultAdvisorBounds(), 5), []time.Duration{}
 	for i := range 50 {
-		if asked := a.Step(now+time.Duration(i)*200*time.Millisecond, two, []Sight{sight}).Ask; asked != nil {
+		if asked := a.Step(now+time.Duration(i)*200*time.Millisecond, two, []LocalObservation{sight}).Ask; asked != nil {
 			at = append(at, time.Duration(i)*200*time.Millisecond)
 		}
 	}
 	require.Equal(t, []time.Duration{0, 200e6, 2200e6, 2400e6, 4400e6, 4600e6, 6600e6, 6800e6, 8800e6, 9000e6}, at)
-	require.Equal(t, []string{"db"}, a.Doubted())
-	require.Empty(t, a.Step(now+20*time.Second, two, []Sight{heard}).Ask)
-	require.Empty(t, a.Doubted(), "what it has seen since settles it")
+	require.Equal(t, []string{"db"}, a.Suspected())
+	require.Empty(t, a.Step(now+20*time.Second, two, []LocalObservation{heard}).Ask)
+	require.Empty(t, a.Suspected(), "what it has seen since settles it")
 }
 
 // However many poolers doubt a database on others' word, they ask it in turn.
 func TestTurns(t *testing.T) {
 	const n = 200
 	v := viewOf(n)
-	bad := Word{State: Silent, Since: now.Milliseconds() + 1}
+	bad := Observation{State: Unresponsive, Since: now.Milliseconds() + 1}
 	says(v, "x", "db", bad)
 	says(v, "y", "db", bad)
-	sight := []Sight{{Database: "db", State: Answers, Heard: now, MayAsk: true}}
+	sight := []LocalObservation{{Database: "db", State: Healthy, Heard: now, MayAsk: true}}
 	var advisors []*Advisor
 	for i := range n {
-		advisors = append(advisors, NewAdvisor(fmt.Sprint("n", i), Uses{Doubt: true}, DefaultAdvice(), n))
+		advisors = append(advisors, NewAdvisor(fmt.Sprint("n", i), Uses{Suspicion: true}, DefaultAdvisorBounds(), n))
 	}
 	first := map[int]bool{}
 	for at := range 7 {
@@ -221,22 +221,22 @@
 func TestReporter(t *testing.T) {
 	r := NewReporter(time.Minute)
 	never := func(string) bool { return false }
-	sights := []Sight{{Database: "a", State: Answers}, {Database: "b", State: Silent}, {Database: "c", State: Answers, Primary: true,
+	sights := []LocalObservation{{Database: "a", State: Healthy}, {Database: "b", State: Unresponsive}, {Database: "c", State: Healthy, Primary: true,
 		Position: now}}
-	word := func(at time.Duration, database string, contested func(string) bool) (Word, bool) {
-		return ParseWord(r.Says(at, sights, contested)[Key{OfDatabase, database}])
+	word := func(at time.Duration, database string, contested func(string) bool) (Observation, bool) {
+		return ParseObservation(r.Report(at, sights, contested)[Key{OfDatabase, database}])
 	}
 	_, said := word(now, "a", never)
 	require.False(t, said, "plain")
 	b, _ := word(now, "b", never)
-	require.Equal(t, Word{State: Silent, Since: now.Milliseconds()}, b)
+	require.Equal(t, Observation{State: Unresponsive, Since: now.Milliseconds()}, b)
 	b, _ = word(now+time.Second, "b", never)
 	require.Equal(t, now.Milliseconds(), b.Since, "it stands")
 	c, _ := word(now+time.Second, "c", never)
-	require.Equal(t, Word{State: Answers, Primary: true, Since: now.Milliseconds(), At: now.Milliseconds()}, c)
-	sights[1].State = Answers
+	require.Equal(t, Observation{State: Healthy, Primary: true, Since: now.Milliseconds(), At: now.Milliseconds()}, c)
+	sights[1].State = Healthy
 	b, _ = word(now+2*time.Second, "b", never)
-	require.Equal(t, Word{State: Answers, Since: (now + 2*time.Second).Milliseconds()}, b, "it is taken back")
+	require.Equal(t, Observation{State: Healthy, Since: (now + 2*time.Second).Milliseconds()}, b, "it is taken back")
 	_, said = word(now+62*time.Second, "b", never)
 	require.False(t, said, "all have heard it")
 	_, said = word(now+63*time.Second, "a", func(string) bool { return true })
@@ -245,11 +245,11 @@
 	_, said = word(now+64*time.Second, "a", never)
 	require.False(t, said, "it is no more")
 	for _, odd := range []string{"", "\x01\x00\x05", "\x09\x00\x05\x05", "\x01\x00\x00\x05", "\x01\x00\x80\x80"} {
-		_, ok := ParseWord([]byte(odd))
+		_, ok := ParseObservation([]byte(odd))
 		require.False(t, ok, "%q", odd)
 	}
-	w := Word{State: Failing, Cold: true, Primary: true, Since: 1 << 40, At: 7}
-	again, ok := ParseWord(append(w.Append(nil), "more of a newer version"...))
+	w := Observation{State: Failing, Cold: true, Primary: true, Since: 1 << 40, At: 7}
+	again, ok := ParseObservation(append(w.Append(nil), "more of a newer version"...))
 	require.True(t, ok)
 	require.Equal(t, w, again)
 }
--- a/internal/membership/gossip/config.go
+++ b/internal/membership/gossip/config.go
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// Pace is how fast a fleet finds out and talks.
-type Pace struct {
+// Timing is how fast a fleet finds out and talks.
+type Timing struct {
 	Period  time.Duration // of news, and of what memberlist sends
 	Probe   time.Duration // one member is asked whether it lives this often
 	Timeout time.Duration // ... and is suspected without an answer by then
@@ -71,15 +71,15 @@
 	LogEach time.Duration // at most one line a kind of bad input in this time
 }
 
-// DefaultPace is for poolers some milliseconds apart.
-func DefaultPace() Pace {
-	return Pace{Period: 200 * time.Millisecond, Probe: time.Second, Timeout: 500 * time.Millisecond, Rejoin: 5 * time.Second,
+// DefaultTiming is for poolers some milliseconds apart.
+func DefaultTiming() Timing {
+	return Timing{Period: 200 * time.Millisecond, Probe: time.Second, Timeout: 500 * time.Millisecond, Rejoin: 5 * time.Second,
 		Bind: 100 * time.Millisecond, Agree: 10 * time.Second, LogEach: time.Second}
 }
 
-// Pace is the table's.
-func (c Config) Pace() Pace {
-	p := DefaultPace()
+// Timing is the table's.
+func (c Config) Timing() Timing {
+	p := DefaultTiming()
 	if c.Slower > 0 {
 		for _, t := range []*time.Duration{&p.Period, &p.Probe, &p.Timeout, &p.Rejoin} {
 			*t = time.Duration(float64(*t) * c.Slower)
--- a/internal/membership/gossip/gossip.go
+++ b/internal/membership/gossip/gossip.go
@@ -56,7 +56,7 @@
 type Gossip struct {
 	name   string
 	config Config
-	pace   Pace
+	pace   Timing
 	log    zerolog.Logger
 	clock  func() time.Duration
 	period func(now time.Duration, v *membership.View) map[membership.Key][]byte
@@ -70,7 +70,7 @@
 	mu         sync.Mutex
 	list       *memberlist.Memberlist // nil until the address is to be had
 	waits      string                 // why there is none yet
-	talk       *membership.Talk
+	talk       *membership.Disseminator
 	members    map[string]*peer   // that are there, this pooler left out
 	missing    map[string]*peer   // that have gone just now: whether they left is not known yet
 	unmet      map[string]unmet   // that others' words tell of and that the library has not found
@@ -122,12 +122,12 @@
 // Start joins the fleet as name; it goes on trying for as long as there is nobody, and also while the address is another's, as
 // the process before this one may not have ended. Period is called once a period on a goroutine of the fleet's, with a view that
 // is its own until it returns; it returns what the pooler says. The clock counts from the Unix epoch.
-func Start(name string, c Config, p Pace, log zerolog.Logger, clock func() time.Duration,
+func Start(name string, c Config, p Timing, log zerolog.Logger, clock func() time.Duration,
 	period func(now time.Duration, v *membership.View) map[membership.Key][]byte) (*Gossip, error) {
 	b, now := membership.DefaultBounds(), clock()
 	random := rand.New(rand.NewPCG(uint64(now), 0))
 	g := &Gossip{name: name, config: c, pace: p, log: log, clock: clock, period: period, began: now, stop: make(chan struct{}),
-		talk:    membership.NewTalk(membership.NewView(b), membership.NewAuthor(name, uint64(now.Milliseconds()), b), membership.DefaultTalk(), random),
+		talk:    membership.NewDisseminator(membership.NewView(b), membership.NewPublisher(name, uint64(now.Milliseconds()), b), membership.DefaultDisseminatorBounds(), random),
 		members: map[string]*peer{}, missing: map[string]*peer{}, unmet: map[string]unmet{}, remembered: map[string]address{},
 		heard:     heard{answered: map[string]time.Duration{}, suspected: map[string]time.Duration{}},
 		agreement: newAgreement(p.Agree, now), logged: map[string]time.Duration{}, random: random, write: write}
@@ -374,9 +374,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
-	before := g.talk.Author.Incarnation()
-	g.talk.Hear(now, membership.Delta{Facts: w.Facts, Ends: w.Ends})
-	if g.talk.Author.Incarnation() != before {
+	before := g.talk.Publisher.Incarnation()
+	g.talk.Receive(now, membership.Delta{Facts: w.Facts, Ends: w.Ends})
+	if g.talk.Publisher.Incarnation() != before {
 		g.count.Refuted++
 	}
 	if g.members[w.From] != nil {
--- a/internal/membership/gossip/gossip_test.go
+++ b/internal/membership/gossip/gossip_test.go
@@ -20,7 +20,7 @@
 const patience = 60 * time.Second
 
 // quick is for members on one machine.
-var quick = gossip.Pace{Period: 20 * time.Millisecond, Probe: 200 * time.Millisecond, Timeout: 100 * time.Millisecond,
+var quick = gossip.Timing{Period: 20 * time.Millisecond, Probe: 200 * time.Millisecond, Timeout: 100 * time.Millisecond,
 	Rejoin: 200 * time.Millisecond, Bind: 10 * time.Millisecond, Agree: time.Second, LogEach: time.Second}
 
 func saying(values map[membership.Key][]byte) func(time.Duration, *membership.View) map[membership.Key][]byte {
--- a/internal/membership/gossip/memory_test.go
+++ b/internal/membership/gossip/memory_test.go
@@ -133,7 +133,7 @@
 func TestRememberedOnAFailingDisk(t *testing.T) {
 	dir, now, disk := t.TempDir(), epoch, &failingDisk{}
 	var logged bytes.Buffer
-	g := &Gossip{name: "a", config: Config{Dir: dir, Cluster: "c"}, pace: DefaultPace(), log: zerolog.New(&logged),
+	g := &Gossip{name: "a", config: Config{Dir: dir, Cluster: "c"}, pace: DefaultTiming(), log: zerolog.New(&logged),
 		clock: func() time.Duration { return now }, write: disk.write,
 		remembered: map[string]address{"b": {"127.0.0.1:1", now}}}
 	step := func() map[string]address {
@@ -185,8 +185,8 @@
 // until it is that pooler's turn to be asked.
 func TestSuspicionEnds(t *testing.T) {
 	now, b := epoch, membership.DefaultBounds()
-	talk := membership.NewTalk(membership.NewView(b), membership.NewAuthor("a", 1, b), membership.DefaultTalk(), rand.New(rand.NewPCG(1, 1)))
-	g := &Gossip{name: "a", pace: DefaultPace(), log: zerolog.Nop(), clock: func() time.Duration { return now }, talk: talk, members: map[string]*peer{},
+	talk := membership.NewDisseminator(membership.NewView(b), membership.NewPublisher("a", 1, b), membership.DefaultDisseminatorBounds(), rand.New(rand.NewPCG(1, 1)))
+	g := &Gossip{name: "a", pace: DefaultTiming(), log: zerolog.Nop(), clock: func() time.Duration { return now }, talk: talk, members: map[string]*peer{},
 		missing: map[string]*peer{}, remembered: map[string]address{}, logged: map[string]time.Duration{}, agreement: newAgreement(time.Second, now),
 		heard: heard{answered: map[string]time.Duration{}, suspected: map[string]time.Duration{}}}
 	other := &memberlist.Node{Name: "b", Addr: net.IPv4(127, 0, 0, 1), Port: 1}
--- a/internal/membership/gossip/show.go
+++ b/internal/membership/gossip/show.go
@@ -18,8 +18,8 @@
 	atOnce    = 16       // calls
 )
 
-// Ask gets a pooler's view from its management address.
-func Ask(addr string) (s State, err error) {
+// Query gets a pooler's view from its management address.
+func Query(addr string) (s State, err error) {
 	answer, err := (&http.Client{Timeout: callWait}).Get("http://" + addr + "/fleet")
 	if err != nil {
 		return s, err
@@ -36,16 +36,16 @@
 	return s, nil
 }
 
-// Everyone is the views of all poolers that one names as live and that tell where they are managed, with those that could not be
+// ClusterState is the views of all poolers that one names as live and that tell where they are managed, with those that could not be
 // asked.
-type Everyone struct {
+type ClusterState struct {
 	Views  []State           `json:"views"`
 	Failed map[string]string `json:"failed,omitempty"` // by the pooler's name, why
 }
 
-// AskAll asks all that a view names.
-func AskAll(from State) Everyone {
-	e := Everyone{Views: []State{from}, Failed: map[string]string{}}
+// QueryAll asks all that a view names.
+func QueryAll(from State) ClusterState {
+	e := ClusterState{Views: []State{from}, Failed: map[string]string{}}
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	places := make(chan struct{}, atOnce)
@@ -60,7 +60,7 @@
 		}
 		all.Go(func() {
 			places <- struct{}{}
-			s, err := Ask(says.Management)
+			s, err := Query(says.Management)
 			<-places
 			mu.Lock()
 			defer mu.Unlock()
@@ -77,7 +77,7 @@
 }
 
 // Agree tells whether all views that were got are the same.
-func (e Everyone) Agree() bool {
+func (e ClusterState) Agree() bool {
 	for _, s := range e.Views {
 		if s.Digest != e.Views[0].Digest {
 			return false
@@ -87,7 +87,7 @@
 }
 
 // Print writes one line for each view.
-func (e Everyone) Print(out io.Writer, now time.Time) {
+func (e ClusterState) Print(out io.Writer, now time.Time) {
 	t := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "VIEW OF\tDIGEST\tLIVE\tSIDE\tFACTS\tTHE OTHERS AGREE")
 	for _, s := range e.Views {
--- a/internal/membership/gossip/state.go
+++ b/internal/membership/gossip/state.go
@@ -44,8 +44,8 @@
 
 // Database is what live poolers say of one.
 type Database struct {
-	Name  string             `json:"name"`
-	Words []membership.Heard `json:"words"`
+	Name  string                       `json:"name"`
+	Words []membership.PeerObservation `json:"words"`
 }
 
 // State is the fleet as this pooler sees it.
@@ -63,7 +63,7 @@
 	defer g.heard.mu.Unlock()
 	s.Refused = g.heard.refused
 	says := map[string]json.RawMessage{}
-	for _, f := range v.Of(membership.Key{}) {
+	for _, f := range v.FactsUnder(membership.Key{}) {
 		if json.Valid(f.Value) { // another may say anything
 			says[f.Owner] = f.Value
 		}
@@ -102,7 +102,7 @@
 	}
 	s.Known = len(s.Live) + without
 	s.Side = side(len(s.Live), without)
-	words := v.Words()
+	words := v.Observations()
 	for _, name := range slices.Sorted(maps.Keys(words)) {
 		s.Databases = append(s.Databases, Database{name, words[name]})
 	}
@@ -130,7 +130,7 @@
 func (g *Gossip) Incarnation() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.talk.Author.Incarnation()
+	return g.talk.Publisher.Incarnation()
 }
 
 // Joined tells whether this process takes part: not while another has its address.
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -22,7 +22,7 @@
 type member struct {
 	up     bool
 	view   *View
-	author *Author
+	author *Publisher
 }
 
 type model struct {
@@ -41,12 +41,12 @@
 // rules are what the members do; planted faults change them.
 type rules struct {
 	merge  func(v *View, d Delta) Delta
-	refute func(a *Author, d Delta) bool
+	refute func(a *Publisher, d Delta) bool
 }
 
 var sound = rules{
 	merge:  func(v *View, d Delta) Delta { return v.Merge(now, d) },
-	refute: func(a *Author, d Delta) bool { return a.Refute(now, d) },
+	refute: func(a *Publisher, d Delta) bool { return a.Refute(now, d) },
 }
 
 func newModel(b budget) *model {
@@ -66,9 +66,9 @@
 
 func (m *model) start(i int) {
 	m.clock += 10
-	m.members[i] = member{true, NewView(DefaultBounds()), NewAuthor(name(i), m.clock, DefaultBounds())}
+	m.members[i] = member{true, NewView(DefaultBounds()), NewPublisher(name(i), m.clock, DefaultBounds())}
 	m.over[i] = map[string]uint64{}
-	m.members[i].view.Merge(now, m.members[i].author.Say(now, values(0)))
+	m.members[i].view.Merge(now, m.members[i].author.Publish(now, values(0)))
 }
 
 func values(n int) map[Key][]byte { return map[Key][]byte{{}: {byte('0' + n)}} }
@@ -124,7 +124,7 @@
 		m.over[i][e.Owner] = max(m.over[i][e.Owner], e.Incarnation)
 	}
 	if r.refute(o.author, d) {
-		again := o.author.Say(now, values(0))
+		again := o.author.Publish(now, values(0))
 		r.merge(o.view, again)
 		news.Facts = append(news.Facts, again.Facts...)
 		on = true
@@ -178,7 +178,7 @@
 		case m.left.say > 0:
 			step(name(i)+" says something", func(c *model) {
 				c.left.say--
-				d := c.members[i].author.Say(now, values(c.left.say+1))
+				d := c.members[i].author.Publish(now, values(c.left.say+1))
 				c.hear(r, i, d, false)
 				c.tell(i, d)
 			})
@@ -270,7 +270,7 @@
 			if live := incarnation > 0 && !gone; live != other.up {
 				return fmt.Sprintf("at %s, %s lives: %v", name(i), name(j), live)
 			}
-			if other.up && !slices.EqualFunc(o.view.Of(Key{}), first.Of(Key{}), func(a, b Fact) bool { return a.hash() == b.hash() }) {
+			if other.up && !slices.EqualFunc(o.view.FactsUnder(Key{}), first.FactsUnder(Key{}), func(a, b Fact) bool { return a.hash() == b.hash() }) {
 				return "facts differ"
 			}
 			if other.up && incarnation != other.author.incarnation {
@@ -359,9 +359,9 @@
 					d.Ends[i].Incarnation = max(e.Incarnation, o.incarnation)
 				}
 			}
-		}), func(a *Author, d Delta) bool { return false }},
-		"nobody refutes": {sound.merge, func(*Author, Delta) bool { return false }},
-		"one refutes with the same incarnation": {sound.merge, func(a *Author, d Delta) bool {
+		}), func(a *Publisher, d Delta) bool { return false }},
+		"nobody refutes": {sound.merge, func(*Publisher, Delta) bool { return false }},
+		"one refutes with the same incarnation": {sound.merge, func(a *Publisher, d Delta) bool {
 			if !a.Refute(now, d) {
 				return false
 			}
--- a/internal/membership/talk.go
+++ b/internal/membership/talk.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TalkBounds are how much a pooler says.
-type TalkBounds struct {
+// DisseminatorBounds are how much a pooler says.
+type DisseminatorBounds struct {
 	Peers      int           // that are told news in one period
 	News       int           // bytes of news for each of them: what a datagram holds
 	Exchange   int           // bytes of one answer to a summary, over a stream
@@ -17,9 +17,9 @@
 	Remembered int           // news that wait to be told; beyond that the ones told most often are left to the exchanges
 }
 
-// DefaultTalk is for some 300 poolers and periods of 200 ms.
-func DefaultTalk() TalkBounds {
-	return TalkBounds{Peers: 3, News: 1200, Exchange: 256 << 10, Every: 2 * time.Second, Remembered: 4096}
+// DefaultDisseminatorBounds is for some 300 poolers and periods of 200 ms.
+func DefaultDisseminatorBounds() DisseminatorBounds {
+	return DisseminatorBounds{Peers: 3, News: 1200, Exchange: 256 << 10, Every: 2 * time.Second, Remembered: 4096}
 }
 
 // Message is what one pooler sends another.
@@ -36,14 +36,14 @@
 	told int
 }
 
-// Talk decides what a pooler tells whom: news to a few peers a period, each as often as it takes to reach all, and a summary to
+// Disseminator decides what a pooler tells whom: news to a few peers a period, each as often as it takes to reach all, and a summary to
 // one peer now and then, so that what was lost is made good and sides of a cut that is over find together. It is pure: the
 // time, the peers and chance are handed to it.
-type Talk struct {
-	View   *View
-	Author *Author
+type Disseminator struct {
+	View      *View
+	Publisher *Publisher
 
-	bounds TalkBounds
+	bounds DisseminatorBounds
 	random *rand.Rand
 	news   []news
 	asked  time.Duration // when a summary was last sent
@@ -51,32 +51,32 @@
 	left   bool          // the pooler has said that it ends
 }
 
-// NewTalk returns the talk of a pooler that knows nothing yet.
-func NewTalk(v *View, a *Author, b TalkBounds, random *rand.Rand) *Talk {
-	return &Talk{View: v, Author: a, bounds: b, random: random}
+// NewDisseminator returns the talk of a pooler that knows nothing yet.
+func NewDisseminator(v *View, a *Publisher, b DisseminatorBounds, random *rand.Rand) *Disseminator {
+	return &Disseminator{View: v, Publisher: a, bounds: b, random: random}
 }
 
 // size is about what an entry takes on the wire.
 func (f Fact) size() int { return len(f.Owner) + len(f.Key.Subject) + len(f.Value) + 32 }
 func (e End) size() int  { return len(e.Owner) + 24 }
 
-// Hear takes in what a peer tells. What is new is told on; what tells of the pooler itself is refuted.
-func (t *Talk) Hear(now time.Duration, d Delta) {
+// Receive takes in what a peer tells. What is new is told on; what tells of the pooler itself is refuted.
+func (t *Disseminator) Receive(now time.Duration, d Delta) {
 	t.tell(t.View.Merge(now, d))
 	if !t.left {
-		t.Author.Refute(now, d) // what it says from then on is said in the next period
+		t.Publisher.Refute(now, d) // what it says from then on is said in the next period
 	}
 }
 
 // Leave says that the pooler ends, and returns that for all whom it reaches at once. Nothing else is said from then on.
-func (t *Talk) Leave(now time.Duration) Delta {
+func (t *Disseminator) Leave(now time.Duration) Delta {
 	t.left = true
-	d := t.Author.Leave(now)
+	d := t.Publisher.Leave(now)
 	t.tell(t.View.Merge(now, d))
 	return d
 }
 
-func (t *Talk) tell(d Delta) {
+func (t *Disseminator) tell(d Delta) {
 	for _, f := range d.Facts {
 		t.news = append(t.news, news{Delta{Facts: []Fact{f}}, f.size(), 0})
 	}
@@ -86,7 +86,7 @@
 }
 
 // Found takes in that the pooler itself has found the present incarnation of another to be gone.
-func (t *Talk) Found(now time.Duration, name string) {
+func (t *Disseminator) Found(now time.Duration, name string) {
 	if incarnation, gone := t.View.Incarnation(name); incarnation > 0 && !gone {
 		t.tell(t.View.Merge(now, Delta{Ends: []End{{Owner: name, Incarnation: incarnation, At: now}}}))
 	}
@@ -94,9 +94,9 @@
 
 // Period is what is sent in one period: values are what the pooler says of itself and of databases now, peers are those that it
 // may reach.
-func (t *Talk) Period(now time.Duration, values map[Key][]byte, peers []string) (out []Message) {
+func (t *Disseminator) Period(now time.Duration, values map[Key][]byte, peers []string) (out []Message) {
 	if !t.left {
-		t.tell(t.View.Merge(now, t.Author.Say(now, values)))
+		t.tell(t.View.Merge(now, t.Publisher.Publish(now, values)))
 	}
 	if len(peers) == 0 {
 		return nil
@@ -131,7 +131,7 @@
 
 // Answer is what one with that summary lacks, as much as one answer holds: it begins at another place each time, so that who
 // asks often enough gets all.
-func (t *Talk) Answer(summary map[string]uint64) (d Delta) {
+func (t *Disseminator) Answer(summary map[string]uint64) (d Delta) {
 	missing := t.View.Missing(summary)
 	d.Ends = missing.Ends
 	left := t.bounds.Exchange
--- a/internal/membership/talk_test.go
+++ b/internal/membership/talk_test.go
@@ -15,7 +15,7 @@
 type crowd struct {
 	now    time.Duration
 	random *rand.Rand
-	all    map[string]*Talk
+	all    map[string]*Disseminator
 	names  []string
 	values map[string]map[Key][]byte
 	loss   float64
@@ -28,7 +28,7 @@
 }
 
 func newCrowd(seed uint64, n, databases int) *crowd {
-	c := &crowd{now: now, random: rand.New(rand.NewPCG(seed, 3)), all: map[string]*Talk{}, values: map[string]map[Key][]byte{},
+	c := &crowd{now: now, random: rand.New(rand.NewPCG(seed, 3)), all: map[string]*Disseminator{}, values: map[string]map[Key][]byte{},
 		side: map[string]int{}}
 	for i := range n {
 		name := fmt.Sprintf("n%03d", i)
@@ -43,8 +43,8 @@
 }
 
 func (c *crowd) start(name string) {
-	a := NewAuthor(name, uint64(c.now.Milliseconds()), DefaultBounds())
-	c.all[name] = NewTalk(NewView(DefaultBounds()), a, DefaultTalk(), c.random)
+	a := NewPublisher(name, uint64(c.now.Milliseconds()), DefaultBounds())
+	c.all[name] = NewDisseminator(NewView(DefaultBounds()), a, DefaultDisseminatorBounds(), c.random)
 }
 
 // step is one period.
@@ -61,15 +61,15 @@
 			d := to.Answer(s.m.Summary)
 			c.weigh(Message{News: d})
 			if asks := c.all[s.from]; asks != nil {
-				asks.Hear(c.now, d)
+				asks.Receive(c.now, d)
 				back := asks.Answer(to.View.Summary())
 				c.weigh(Message{News: back})
-				to.Hear(c.now, back)
+				to.Receive(c.now, back)
 			}
 			continue
 		}
 		if c.random.Float64() >= c.loss {
-			to.Hear(c.now, s.m.News)
+			to.Receive(c.now, s.m.News)
 		}
 	}
 	for _, name := range c.names {
@@ -192,7 +192,7 @@
 			for _, f := range m.News.Facts {
 				size += f.size()
 			}
-			require.LessOrEqual(t, size, DefaultTalk().News)
+			require.LessOrEqual(t, size, DefaultDisseminatorBounds().News)
 		}
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -58,19 +58,19 @@
 
 // Bounds are what a view holds and takes in.
 type Bounds struct {
-	Owners  int           // poolers that are remembered, gone ones included
-	Says    int           // facts that an author says at once
-	Facts   int           // of one owner that are held: as databases come and go, more than it says at once
-	Value   int           // bytes
-	Name    int           // bytes of an owner's or a subject's name
-	Forget  time.Duration // facts older than this are not taken in, and an end is remembered for twice as long
-	Ahead   time.Duration // nor are those further in the future
-	Between time.Duration // an owner says each fact again this often at the latest; a fraction of Forget
+	Owners    int           // poolers that are remembered, gone ones included
+	Published int           // facts that an author says at once
+	Facts     int           // of one owner that are held: as databases come and go, more than it says at once
+	Value     int           // bytes
+	Name      int           // bytes of an owner's or a subject's name
+	Forget    time.Duration // facts older than this are not taken in, and an end is remembered for twice as long
+	Ahead     time.Duration // nor are those further in the future
+	Between   time.Duration // an owner says each fact again this often at the latest; a fraction of Forget
 }
 
 // DefaultBounds are for some 300 poolers and 120 databases.
 func DefaultBounds() Bounds {
-	return Bounds{Owners: 1024, Says: 256, Facts: 1024, Value: 512, Name: 128, Forget: 10 * time.Minute, Ahead: time.Minute,
+	return Bounds{Owners: 1024, Published: 256, Facts: 1024, Value: 512, Name: 128, Forget: 10 * time.Minute, Ahead: time.Minute,
 		Between: 2 * time.Minute}
 }
 
@@ -304,8 +304,8 @@
 	return sequence
 }
 
-// Of returns what live poolers say under a key, by their names in order.
-func (v *View) Of(key Key) []Fact {
+// FactsUnder returns what live poolers say under a key, by their names in order.
+func (v *View) FactsUnder(key Key) []Fact {
 	var facts []Fact
 	for _, name := range v.Live() {
 		if f, said := v.owners[name].facts[key]; said {
@@ -395,8 +395,8 @@
 	return x ^ x>>31
 }
 
-// Author makes the facts of one pooler.
-type Author struct {
+// Publisher makes the facts of one pooler.
+type Publisher struct {
 	name        string
 	incarnation uint64
 	sequence    uint64
@@ -404,22 +404,22 @@
 	bounds      Bounds
 }
 
-// NewAuthor returns the author of an incarnation, which must be higher than all that were known of the name.
-func NewAuthor(name string, incarnation uint64, b Bounds) *Author {
-	return &Author{name: name, incarnation: incarnation, said: map[Key]Fact{}, bounds: b}
+// NewPublisher returns the author of an incarnation, which must be higher than all that were known of the name.
+func NewPublisher(name string, incarnation uint64, b Bounds) *Publisher {
+	return &Publisher{name: name, incarnation: incarnation, said: map[Key]Fact{}, bounds: b}
 }
 
 // Incarnation is the author's.
-func (a *Author) Incarnation() uint64 { return a.incarnation }
+func (a *Publisher) Incarnation() uint64 { return a.incarnation }
 
-// Say returns the facts that are to be told on: of these values those that have changed, or are to be said again so
+// Publish returns the facts that are to be told on: of these values those that have changed, or are to be said again so
 // that nobody forgets them. What is left out of the values is no longer said, and forgotten in time.
-func (a *Author) Say(now time.Duration, values map[Key][]byte) (d Delta) {
+func (a *Publisher) Publish(now time.Duration, values map[Key][]byte) (d Delta) {
 	maps.DeleteFunc(a.said, func(key Key, _ Fact) bool { _, still := values[key]; return !still })
 	keys := slices.SortedFunc(maps.Keys(values), func(x, y Key) int {
 		return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.Subject, y.Subject))
 	})
-	for _, key := range keys[:min(len(keys), a.bounds.Says)] {
+	for _, key := range keys[:min(len(keys), a.bounds.Published)] {
 		had, said := a.said[key]
 		if said && bytes.Equal(had.Value, values[key]) && now-had.At < a.bounds.Between {
 			continue
@@ -433,7 +433,7 @@
 }
 
 // Leave is the author's word that it ends. Nothing is to be said or refuted after it.
-func (a *Author) Leave(now time.Duration) Delta {
+func (a *Publisher) Leave(now time.Duration) Delta {
 	return Delta{Ends: []End{{Owner: a.name, Incarnation: a.incarnation, At: now, Left: true}}}
 }
 
@@ -443,7 +443,7 @@
 //
 // What views turn down as of the future it does not answer: one higher still would be turned down as well, and the pooler would
 // never be heard again.
-func (a *Author) Refute(now time.Duration, d Delta) bool {
+func (a *Publisher) Refute(now time.Duration, d Delta) bool {
 	highest, wrong := a.incarnation, false
 	for _, e := range d.Ends {
 		if e.Owner == a.name && e.Incarnation >= a.incarnation && !a.bounds.ahead(now, e.At, e.Incarnation) {
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -24,13 +24,13 @@
 	for i := range 4 {
 		name := fmt.Sprint("n", i)
 		for life := range 3 {
-			a := NewAuthor(name, uint64(10*life+1), DefaultBounds())
+			a := NewPublisher(name, uint64(10*life+1), DefaultBounds())
 			for said := range 6 {
 				values := map[Key][]byte{}
 				for _, key := range []Key{{OfPooler, ""}, {OfDatabase, "a"}, {OfDatabase, "b"}} {
 					values[key] = fmt.Appendf(nil, "%d %d %d", life, said, random.IntN(2))
 				}
-				for _, f := range a.Say(now+time.Duration(said)*time.Second, values).Facts {
+				for _, f := range a.Publish(now+time.Duration(said)*time.Second, values).Facts {
 					all = append(all, Delta{Facts: []Fact{f}})
 				}
 			}
@@ -76,10 +76,10 @@
 // What differs in two views is what they send each other, and no more of it.
 func TestMissing(t *testing.T) {
 	a, b := NewView(DefaultBounds()), NewView(DefaultBounds())
-	both := NewAuthor("both", 1, DefaultBounds()).Say(now, map[Key][]byte{{}: []byte("x")})
+	both := NewPublisher("both", 1, DefaultBounds()).Publish(now, map[Key][]byte{{}: []byte("x")})
 	a.Merge(now, both)
 	b.Merge(now, both)
-	a.Merge(now, NewAuthor("mine", 1, DefaultBounds()).Say(now, map[Key][]byte{{}: []byte("y")}))
+	a.Merge(now, NewPublisher("mine", 1, DefaultBounds()).Publish(now, map[Key][]byte{{}: []byte("y")}))
 	b.Merge(now, Delta{Ends: []End{{"theirs", 4, now, false}}})
 	require.Len(t, a.Missing(b.Summary()).Facts, 1)
 	require.Empty(t, a.Missing(b.Summary()).Ends)
@@ -96,7 +96,7 @@
 	bounds := DefaultBounds()
 	v := NewView(bounds)
 	say := func(incarnation uint64, at time.Duration) Delta {
-		return NewAuthor("n", incarnation, bounds).Say(at, map[Key][]byte{{}: []byte("x")})
+		return NewPublisher("n", incarnation, bounds).Publish(at, map[Key][]byte{{}: []byte("x")})
 	}
 	old := say(5, now)
 	v.Merge(now, old)
@@ -159,12 +159,12 @@
 // An author says what has changed, and the rest again before it is forgotten; told of its own end it refutes it.
 func TestAuthor(t *testing.T) {
 	bounds := DefaultBounds()
-	a, v := NewAuthor("n", 3, bounds), NewView(bounds)
+	a, v := NewPublisher("n", 3, bounds), NewView(bounds)
 	values := map[Key][]byte{{}: []byte("x"), {OfDatabase, "a"}: []byte("y")}
 	at := now
 	said := 0
 	for ; at < now+3*bounds.Forget; at += bounds.Between / 4 {
-		d := a.Say(at, values)
+		d := a.Publish(at, values)
 		said += len(d.Facts)
 		v.Merge(at, d)
 		v.Forget(at)
@@ -172,15 +172,15 @@
 	}
 	require.Less(t, said, 3*2*int(bounds.Forget/bounds.Between)+3)
 	delete(values, Key{OfDatabase, "a"})
-	v.Merge(at, a.Say(at, values))
+	v.Merge(at, a.Publish(at, values))
 	v.Forget(at + bounds.Forget)
-	require.Empty(t, v.Of(Key{OfDatabase, "a"}))
+	require.Empty(t, v.FactsUnder(Key{OfDatabase, "a"}))
 
 	require.False(t, a.Refute(at, Delta{Ends: []End{{"n", 2, at, false}, {"m", 9, at, false}}}))
 	end := Delta{Ends: []End{{"n", 3, at, false}}}
 	v.Merge(at, end)
 	require.True(t, a.Refute(at, end))
-	v.Merge(at, a.Say(at, values))
+	v.Merge(at, a.Publish(at, values))
 	require.Equal(t, []string{"n"}, v.Live())
 	require.True(t, a.Refute(at, Delta{Facts: []Fact{{Owner: "n", Incarnation: 9, At: at}}}), "another bears its name")
 	require.Equal(t, uint64(10), a.Incarnation())
@@ -210,7 +210,7 @@
 		for j := range databases {
 			values[Key{OfDatabase, fmt.Sprintf("s-%08x", j)}] = make([]byte, 24)
 		}
-		v.Merge(now, NewAuthor(fmt.Sprint("n", i), 1, DefaultBounds()).Say(now, values))
+		v.Merge(now, NewPublisher(fmt.Sprint("n", i), 1, DefaultBounds()).Publish(now, values))
 	}
 	return v
 }
--- a/internal/membership/word.go
+++ b/internal/membership/word.go
@@ -11,11 +11,11 @@
 type State uint8
 
 const (
-	Unheard State = iota // there is no evidence
-	Answers
-	Silent  // it leaves requests unanswered
-	Failing // it answers with errors, or breaks connections
-	Absent  // its machine says that no process listens
+	Unknown State = iota // there is no evidence
+	Healthy
+	Unresponsive // it leaves requests unanswered
+	Failing      // it answers with errors, or breaks connections
+	NotListening // its machine says that no process listens
 )
 
 var states = [...]string{"unheard", "answers", "silent", "failing", "absent"}
@@ -23,7 +23,7 @@
 func (s State) String() string { return states[s] }
 
 // Bad tells whether a pooler sends the database no requests.
-func (s State) Bad() bool { return s >= Silent }
+func (s State) Bad() bool { return s >= Unresponsive }
 
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// Sight is what this pooler sees of one database now. Times are since the Unix epoch.
-type Sight struct {
+// LocalObservation is what this pooler sees of one database now. Times are since the Unix epoch.
+type LocalObservation struct {
 	Database string
 	State    State
 	Cold     bool
@@ -47,8 +47,8 @@
 	MayAsk   bool          // a probe may be sent there
 }
 
-// Word is what a pooler says of one database. It changes only when the state does, so that views come to rest.
-type Word struct {
+// Observation is what a pooler says of one database. It changes only when the state does, so that views come to rest.
+type Observation struct {
 	State   State `json:"state"`
 	Cold    bool  `json:"cold,omitempty"`
 	Primary bool  `json:"primary,omitempty"`
@@ -57,12 +57,12 @@
 }
 
 // same tells whether nothing but the times differs.
-func (w Word) same(o Word) bool {
+func (w Observation) same(o Observation) bool {
 	return w.State == o.State && w.Cold == o.Cold && w.Primary == o.Primary
 }
 
 // plain tells whether the word need not be said: what all take for granted.
-func (w Word) plain() bool { return !w.State.Bad() && !w.Cold && !w.Primary }
+func (w Observation) plain() bool { return !w.State.Bad() && !w.Cold && !w.Primary }
 
 // flags of a word on the wire.
 const (
@@ -71,7 +71,7 @@
 )
 
 // Append writes the word: state, flags, and the times as varints. It is read some thousand times a period.
-func (w Word) Append(b []byte) []byte {
+func (w Observation) Append(b []byte) []byte {
 	var flags byte
 	if w.Cold {
 		flags |= coldFlag
@@ -82,8 +82,8 @@
 	return binary.AppendUvarint(binary.AppendUvarint(append(b, byte(w.State), flags), uint64(w.Since)), uint64(w.At))
 }
 
-// ParseWord reads one. Words of a newer version may have more flags, and more behind them.
-func ParseWord(value []byte) (w Word, ok bool) {
+// ParseObservation reads one. Words of a newer version may have more flags, and more behind them.
+func ParseObservation(value []byte) (w Observation, ok bool) {
 	if len(value) < 4 || int(value[0]) >= len(states) {
 		return w, false
 	}
@@ -105,7 +105,7 @@
 }
 
 type spoken struct {
-	word Word
+	word Observation
 	last time.Duration // when it was last not plain, or contested
 }
 
@@ -115,12 +115,12 @@
 	return &Reporter{said: map[string]spoken{}, keeps: keeps}
 }
 
-// Says returns the facts on databases. Contested names those of which another pooler says that they are bad.
-func (r *Reporter) Says(now time.Duration, sights []Sight, contested func(database string) bool) map[Key][]byte {
+// Report returns the facts on databases. Contested names those of which another pooler says that they are bad.
+func (r *Reporter) Report(now time.Duration, sights []LocalObservation, contested func(database string) bool) map[Key][]byte {
 	values, seen := map[Key][]byte{}, map[string]bool{}
 	for _, s := range sights {
 		seen[s.Database] = true
-		w := Word{State: s.State, Cold: s.Cold, Primary: s.Primary}
+		w := Observation{State: s.State, Cold: s.Cold, Primary: s.Primary}
 		had, known := r.said[s.Database]
 		if known && had.word.same(w) {
 			w = had.word
@@ -132,7 +132,7 @@
 		}
 		k := spoken{w, had.last}
 		switch {
-		case !w.plain() || w.State == Answers && contested(s.Database):
+		case !w.plain() || w.State == Healthy && contested(s.Database):
 			k.last = now
 		case !known:
 			continue // it is, and was, plain
@@ -152,22 +152,22 @@
 	return values
 }
 
-// Heard is what one live pooler says of a database.
-type Heard struct {
+// PeerObservation is what one live pooler says of a database.
+type PeerObservation struct {
 	Pooler string `json:"pooler"`
-	Word
+	Observation
 }
 
-// Words is what live poolers say of each database, in the order of their names.
-func (v *View) Words() map[string][]Heard {
-	words := map[string][]Heard{}
+// Observations is what live poolers say of each database, in the order of their names.
+func (v *View) Observations() map[string][]PeerObservation {
+	words := map[string][]PeerObservation{}
 	for _, name := range v.Live() {
 		for key, f := range v.owners[name].facts {
 			if key.Kind != OfDatabase {
 				continue
 			}
-			if w, ok := ParseWord(f.Value); ok {
-				words[key.Subject] = append(words[key.Subject], Heard{name, w})
+			if w, ok := ParseObservation(f.Value); ok {
+				words[key.Subject] = append(words[key.Subject], PeerObservation{name, w})
 			}
 		}
 	}
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -98,8 +98,8 @@
 			if err != nil {
 				return nil, err
 			}
-			p.intake.Sort(rules, intake.ClientKind(own.Door.Client))
-			p.Core.Fair(own.Door, w.Seed)
+			p.intake.ClassifyTenants(rules, intake.ClientKind(own.Door.Client))
+			p.Core.EnableAdmission(own.Door, w.Seed)
 		}
 		p.Core.Attach(p, p)
 		f.Poolers = append(f.Poolers, p)
@@ -107,7 +107,7 @@
 			if own.Statements.On() {
 				p.intake.Statements(own.Statements, l.Shapes, w.Seed, time.Second, zerolog.Nop())
 			}
-			p.Core.Known(p.list())
+			p.Core.LoadKnownMembers(p.list())
 			p.Core.Start()
 			p.tick(l.Tick)
 		})
@@ -156,7 +156,7 @@
 			return
 		}
 		p.watch = true
-		p.Core.List(p.list(), true)
+		p.Core.UpdateMembers(p.list(), true)
 	})
 }
 
@@ -177,7 +177,7 @@
 	p.told[m.Name] = s
 	p.fleet.Ledger.Told(p.fleet.loop.Now(), p.name, m.Name, s == emulator.Serving)
 	if p.watch {
-		p.Core.List([]core.Member{p.member(m, s)}, false)
+		p.Core.UpdateMembers([]core.Member{p.member(m, s)}, false)
 	}
 }
 
@@ -194,7 +194,7 @@
 	p.fleet.loop.At(begun+p.network(), func() {
 		switch {
 		case !m.Running():
-			p.fleet.loop.At(p.fleet.loop.Now()+p.network(), func() { done(routing.NoProcess, routing.Evidence{}) })
+			p.fleet.loop.At(p.fleet.loop.Now()+p.network(), func() { done(routing.ConnectRefused, routing.Evidence{}) })
 		case m.Silent(p.zone):
 			p.fleet.loop.At(begun+250*time.Millisecond, func() { done(routing.TimedOut, routing.Evidence{}) })
 		default:
@@ -233,10 +233,10 @@
 			return
 		}
 		if !m.Running() {
-			p.fleet.loop.At(p.fleet.loop.Now()+p.network(), func() { end(routing.NoProcess, routing.Evidence{}, nil) })
+			p.fleet.loop.At(p.fleet.loop.Now()+p.network(), func() { end(routing.ConnectRefused, routing.Evidence{}, nil) })
 			return
 		}
-		if a.By > 0 && p.Core.Now() > a.By {
+		if a.WriteBy > 0 && p.Core.Now() > a.WriteBy {
 			end(routing.NotSent, routing.Evidence{}, nil)
 			return
 		}
@@ -252,13 +252,13 @@
 				if answer.Primary {
 					e.Role = routing.Primary
 				}
-				status := map[emulator.Outcome]routing.Status{emulator.Row: routing.OK, emulator.Miss: routing.TurnedAway,
-					emulator.Full: routing.NodeFull, emulator.Error: routing.NodeError}[answer.Outcome]
+				status := map[emulator.Outcome]routing.Status{emulator.Row: routing.OK, emulator.Miss: routing.NodeRejected,
+					emulator.Full: routing.NodeOverloaded, emulator.Error: routing.NodeError}[answer.Outcome]
 				end(status, e, answer.Value)
 			})
 		}
 		m.Submit(o.job)
-		p.watchDeath(m, life, func() { end(routing.BrokenOff, routing.Evidence{}, nil) }, o)
+		p.watchDeath(m, life, func() { end(routing.ConnectionBroken, routing.Evidence{}, nil) }, o)
 	})
 }
 
@@ -303,7 +303,7 @@
 
 func (c *answer) Served(value any) { c.reply(load.Reply{How: emulator.Served, Value: value.(string)}) }
 
-func (c *answer) Refused(after time.Duration) {
+func (c *answer) Rejected(after time.Duration) {
 	c.reply(load.Reply{How: emulator.Refused, After: after})
 }
 
@@ -337,7 +337,7 @@
 	}
 	delete(p.asked, q)
 	if c.request != nil {
-		p.Core.Leave(c.request)
+		p.Core.ClientGone(c.request)
 	}
 }
 
--- a/internal/pcap/replay.go
+++ b/internal/pcap/replay.go
@@ -71,6 +71,6 @@
 
 // The core's counters hold the answers; nobody waits for the values.
 
-func (r *Replay) Served(any)            { r.end() }
-func (r *Replay) Refused(time.Duration) { r.end() }
-func (r *Replay) Failed(core.Failure)   { r.end() }
+func (r *Replay) Served(any)             { r.end() }
+func (r *Replay) Rejected(time.Duration) { r.end() }
+func (r *Replay) Failed(core.Failure)    { r.end() }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -60,7 +60,7 @@
 	mu      sync.Mutex // guards all below; never held on the event loop, which must not wait for the fleet's part
 	self    Self
 	doubted []string
-	advice  membership.Advice
+	advice  membership.Hints
 	asked   int64
 	routers int // of new settings; 0: none have come
 
@@ -75,7 +75,7 @@
 
 // New returns the peers of a pooler that says this of itself, where the settings say that there are so many routers.
 func New(name string, u membership.Uses, self Self, routers int, p Pooler) *Peers {
-	peers := &Peers{pooler: p, advisor: membership.NewAdvisor(name, u, membership.DefaultAdvice(), routers), self: self,
+	peers := &Peers{pooler: p, advisor: membership.NewAdvisor(name, u, membership.DefaultAdvisorBounds(), routers), self: self,
 		reporter: membership.NewReporter(time.Minute)}
 	peers.lost.Store(true)
 	return peers
@@ -98,10 +98,10 @@
 // Period takes in the view and returns what the pooler says.
 func (p *Peers) Period(now time.Duration, v *membership.View) map[membership.Key][]byte {
 	f := p.pooler.Core.Figures()
-	sights := make([]membership.Sight, 0, len(f.Sights))
-	for _, s := range f.Sights {
-		sights = append(sights, membership.Sight{Database: s.Name, State: state(s.Health), Cold: s.Cold, Primary: s.Primary,
-			Position: s.Position, Heard: s.Heard, MayAsk: s.MayAsk})
+	sights := make([]membership.LocalObservation, 0, len(f.Databases))
+	for _, s := range f.Databases {
+		sights = append(sights, membership.LocalObservation{Database: s.Name, State: state(s.Health), Cold: s.Cold, Primary: s.Primary,
+			Position: s.Position, Heard: s.LastHeard, MayAsk: s.MayAsk})
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,7 +111,7 @@
 	}
 	advice := p.advisor.Step(now, v, sights)
 	changed := advice.Routers != p.advice.Routers || !same(advice.Idle, p.advice.Idle)
-	p.doubted, p.asked = p.advisor.Doubted(), p.advisor.Count.Asked
+	p.doubted, p.asked = p.advisor.Suspected(), p.advisor.Count.Asked
 	if changed || len(advice.Ask) > 0 || p.lost.Load() || now-p.renewed >= renew {
 		p.renewed = now
 		p.lost.Store(false)
@@ -146,7 +146,7 @@
 	if err != nil {
 		panic(err) // a fault of this program: there is nothing in it that cannot be written
 	}
-	values := p.reporter.Says(now, sights, p.advisor.Contested)
+	values := p.reporter.Report(now, sights, p.advisor.Contested)
 	values[membership.Key{}] = text
 	return values
 }
@@ -181,42 +181,42 @@
 }
 
 func state(h routing.Health) membership.State {
-	return [...]membership.State{routing.Unheard: membership.Unheard, routing.Sound: membership.Answers, routing.Mute: membership.Silent,
-		routing.Failing: membership.Failing, routing.NoListener: membership.Absent}[h]
+	return [...]membership.State{routing.HealthUnknown: membership.Unknown, routing.Healthy: membership.Healthy, routing.Unresponsive: membership.Unresponsive,
+		routing.Failing: membership.Failing, routing.NotListening: membership.NotListening}[h]
 }
 
 // apply hands advice to the pooler, on the event loop. It holds for the lease: against a fleet's part that stands still.
-func (p *Peers) apply(a membership.Advice) {
+func (p *Peers) apply(a membership.Hints) {
 	c := p.pooler.Core
 	p.hold(a)
 	for _, database := range a.Ask {
-		c.Ask(database)
+		c.ProbeByName(database)
 	}
 	if p.lease != nil {
 		p.lease.Stop()
 	}
 	p.lease = c.Wheel.At(c.Now()+lease, func() {
-		p.hold(membership.Advice{})
+		p.hold(membership.Hints{})
 		p.lost.Store(true)
 	})
 	p.open.Store(int64(p.pooler.Connections()))
 }
 
-func (p *Peers) hold(a membership.Advice) {
-	p.pooler.Core.Share(a.Routers)
+func (p *Peers) hold(a membership.Hints) {
+	p.pooler.Core.SetRouters(a.Routers)
 	p.pooler.Keep(a.Idle)
 }
 
-// Shown is what operators see of what is done with the view.
-type Shown struct {
+// Status is what operators see of what is done with the view.
+type Status struct {
 	Counted int      `json:"counted"` // poolers that are reckoned with; 0: as many as the settings say
 	Doubted []string `json:"doubted"` // databases of which others say what this pooler has not seen
 	Asked   int64    `json:"asked"`   // probes on others' word
 	Lost    bool     `json:"lost"`    // the fleet's part has not been heard from: all is as without it
 }
 
-func (p *Peers) Shown() Shown {
+func (p *Peers) Status() Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Shown{Counted: p.advice.Routers, Doubted: append([]string{}, p.doubted...), Asked: p.asked, Lost: p.lost.Load()}
+	return Status{Counted: p.advice.Routers, Doubted: append([]string{}, p.doubted...), Asked: p.asked, Lost: p.lost.Load()}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -46,9 +46,9 @@
 
 func newWorld(u membership.Uses) *world {
 	w := &world{now: 1_800_000_000 * time.Second, silent: map[string]bool{}, probes: map[string]int{}}
-	s := routing.Settings{Routers: 3, MaxAttempts: 4, CanProbe: true, DrainGrace: time.Second, ColdShare: 0.2, ColdTime: 10 * time.Second,
-		FallMultiple: 3, FallWindow: time.Second, Classes: []routing.Class{
-			{Read: routing.AnyRead, Aim: 200 * time.Millisecond, Deadline: 5 * time.Second, Worth: 1}}}
+	s := routing.Settings{Routers: 3, MaxAttempts: 4, CanProbe: true, DrainGrace: time.Second, SlowStartShare: 0.2, SlowStartTime: 10 * time.Second,
+		OverloadMultiple: 3, OverloadWindow: time.Second, Classes: []routing.Class{
+			{Read: routing.AnyRead, LatencyObjective: 200 * time.Millisecond, Deadline: 5 * time.Second, Weight: 1}}}
 	l := limits.For(limits.Machine{MemoryMB: 64, Sockets: 256}, 250*time.Millisecond, 15*time.Second, 5*time.Second)
 	w.core = core.New(core.Settings{Settings: s, Names: []string{"read"}}, 1, l, zerolog.Nop(), func() time.Duration { return w.now },
 		func() {}, func() {})
@@ -59,7 +59,7 @@
 	for id := routing.NodeID(1); id <= 3; id++ {
 		list = append(list, core.Member{Name: fmt.Sprint("db", id), Node: routing.Node{ID: id, State: routing.Ready, Group: 1}})
 	}
-	w.core.List(list, true)
+	w.core.UpdateMembers(list, true)
 	w.view = membership.NewView(membership.DefaultBounds())
 	w.peers = peers.New("n0", u, peers.Self{Listen: "here", Settings: "a"}, 3, peers.Pooler{Core: w.core, Log: zerolog.Nop(),
 		Do: func(f func()) { f() }, Keep: func(idle map[string]int) { w.idle = idle }, Connections: func() int { return 7 }})
@@ -74,19 +74,19 @@
 		w.core.Flush()
 		if goesOn && w.now%(200*time.Millisecond) == 0 {
 			said = w.peers.Period(w.now, w.view)
-			w.view.Merge(w.now, membership.NewAuthor("n0", uint64(w.now.Milliseconds()), membership.DefaultBounds()).Say(w.now, said))
+			w.view.Merge(w.now, membership.NewPublisher("n0", uint64(w.now.Milliseconds()), membership.DefaultBounds()).Publish(w.now, said))
 		}
 	}
 	return said
 }
 
 // hears takes in what another says.
-func (w *world) hears(name string, words map[string]membership.Word) {
+func (w *world) hears(name string, words map[string]membership.Observation) {
 	values := map[membership.Key][]byte{{}: []byte(`{"listen":"there"}`)}
 	for database, word := range words {
 		values[membership.Key{Kind: membership.OfDatabase, Subject: database}] = word.Append(nil)
 	}
-	w.view.Merge(w.now, membership.NewAuthor(name, uint64(w.now.Milliseconds()), membership.DefaultBounds()).Say(w.now, values))
+	w.view.Merge(w.now, membership.NewPublisher(name, uint64(w.now.Milliseconds()), membership.DefaultBounds()).Publish(w.now, values))
 }
 
 func (w *world) unavailable() int { return w.core.Figures().Unavailable }
@@ -98,10 +98,10 @@
 		doubt, silent bool
 		out           int
 	}{{true, true, 1}, {true, false, 0}, {false, true, 0}} {
-		w := newWorld(membership.Uses{Doubt: c.doubt})
+		w := newWorld(membership.Uses{Suspicion: c.doubt})
 		w.pass(time.Second, true)
 		w.silent["db3"] = c.silent
-		bad := map[string]membership.Word{"db3": {State: membership.Silent, Since: w.now.Milliseconds() + 1}}
+		bad := map[string]membership.Observation{"db3": {State: membership.Unresponsive, Since: w.now.Milliseconds() + 1}}
 		w.hears("n1", bad)
 		w.pass(2*time.Second, true)
 		require.Zero(t, w.unavailable(), "one word alone")
@@ -118,20 +118,20 @@
 
 // What is seen is said, and taken back; the settings' digest follows a reload.
 func TestSays(t *testing.T) {
-	w := newWorld(membership.Uses{Doubt: true})
-	bad := map[string]membership.Word{"db3": {State: membership.Silent, Since: w.now.Milliseconds() + 5000}}
+	w := newWorld(membership.Uses{Suspicion: true})
+	bad := map[string]membership.Observation{"db3": {State: membership.Unresponsive, Since: w.now.Milliseconds() + 5000}}
 	w.silent["db3"] = true
 	w.hears("n1", bad)
 	w.hears("n2", bad)
 	said := w.pass(4*time.Second, true)
-	word, ok := membership.ParseWord(said[membership.Key{Kind: membership.OfDatabase, Subject: "db3"}])
+	word, ok := membership.ParseObservation(said[membership.Key{Kind: membership.OfDatabase, Subject: "db3"}])
 	require.True(t, ok)
 	require.Equal(t, membership.Failing, word.State, "it does not answer probes")
 	w.silent["db3"] = false
-	w.core.Ask("db3")
+	w.core.ProbeByName("db3")
 	said = w.pass(time.Second, true)
-	word, _ = membership.ParseWord(said[membership.Key{Kind: membership.OfDatabase, Subject: "db3"}])
-	require.Equal(t, membership.Answers, word.State, "taken back")
+	word, _ = membership.ParseObservation(said[membership.Key{Kind: membership.OfDatabase, Subject: "db3"}])
+	require.Equal(t, membership.Healthy, word.State, "taken back")
 	var self peers.Self
 	require.NoError(t, json.Unmarshal(said[membership.Key{}], &self))
 	require.Equal(t, peers.Self{Listen: "here", Settings: "a", Connections: 7}, self)
@@ -150,11 +150,11 @@
 	w.pass(time.Second, true)
 	require.Equal(t, 5, w.core.Count.Routers)
 	require.Equal(t, map[string]int{"db1": 2, "db2": 2, "db3": 2}, w.idle)
-	require.False(t, w.peers.Shown().Lost)
+	require.False(t, w.peers.Status().Lost)
 	w.pass(3*time.Second, false)
 	require.Equal(t, 3, w.core.Count.Routers, "as in the settings")
 	require.Nil(t, w.idle)
-	require.True(t, w.peers.Shown().Lost)
+	require.True(t, w.peers.Status().Lost)
 	w.pass(time.Second, true)
 	require.Equal(t, 5, w.core.Count.Routers, "it goes on")
 }
@@ -162,12 +162,12 @@
 // Nothing is sent on others' word to a database that is draining, gone or banned, nor twice at once.
 func TestAskKeepsTheRules(t *testing.T) {
 	w := newWorld(membership.Uses{})
-	require.True(t, w.core.Ask("db1"))
-	require.False(t, w.core.Ask("odd"))
-	w.core.Ban(map[routing.NodeID]time.Duration{1: w.now})
-	require.False(t, w.core.Ask("db1"))
-	w.core.List([]core.Member{{Name: "db2", Node: routing.Node{ID: 2, State: routing.Draining, Group: 1}},
+	require.True(t, w.core.ProbeByName("db1"))
+	require.False(t, w.core.ProbeByName("odd"))
+	w.core.Exclude(map[routing.NodeID]time.Duration{1: w.now})
+	require.False(t, w.core.ProbeByName("db1"))
+	w.core.UpdateMembers([]core.Member{{Name: "db2", Node: routing.Node{ID: 2, State: routing.Draining, Group: 1}},
 		{Name: "db3", Node: routing.Node{ID: 3, State: routing.Gone, Group: 1}}}, false)
-	require.False(t, w.core.Ask("db2"))
-	require.False(t, w.core.Ask("db3"))
+	require.False(t, w.core.ProbeByName("db2"))
+	require.False(t, w.core.ProbeByName("db3"))
 }
--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -339,14 +339,14 @@
 		f.bad(why)
 		return
 	}
-	q.Expires -= k.came.waited(k.session.Held(), f.core.Now())
+	q.TimeLeft -= k.came.waited(k.session.Held(), f.core.Now())
 	s.ready, s.request, q.Client = false, q, s
 	f.core.Submit(q)
 }
 
 // caller tells who is at the other end, if anybody asks.
 func (k *clientConn) caller() (c tenant.Caller) {
-	if !k.front.intake.Sorts() {
+	if !k.front.intake.ClassifiesTenants() {
 		return c
 	}
 	c.User, c.Database, c.Application, c.Connection = k.session.User, k.session.Database, k.session.Application, k.number
@@ -408,7 +408,7 @@
 // HasLeft tells whether the client has closed its connection, as core.Leaver wants it.
 func (s *response) HasLeft() bool { return s.client.gone || hungUp(s.client.conn) }
 
-func (s *response) Refused(after time.Duration) { s.set(pg.AppendRefusal(nil, after)) }
+func (s *response) Rejected(after time.Duration) { s.set(pg.AppendRefusal(nil, after)) }
 
 func (s *response) Failed(why core.Failure) {
 	if s.passed { // Against half a value that looks like a whole one: the client sees the connection end.
@@ -417,7 +417,7 @@
 		return
 	}
 	switch why {
-	case core.Late:
+	case core.DeadlineExceeded:
 		s.set(pg.AppendFailure(nil, pg.CodeQueryCanceled, "no answer in time; it may have run"))
 	case core.Unusable:
 		s.set(pg.AppendFailure(nil, pg.CodeSyntax, "the databases cannot use the statement"))
@@ -573,7 +573,7 @@
 	k.front.forget(k)
 	for _, s := range k.responses {
 		if s.request != nil && !s.ready {
-			k.front.core.Leave(s.request)
+			k.front.core.ClientGone(s.request)
 		}
 	}
 	k.responses = nil
@@ -621,5 +621,5 @@
 	}
 }
 
-// Left tells whether no connection is left.
-func (f *Front) Left() bool { return len(f.clients) == 0 && f.leaving == 0 }
+// ClientsGone tells whether no connection is left.
+func (f *Front) ClientsGone() bool { return len(f.clients) == 0 && f.leaving == 0 }
--- a/internal/server/longreader.go
+++ b/internal/server/longreader.go
@@ -83,7 +83,7 @@
 			return false
 		}
 	}
-	room, ok := p.core.Piece(a, piece, func() {
+	room, ok := p.core.AnswerPiece(a, piece, func() {
 		l.long.room = true
 		if !l.dead {
 			l.long.next <- struct{}{}
--- a/internal/server/network_test.go
+++ b/internal/server/network_test.go
@@ -57,8 +57,8 @@
 	const deadline = 10 * testbed.Patience
 	l := limits.For(limits.Machine{MemoryMB: 64, Sockets: 256}, connect, 15*time.Second, deadline)
 	s := routing.Settings{Routers: 1, MaxAttempts: 10, CanCancel: true, DrainGrace: time.Second, MaxRetryAfter: time.Second,
-		ColdShare: 0.2, ColdTime: 10 * time.Second, FallMultiple: 3, FallWindow: time.Second, Classes: []routing.Class{
-			{Read: routing.Write, Effect: routing.Unsafe, Aim: time.Second, Deadline: deadline, Worth: 1, LateWorth: 0.2}}}
+		SlowStartShare: 0.2, SlowStartTime: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second, Classes: []routing.Class{
+			{Read: routing.Write, Effect: routing.NonIdempotent, LatencyObjective: time.Second, Deadline: deadline, Weight: 1, LateWeight: 0.2}}}
 	p := &pooler{t: t}
 	p.loop = server.New(l, zerolog.Nop(), listener, &net.Dialer{Control: dial})
 	p.core = core.New(core.Settings{Settings: s, Names: []string{"write"}}, 1, l, zerolog.Nop(), clock.Monotonic(),
@@ -72,7 +72,7 @@
 		ended <- p.loop.Run(func() {
 			defer close(began)
 			node := routing.Node{ID: 1, State: routing.Ready, Group: 3}
-			p.core.List([]core.Member{{Node: node, Name: "db", Addr: database}}, true)
+			p.core.UpdateMembers([]core.Member{{Node: node, Name: "db", Addr: database}}, true)
 			p.core.Start()
 		})
 	}()
@@ -112,7 +112,7 @@
 type asker chan reply
 
 func (a asker) Served(answer any)       { a <- reply{"served", answer.([]byte)} }
-func (a asker) Refused(time.Duration)   { a <- reply{end: "refused"} }
+func (a asker) Rejected(time.Duration)  { a <- reply{end: "refused"} }
 func (a asker) Failed(why core.Failure) { a <- reply{end: fmt.Sprint("failed ", why)} }
 func (a asker) next(t *testing.T) (r reply) {
 	t.Helper()
@@ -128,7 +128,7 @@
 func (p *pooler) ask(text string, wait time.Duration) asker {
 	a := make(asker, 1)
 	p.asks++
-	q := &core.Request{Front: "test", Name: fmt.Sprint(p.asks), Group: 3, Expires: wait, Backend: p.pool, Client: a,
+	q := &core.Request{Front: "test", Name: fmt.Sprint(p.asks), Group: 3, TimeLeft: wait, Backend: p.pool, Client: a,
 		Payload: &pg.Query{Head: "SELECT '" + text + "' /* d=", Tail: " */"}}
 	p.loop.Do(func() { p.core.Submit(q) })
 	return a
--- a/internal/server/pool.go
+++ b/internal/server/pool.go
@@ -108,7 +108,7 @@
 			}
 		}
 	}
-	if m.Banned { // Against work that was decided on before and would reach the database after the operators' yes.
+	if m.Excluded { // Against work that was decided on before and would reach the database after the operators' yes.
 		for len(s.waiting) > 0 {
 			p.abort(s.waiting[0], routing.NotSent)
 		}
@@ -260,11 +260,11 @@
 		}
 		if r.Stats != "" { // Role and position are newer in the answer's own note.
 			load := evidence(pg.ParseReport(r.Stats))
-			note.Waits, note.Waiting = load.Waits, load.Waiting
+			note.ReportsQueue, note.QueueLength = load.ReportsQueue, load.QueueLength
 		}
 	}
 	if r != nil && unusable(r.Code) {
-		p.core.Unusable(j.attempt, note)
+		p.core.DoneUnusable(j.attempt, note)
 		return
 	}
 	p.core.Done(j.attempt, status, note, rows)
@@ -281,7 +281,7 @@
 			e.Role = routing.Primary
 		}
 	}
-	e.Waiting, e.Waits = report["backlog"]
+	e.QueueLength, e.ReportsQueue = report["backlog"]
 	return e
 }
 
@@ -294,9 +294,9 @@
 		}
 		return routing.NodeError
 	case pg.CodeReadOnly, pg.CodeTooFarBehind:
-		return routing.TurnedAway
+		return routing.NodeRejected
 	case pg.CodeFull:
-		return routing.NodeFull
+		return routing.NodeOverloaded
 	}
 	return routing.NodeError
 }
@@ -379,9 +379,9 @@
 		p.Count.Unreachable++
 		p.dialAgain(l, false)
 	case errors.Is(err, syscall.ECONNREFUSED): // a machine that is cut off does not say this
-		p.refused(l, routing.NoProcess)
+		p.refused(l, routing.ConnectRefused)
 	default:
-		p.refused(l, routing.NoConnect)
+		p.refused(l, routing.ConnectFailed)
 	}
 }
 
@@ -406,9 +406,9 @@
 	for _, j := range slices.Clone(s.waiting) {
 		switch a := j.attempt; {
 		case a == nil: // a probe has the whole of its time
-		case a.Until <= at:
+		case a.Deadline <= at:
 			p.abort(j, s.unconnected())
-		case a.By > 0 && a.By <= at: // it has not had time enough to tell anything
+		case a.WriteBy > 0 && a.WriteBy <= at: // it has not had time enough to tell anything
 			p.abort(j, routing.NotSent)
 		}
 	}
@@ -434,7 +434,7 @@
 	if s.short {
 		return routing.NotSent
 	}
-	return routing.NoConnect
+	return routing.ConnectFailed
 }
 
 // refused takes a connection out that did not come up. The job that has waited longest has lost its turn.
@@ -471,7 +471,7 @@
 func (p *Pool) expire() {
 	now := p.core.Now()
 	for _, s := range p.servers {
-		for len(s.idle) > 0 && (now-s.idle[0].used > p.limits.ServerIdle || s.member.Banned) {
+		for len(s.idle) > 0 && (now-s.idle[0].used > p.limits.ServerIdle || s.member.Excluded) {
 			p.Count.Expired++
 			s.idle[0].close()
 		}
@@ -515,7 +515,7 @@
 		l.write(pg.AppendQuery(nil, "SHOW stats"))
 		return
 	}
-	l.write(a.Request.Payload.(*pg.Query).AppendFor(nil, a.Until-now))
+	l.write(a.Request.Payload.(*pg.Query).AppendFor(nil, a.Deadline-now))
 	if l.job == j && l.conn.OutboundBuffered() == 0 {
 		p.core.Written(a)
 	}
@@ -596,7 +596,7 @@
 		p.log.Warn().Err(err).Str("database", l.server.member.Name).Int64("so_far", p.Count.BadReplies).Msg("bad reply")
 	}
 	if !l.ready {
-		p.refused(l, routing.NoConnect)
+		p.refused(l, routing.ConnectFailed)
 		return
 	}
 	j := l.job
@@ -611,7 +611,7 @@
 	p := l.pool
 	switch {
 	case !l.ready && (r.Code != "" || r.Fatal):
-		p.refused(l, routing.NoConnect)
+		p.refused(l, routing.ConnectFailed)
 	case !l.ready:
 		l.timer.Stop()
 		l.ready = true
@@ -623,7 +623,7 @@
 		l.job = nil
 		result := status(r)
 		if j.attempt == nil && r.Code == pg.CodeNotNow {
-			result = routing.NodeFull
+			result = routing.NodeOverloaded
 		}
 		if r.Fatal || l.long != nil {
 			l.close()
@@ -650,7 +650,7 @@
 		l.pool.finish(j, routing.OK, &r)
 		return
 	}
-	l.pool.finish(j, routing.BrokenOff, nil)
+	l.pool.finish(j, routing.ConnectionBroken, nil)
 }
 
 // closed is told by the event loop, also of closes of our own.
@@ -665,7 +665,7 @@
 	j := l.job
 	l.job = nil
 	l.close()
-	status := routing.NoConnect
+	status := routing.ConnectFailed
 	if netretry.IsShortage(err) {
 		l.pool.Count.Short++
 		l.pool.short.Note(err)
--- a/internal/statement/bench_test.go
+++ b/internal/statement/bench_test.go
@@ -24,12 +24,12 @@
 	for _, size := range []int{100, 1000, 10_000, 256 << 10} {
 		for name, sql := range texts(size) {
 			b.Run(fmt.Sprintf("%s/%d", name, size), func(b *testing.B) {
-				a, c := New(&Rules{}), NewShapes(1<<20, 1)
+				a, c := New(&Rules{}), NewFingerprints(1<<20, 1)
 				b.SetBytes(int64(len(sql)))
 				b.ReportAllocs()
 				for range b.N {
 					info := a.Read(sql)
-					c.Get(a.Shape(), &info)
+					c.Get(a.Fingerprint(), &info)
 				}
 			})
 		}
@@ -48,7 +48,7 @@
 	for _, size := range []int{100, 1000, 10_000, 256 << 10} {
 		all := texts(size)
 		for _, name := range []string{"one value", "many tokens"} {
-			a, c := New(&Rules{}), NewShapes(1<<20, 1)
+			a, c := New(&Rules{}), NewFingerprints(1<<20, 1)
 			n := 20_000
 			if size > 10_000 {
 				n = 2000
@@ -57,7 +57,7 @@
 			for i := range took {
 				begun := time.Now()
 				info := a.Read(all[name])
-				c.Get(a.Shape(), &info)
+				c.Get(a.Fingerprint(), &info)
 				took[i] = time.Since(begun)
 			}
 			slices.Sort(took)
--- a/internal/statement/cache.go
+++ b/internal/statement/cache.go
@@ -8,8 +8,8 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Shape is what is remembered of one.
-type Shape struct {
+// Fingerprint is what is remembered of one.
+type Fingerprint struct {
 	Text      string // cut to shapeShown bytes
 	Kind      Kind
 	MayWrite  bool
@@ -24,7 +24,7 @@
 	bytes      int
 	hits       uint8
 	where      queue
-	next, prev *Shape
+	next, prev *Fingerprint
 }
 
 type queue uint8
@@ -44,12 +44,12 @@
 	hitsMost   = 15  // are counted: one that is asked for often outlasts as many turns of the main queue
 )
 
-// Shapes is a cache of shapes of fixed size in bytes. It is S3-FIFO (Yang, Qiu, Zhang, Yue, Vinayak 2023): what is new
+// Fingerprints is a cache of shapes of fixed size in bytes. It is S3-FIFO (Yang, Qiu, Zhang, Yue, Vinayak 2023): what is new
 // enters a small queue, and only what comes again is let into the main one, so that a flood of shapes that come once
 // passes through the small one. It is written here and not taken from a library because it must count bytes and be the
 // same at each run: the libraries at hand count entries, or seed themselves and run goroutines.
-type Shapes struct {
-	byHash  map[xxh3.Uint128]*Shape
+type Fingerprints struct {
+	byHash  map[xxh3.Uint128]*Fingerprint
 	queues  [main + 1]list
 	ghosts  []uint32 // parts of the hashes of shapes that were let go from the small queue, each at the place of its hash
 	most    int
@@ -61,26 +61,26 @@
 
 // list is a queue of shapes with its bytes.
 type list struct {
-	first, last *Shape // the first is the next to go
+	first, last *Fingerprint // the first is the next to go
 	bytes       int
 }
 
-// NewShapes returns a cache that takes no more than so many bytes. The seed keeps others from choosing texts that meet.
-func NewShapes(bytes int, seed uint64) *Shapes {
+// NewFingerprints returns a cache that takes no more than so many bytes. The seed keeps others from choosing texts that meet.
+func NewFingerprints(bytes int, seed uint64) *Fingerprints {
 	n := max(1, int(ghostShare*float64(bytes))/4)
-	return &Shapes{byHash: map[xxh3.Uint128]*Shape{}, ghosts: make([]uint32, n), most: bytes - 4*n, seed: seed}
+	return &Fingerprints{byHash: map[xxh3.Uint128]*Fingerprint{}, ghosts: make([]uint32, n), most: bytes - 4*n, seed: seed}
 }
 
 // Bytes is how many bytes the cache holds.
-func (c *Shapes) Bytes() int {
+func (c *Fingerprints) Bytes() int {
 	return c.queues[small].bytes + c.queues[main].bytes + 4*len(c.ghosts)
 }
 
 // Len is how many shapes it holds.
-func (c *Shapes) Len() int { return len(c.byHash) }
+func (c *Fingerprints) Len() int { return len(c.byHash) }
 
 // Get returns what is remembered of a shape, and begins to remember it.
-func (c *Shapes) Get(shape []byte, info *Info) *Shape {
+func (c *Fingerprints) Get(shape []byte, info *Info) *Fingerprint {
 	h := xxh3.Hash128Seed(shape, c.seed)
 	if s := c.byHash[h]; s != nil {
 		c.Hits++
@@ -92,7 +92,7 @@
 	}
 	c.Misses++
 	text := string(shape[:min(len(shape), shapeShown)])
-	s := &Shape{Text: text, Kind: info.Kind, MayWrite: info.MayWrite, Why: info.Why, hash: h, bytes: shapeFixed + len(text)}
+	s := &Fingerprint{Text: text, Kind: info.Kind, MayWrite: info.MayWrite, Why: info.Why, hash: h, bytes: shapeFixed + len(text)}
 	to := small
 	if g := c.ghost(h); *g == uint32(h.Hi)|1 { // it has come again soon after it was let go
 		*g = 0
@@ -107,18 +107,18 @@
 }
 
 // ghost is the place of a hash among those of the forgotten. Another may stand there: the latest does.
-func (c *Shapes) ghost(h xxh3.Uint128) *uint32 { return &c.ghosts[h.Lo%uint64(len(c.ghosts))] }
+func (c *Fingerprints) ghost(h xxh3.Uint128) *uint32 { return &c.ghosts[h.Lo%uint64(len(c.ghosts))] }
 
-// Learned notes what one call took, beside so many others of ours at its database.
-func (s *Shape) Learned(took time.Duration, others int) {
+// ObserveCost notes what one call took, beside so many others of ours at its database.
+func (s *Fingerprint) ObserveCost(took time.Duration, others int) {
 	s.Cost.Add(took, others)
 	s.Seconds += took.Seconds()
 }
 
 // Holds tells whether a shape is still remembered; what is learned of others is lost.
-func (c *Shapes) Holds(s *Shape) bool { return s.where != gone }
+func (c *Fingerprints) Holds(s *Fingerprint) bool { return s.where != gone }
 
-func (c *Shapes) push(s *Shape, to queue) {
+func (c *Fingerprints) push(s *Fingerprint, to queue) {
 	q := &c.queues[to]
 	s.where, s.prev, s.next = to, q.last, nil
 	if q.last == nil {
@@ -130,7 +130,7 @@
 	q.bytes += s.bytes
 }
 
-func (c *Shapes) pop(from queue) *Shape {
+func (c *Fingerprints) pop(from queue) *Fingerprint {
 	q := &c.queues[from]
 	s := q.first
 	if q.first = s.next; q.first == nil {
@@ -144,7 +144,7 @@
 }
 
 // evict lets one shape go.
-func (c *Shapes) evict() {
+func (c *Fingerprints) evict() {
 	for c.queues[small].first != nil && (float64(c.queues[small].bytes) > smallShare*float64(c.most) || c.queues[main].first == nil) {
 		s := c.pop(small)
 		if s.hits > 0 {
@@ -167,7 +167,7 @@
 	}
 }
 
-func (c *Shapes) forget(s *Shape) {
+func (c *Fingerprints) forget(s *Fingerprint) {
 	delete(c.byHash, s.hash)
 	s.where = gone
 	c.Evicted++
@@ -183,8 +183,8 @@
 )
 
 // Top returns copies of the first shapes in an order.
-func (c *Shapes) Top(by Order, most int) (top []Shape) {
-	key := func(s *Shape) float64 {
+func (c *Fingerprints) Top(by Order, most int) (top []Fingerprint) {
+	key := func(s *Fingerprint) float64 {
 		switch by {
 		case ByTime:
 			return s.Seconds
@@ -193,7 +193,7 @@
 		}
 		return float64(s.Calls)
 	}
-	less := func(a, b Shape) int {
+	less := func(a, b Fingerprint) int {
 		if d := key(&b) - key(&a); d != 0 {
 			return int(math.Copysign(1, d))
 		}
--- a/internal/statement/cache_test.go
+++ b/internal/statement/cache_test.go
@@ -16,11 +16,11 @@
 // twice. It returns the share of hits of the useful ones, how many other shapes there were and the most bytes held.
 func floodOf(flood int) (hits float64, distinct, bytes int) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	c, a := NewShapes(floodBytes, 7), New(none)
+	c, a := NewFingerprints(floodBytes, 7), New(none)
 	get := func(sql string) bool {
 		info := a.Read(sql)
 		before := c.Hits
-		c.Get(a.Shape(), &info)
+		c.Get(a.Fingerprint(), &info)
 		return c.Hits > before
 	}
 	useful := func() string { return fmt.Sprintf("SELECT a%d FROM t WHERE b = %d", rng.IntN(100), rng.IntN(1e6)) }
@@ -87,19 +87,19 @@
 
 // What is asked for again costs no allocation; what comes first is remembered with its kind.
 func TestHits(t *testing.T) {
-	c, a := NewShapes(64<<10, 7), New(none)
+	c, a := NewFingerprints(64<<10, 7), New(none)
 	info := a.Read("SELECT nextval('a') WHERE b = 1")
-	s := c.Get(a.Shape(), &info)
+	s := c.Get(a.Fingerprint(), &info)
 	require.Equal(t, ByFunction, s.Why)
 	require.True(t, c.Holds(s))
 	require.Zero(t, testing.AllocsPerRun(100, func() {
 		info := a.Read("SELECT nextval('b') WHERE b = 2")
-		require.Same(t, s, c.Get(a.Shape(), &info))
+		require.Same(t, s, c.Get(a.Fingerprint(), &info))
 	}))
 	for i := range 10_000 {
 		info := a.Read(fmt.Sprintf("SELECT a%d", i))
 		for range 3 {
-			c.Get(a.Shape(), &info).Calls++
+			c.Get(a.Fingerprint(), &info).Calls++
 		}
 	}
 	require.False(t, c.Holds(s), "it was let go in the end")
--- a/internal/statement/fuzz_test.go
+++ b/internal/statement/fuzz_test.go
@@ -15,7 +15,7 @@
 	a, b := New(&Rules{}), New(&Rules{})
 	f.Fuzz(func(t *testing.T, sql string) {
 		info := a.Read(sql)
-		if again := b.Read(sql); again != info || string(a.Shape()) != string(b.Shape()) {
+		if again := b.Read(sql); again != info || string(a.Fingerprint()) != string(b.Fingerprint()) {
 			t.Fatalf("%q is read in two ways", sql)
 		}
 		for _, s := range append([]Span{info.Where, info.Comment}, info.Relations[:min(NamesMost, info.RelationsN)]...) {
@@ -23,8 +23,8 @@
 				t.Fatalf("%q: span %v", sql, s)
 			}
 		}
-		if len(a.Shape()) > 2*len(sql)+16 {
-			t.Fatalf("%q: its shape is %d long", sql, len(a.Shape()))
+		if len(a.Fingerprint()) > 2*len(sql)+16 {
+			t.Fatalf("%q: its shape is %d long", sql, len(a.Fingerprint()))
 		}
 		if info.Why == Unreadable && !info.MayWrite || !utf8.ValidString(sql) && !info.MayWrite {
 			t.Fatalf("%q is not to be read and yet a read", sql)
--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -168,8 +168,8 @@
 	return *info
 }
 
-// Shape is the shape of the text that was read last. It is the analyser's, until the next one is read.
-func (a *Analyser) Shape() []byte { return a.shape }
+// Fingerprint is the shape of the text that was read last. It is the analyser's, until the next one is read.
+func (a *Analyser) Fingerprint() []byte { return a.shape }
 
 func blank(s string) bool {
 	for i := range len(s) {
--- a/internal/statement/statement_test.go
+++ b/internal/statement/statement_test.go
@@ -121,7 +121,7 @@
 // One shape for all values, and for lists of any length; what decides the route shows in it.
 func TestShapes(t *testing.T) {
 	a := New(none)
-	shape := func(sql string) string { a.Read(sql); return string(a.Shape()) }
+	shape := func(sql string) string { a.Read(sql); return string(a.Fingerprint()) }
 	require.Equal(t, "select a, lower(b) from t where c in(?) and d = ?",
 		shape("SELECT a,LOWER( b )\nFROM t WHERE c IN (1, 2,\n'x') /* y */ AND d=$1 -- z"))
 	require.Equal(t, shape("INSERT INTO t VALUES (1, 'a')"), shape("insert into t values (2,'b') , (3,'c'),(4, 'd')"))
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -129,8 +129,8 @@
 	}
 	// On sockets a list that is pushed comes over a watch, too, from an agent beside the pooler. What that has counts as told whether
 	// it is watched or not, so that only the grace is left to open a broken watch anew.
-	if !c.ListOnRequest {
-		c.ListOnRequest, c.ListBinds = true, min(c.ListBinds, c.DrainGrace)
+	if !c.ListIsPolled {
+		c.ListIsPolled, c.ListBindsAfter = true, min(c.ListBindsAfter, c.DrainGrace)
 	}
 	for key, value := range map[string]time.Duration{"allowed.connectTimeoutMs": f.Connect, "allowed.keepaliveMs": f.Keepalive} {
 		if err == nil && value <= 0 {
@@ -163,18 +163,18 @@
 		Routers: s.Routers, OverQuota: s.OverShare,
 		StaleReads: pick("extra.behind", s.Extra.Behind, map[string]routing.StaleReads{
 			"none": routing.StaleAnswered, "bounce": routing.StaleRejected, "await": routing.StaleRejected}, &err),
-		ListRole: pick("extra.listRole", s.Extra.ListRole, map[string]bool{
+		ListHintsRole: pick("extra.listRole", s.Extra.ListRole, map[string]bool{
 			"none": false, "static": true, "trailing": true}, &err),
 		KeepSessions: pick("extra.sessionMarks", s.Extra.Marks, map[string]bool{
 			"brought": false, "kept": true}, &err),
-		ListOnRequest: pick("membershipMode", s.Membership, map[string]bool{
+		ListIsPolled: pick("membershipMode", s.Membership, map[string]bool{
 			"pushed": false, "on_request": true}, &err),
-		ListBinds:   binds,
-		MaxAttempts: s.Allowed.SendCap, MaxRetryAfter: s.Allowed.MaxRetryAfter.time(),
+		ListBindsAfter: binds,
+		MaxAttempts:    s.Allowed.SendCap, MaxRetryAfter: s.Allowed.MaxRetryAfter.time(),
 		CanCancel: s.Allowed.Cancel, CanProbe: s.Allowed.Probes, CanHedge: s.Allowed.SecondCopies,
-		DrainGrace: s.Rules.DrainGrace.time(), DrainOnly: s.Rules.DrainBindsAlone,
-		ColdShare: s.Rules.ColdFrom, ColdTime: s.Rules.Cold.time(), FallMultiple: s.Rules.TipMultiple,
-		FallWindow: s.Rules.Fall.time(),
+		DrainGrace: s.Rules.DrainGrace.time(), OnlyDrainingBinds: s.Rules.DrainBindsAlone,
+		SlowStartShare: s.Rules.ColdFrom, SlowStartTime: s.Rules.Cold.time(), OverloadMultiple: s.Rules.TipMultiple,
+		OverloadWindow: s.Rules.Fall.time(),
 	}
 	for _, p := range s.Projects {
 		c.Quotas = append(c.Quotas, p.Quota)
@@ -185,13 +185,13 @@
 				"lag_bound": routing.BoundedRead, "causal": routing.SessionRead, "strong": routing.FreshRead,
 				"mutate": routing.Write}, &err),
 			Effect: pick(fmt.Sprintf("lanes[%d].idempotency", i), l.Idempotency, map[string]routing.Effect{
-				"safe": routing.Safe, "keyed": routing.Keyed, "unsafe": routing.Unsafe}, &err),
-			DedupWindow: l.Window.time(), Aim: l.Aim.time(), AimStretch: l.AimStretch, Deadline: l.Deadline.time(),
-			Worth: l.Credit, LateWorth: l.LateValue,
+				"safe": routing.Idempotent, "keyed": routing.Deduplicated, "unsafe": routing.NonIdempotent}, &err),
+			DedupWindow: l.Window.time(), LatencyObjective: l.Aim.time(), ObjectivePerWork: l.AimStretch, Deadline: l.Deadline.time(),
+			Weight: l.Credit, LateWeight: l.LateValue,
 		}
-		if class.Effect == routing.Keyed {
+		if class.Effect == routing.Deduplicated {
 			class.DedupGroup = pick(fmt.Sprintf("lanes[%d].group", i), l.Group, map[string]routing.DedupGroup{
-				"all": routing.DedupAll, "zone": routing.DedupZone, "cell": routing.DedupCell}, &err)
+				"all": routing.DedupAll, "zone": routing.DedupZone, "cell": routing.DedupReplicaGroup}, &err)
 		}
 		if i < len(s.Extra.MaxAge) {
 			class.MaxAge = s.Extra.MaxAge[i].time()
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -164,7 +164,7 @@
 		e.Kind, e.Request = routing.RequestArrived, routing.RequestID(f.u64())
 		a := &e.Arrival
 		a.Class, a.Tenant, a.Session = int(f.u16()), int(f.u16()), f.u64()
-		a.Expires, a.Work = f.millis(), f.millis()
+		a.TimeLeft, a.Work = f.millis(), f.millis()
 		group, token, bits := f.f32(), f.f32(), f.u8()
 		if bits&1 == 0 {
 			a.Work = 0
@@ -179,7 +179,7 @@
 		e.Kind, e.Request = routing.AttemptDone, routing.RequestID(f.u64())
 		e.Outcome.Attempt, e.Outcome.Node = int(f.u16()), f.node()
 		f.status(&e.Outcome)
-		e.Outcome.Took = f.millis()
+		e.Outcome.Duration = f.millis()
 		f.refused(&e.Outcome, u)
 		e.Outcome.Final = f.u8() != 0
 		note := f.u32()
@@ -194,7 +194,7 @@
 	case evProbed:
 		e.Kind, e.Outcome.Node = routing.ProbeDone, f.node()
 		f.status(&e.Outcome)
-		e.Outcome.Took = f.millis()
+		e.Outcome.Duration = f.millis()
 		f.refused(&e.Outcome, u)
 		e.Outcome.Report = f.report(u)
 	case evGone:
@@ -205,9 +205,9 @@
 		kind, _, list := f.u8(), f.u64(), f.u16()
 		switch kind {
 		case 0:
-			e.Kind = routing.ListChange
+			e.Kind = routing.ListUpdated
 		case 1, 2:
-			e.Kind = routing.ListFull
+			e.Kind = routing.ListComplete
 		case 3:
 			e.Kind = routing.ListFailed
 		default:
@@ -282,14 +282,14 @@
 
 // refused tells a connection that is refused from one that never comes up: only the latter takes its time.
 func (f *fields) refused(o *routing.Outcome, u units) {
-	if o.Status == routing.NoConnect && o.Took < u.connect/2 {
-		o.Status = routing.NoProcess
+	if o.Status == routing.ConnectFailed && o.Duration < u.connect/2 {
+		o.Status = routing.ConnectRefused
 	}
 }
 
 var statuses = map[uint16]routing.Status{
-	200: routing.OK, 500: routing.NodeError, 503: routing.NodeFull, 504: routing.TimedOut, 502: routing.NoConnect,
-	598: routing.BrokenOff, 499: routing.Cancelled, 410: routing.NotSent, 404: routing.TurnedAway,
+	200: routing.OK, 500: routing.NodeError, 503: routing.NodeOverloaded, 504: routing.TimedOut, 502: routing.ConnectFailed,
+	598: routing.ConnectionBroken, 499: routing.Cancelled, 410: routing.NotSent, 404: routing.NodeRejected,
 }
 
 func (f *fields) report(u units) (e routing.Evidence) {
@@ -304,7 +304,7 @@
 				e.Position = u.origin + ms(float64(math.Nextafter32(v, 0))*1000)
 			}
 		case u.waiting:
-			e.Waits, e.Waiting = true, float64(v)
+			e.ReportsQueue, e.QueueLength = true, float64(v)
 		case u.x1:
 			e.Role = routing.Replica
 			if v == 1 {
@@ -376,14 +376,14 @@
 func appendAction(dst []byte, a routing.Action) []byte {
 	be := binary.BigEndian
 	id := uint64(a.Request)
-	after := math.Float64bits(float64(a.After) / float64(time.Millisecond))
+	after := math.Float64bits(float64(a.Delay) / float64(time.Millisecond))
 	node := func(b []byte) []byte {
 		return be.AppendUint16(be.AppendUint32(b, uint32(a.Node>>16)), uint16(a.Node))
 	}
 	switch a.Kind {
 	case routing.Send:
 		return record(dst, acSend, func(b []byte) []byte { return be.AppendUint64(node(be.AppendUint64(b, id)), after) })
-	case routing.Refuse:
+	case routing.Reject:
 		return record(dst, acRefuse, func(b []byte) []byte { return be.AppendUint64(be.AppendUint64(b, id), after) })
 	case routing.Fail:
 		return record(dst, acFail, func(b []byte) []byte { return be.AppendUint64(b, id) })
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -64,12 +64,12 @@
 	}
 	start := first.Instances[0].Start
 	if start == nil || start.Seed != 99 || start.Settings.Routers != 2 ||
-		start.Settings.Quotas[0] != 9.5 || start.Settings.FallMultiple != 3 {
+		start.Settings.Quotas[0] != 9.5 || start.Settings.OverloadMultiple != 3 {
 		t.Fatalf("start: %+v", start)
 	}
 	c := start.Settings.Classes
-	if c[0].Read != routing.BoundedRead || c[0].MaxAge != 800*time.Millisecond || c[1].Effect != routing.Keyed ||
-		c[1].DedupGroup != routing.DedupZone || c[2].Read != routing.Write || c[2].LateWorth != 0.5 {
+	if c[0].Read != routing.BoundedRead || c[0].MaxAge != 800*time.Millisecond || c[1].Effect != routing.Deduplicated ||
+		c[1].DedupGroup != routing.DedupZone || c[2].Read != routing.Write || c[2].LateWeight != 0.5 {
 		t.Fatalf("classes: %+v", c)
 	}
 	b, err := d.Next()
@@ -84,7 +84,7 @@
 		t.Fatalf("events: %+v", e)
 	}
 	a := e[0].Arrival
-	if a.Session != 0x91f03b7c55d20a64 || a.Expires != 240*time.Millisecond || a.Work != 12*time.Millisecond || a.Group != 11 {
+	if a.Session != 0x91f03b7c55d20a64 || a.TimeLeft != 240*time.Millisecond || a.Work != 12*time.Millisecond || a.Group != 11 {
 		t.Fatalf("arrival: %+v", a)
 	}
 	if wrote := b.Now - 412500*time.Microsecond; a.LastWrite < wrote || a.LastWrite > wrote+time.Millisecond {
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	e := b.Instances[0].Events
-	if len(e) != 2 || e[0].Kind != routing.ListFull || len(e[0].Nodes) != 2 {
+	if len(e) != 2 || e[0].Kind != routing.ListComplete || len(e[0].Nodes) != 2 {
 		t.Fatalf("events: %+v", e)
 	}
 	first, second := e[0].Nodes[0], e[0].Nodes[1]
@@ -121,7 +121,7 @@
 	}
 	o := e[1].Outcome
 	origin := 1000500 * time.Microsecond
-	if o.Status != routing.OK || !o.Final || o.Took != 18500*time.Microsecond || o.Note.Role != routing.Replica ||
+	if o.Status != routing.OK || !o.Final || o.Duration != 18500*time.Microsecond || o.Note.Role != routing.Replica ||
 		o.Note.Position != origin+0x638e>>2*time.Millisecond || o.Report.Role != routing.Replica {
 		t.Fatalf("outcome: %+v", o)
 	}
@@ -132,10 +132,10 @@
 
 func TestWorkedReply(t *testing.T) {
 	got := AppendReply(nil, 12, []Reply{{ID: 3, Actions: []routing.Action{
-		{Kind: routing.Send, Request: 0x652a5d3a91c4, Node: 0x0a124a07232b, After: 80 * time.Millisecond},
+		{Kind: routing.Send, Request: 0x652a5d3a91c4, Node: 0x0a124a07232b, Delay: 80 * time.Millisecond},
 		{Kind: routing.Cancel, Request: 7, Attempt: 2}, {Kind: routing.Probe, Node: 0x0a124a07232b},
-		{Kind: routing.Refuse, Request: 7, After: 80 * time.Millisecond}, {Kind: routing.Fail, Request: 7},
-		{Kind: routing.Subscribe}, {Kind: routing.SetTimer, After: 500 * time.Millisecond}}}, {ID: 5}})
+		{Kind: routing.Reject, Request: 7, Delay: 80 * time.Millisecond}, {Kind: routing.Fail, Request: 7},
+		{Kind: routing.Subscribe}, {Kind: routing.SetTimer, Delay: 500 * time.Millisecond}}}, {ID: 5}})
 	want := unhex(t, `0000007b 00000008 0000000c
 	 1a 00000004 00000003
 	 13 00000016 0000652a5d3a91c4 0a124a07 232b 4054000000000000
--- a/routing/api.go
+++ b/routing/api.go
@@ -32,32 +32,32 @@
 type Effect uint8
 
 const (
-	Safe   Effect = iota // repeats are harmless
-	Keyed                // the nodes drop repeats for Class.DedupWindow
-	Unsafe               // must never run twice
+	Idempotent    Effect = iota // repeats are harmless
+	Deduplicated                // the nodes drop repeats for Class.DedupWindow
+	NonIdempotent               // must never run twice
 )
 
 // Class is what the operator states about one class of requests.
 type Class struct {
-	Read        ReadKind
-	Effect      Effect
-	DedupGroup  DedupGroup
-	DedupWindow time.Duration // counted from the send of the first attempt that may have run
-	Aim         time.Duration // an answer within it earns full worth
-	AimStretch  float64       // the aim grows by this multiple of the request's own work
-	Deadline    time.Duration // after it the client has given up
-	Worth       float64
-	LateWorth   float64       // share of Worth for an answer after the aim
-	MaxAge      time.Duration // for BoundedRead
+	Read             ReadKind
+	Effect           Effect
+	DedupGroup       DedupGroup
+	DedupWindow      time.Duration // counted from the send of the first attempt that may have run
+	LatencyObjective time.Duration `json:"Aim"`        // an answer within it earns full worth
+	ObjectivePerWork float64       `json:"AimStretch"` // the aim grows by this multiple of the request's own work
+	Deadline         time.Duration // after it the client has given up
+	Weight           float64       `json:"Worth"`
+	LateWeight       float64       `json:"LateWorth"` // share of Worth for an answer after the aim
+	MaxAge           time.Duration // for BoundedRead
 }
 
 // DedupGroup is the set of nodes that drop each other's repeats of a keyed request.
 type DedupGroup uint8
 
 const (
-	DedupAll  DedupGroup = iota // every node
-	DedupZone                   // nodes of one zone
-	DedupCell                   // nodes of the request's replica group
+	DedupAll          DedupGroup = iota // every node
+	DedupZone                           // nodes of one zone
+	DedupReplicaGroup                   // nodes of the request's replica group
 )
 
 // StaleReads is what a node does with a read that it is too far behind for.
@@ -68,28 +68,29 @@
 	StaleRejected                   // it rejects the read untouched, at once or after a short wait
 )
 
-// Settings are the facts a router is started with.
+// Settings are the facts a router is started with. Field tags keep the names under which settings are stored and compared
+// between poolers.
 type Settings struct {
-	Routers       int // how many routers share the nodes
-	Classes       []Class
-	Quotas        []float64 // requests a second for each tenant, over all routers; empty without tenants
-	OverQuota     float64   // worth of a request over its tenant's quota, as a share of its class's
-	StaleReads    StaleReads
-	ListRole      bool          // the list hints at who is primary: late, or as it was when the list began
-	KeepSessions  bool          // a session's reads must see its writes answered here; tokens are not carried
-	ListOnRequest bool          // node lists arrive only when asked for
-	ListBinds     time.Duration // what a list has to tell binds so long after it came to be, heard or not; 0: once heard
-	MaxAttempts   int
-	MaxRetryAfter time.Duration
-	CanCancel     bool
-	CanProbe      bool
-	CanHedge      bool // two attempts of one request may be out at once
-	DrainGrace    time.Duration
-	DrainOnly     bool          // only a listing as draining binds; a node listed as gone may be tried
-	ColdShare     float64       // share of its capacity at which a node starts at the least
-	ColdTime      time.Duration // it is warm after this long at the most
-	FallMultiple  float64       // sent more than this multiple of its present capacity
-	FallWindow    time.Duration // for this long, a cold node falls over
+	Routers           int // how many routers share the nodes
+	Classes           []Class
+	Quotas            []float64 // requests a second for each tenant, over all routers; empty without tenants
+	OverQuota         float64   // worth of a request over its tenant's quota, as a share of its class's
+	StaleReads        StaleReads
+	ListHintsRole     bool          `json:"ListRole"` // the list hints at who is primary: late, or as it was when the list began
+	KeepSessions      bool          // a session's reads must see its writes answered here; tokens are not carried
+	ListIsPolled      bool          `json:"ListOnRequest"` // node lists arrive only when asked for
+	ListBindsAfter    time.Duration `json:"ListBinds"`     // what a list has to tell binds so long after it came to be, heard or not; 0: once heard
+	MaxAttempts       int
+	MaxRetryAfter     time.Duration
+	CanCancel         bool
+	CanProbe          bool
+	CanHedge          bool // two attempts of one request may be out at once
+	DrainGrace        time.Duration
+	OnlyDrainingBinds bool          `json:"DrainOnly"`    // only a listing as draining binds; a node listed as gone may be tried
+	SlowStartShare    float64       `json:"ColdShare"`    // share of its capacity at which a node starts at the least
+	SlowStartTime     time.Duration `json:"ColdTime"`     // it is warm after this long at the most
+	OverloadMultiple  float64       `json:"FallMultiple"` // sent more than this multiple of its present capacity
+	OverloadWindow    time.Duration `json:"FallWindow"`   // for this long, a cold node falls over
 }
 
 // Event is one thing that happened. Kind tells which of the other fields are set.
@@ -100,9 +101,9 @@
 	Outcome Outcome // AttemptDone and ProbeDone; its Attempt, of AnswerBegan
 	Nodes   []Node  // ListFull, ListChange
 
-	Bans     map[NodeID]time.Duration // BansChanged: the whole set, with the clock time of each ban
-	Settings *Settings                // SettingsChanged; it must not change any more
-	Clock    clockoffset.Bounds       // ClockOffset: what the nodes' clock shows minus this router's
+	Exclusions map[NodeID]time.Duration // BansChanged: the whole set, with the clock time of each ban
+	Settings   *Settings                // SettingsChanged; it must not change any more
+	Clock      clockoffset.Bounds       // ClockOffset: what the nodes' clock shows minus this router's
 }
 
 type EventKind uint8
@@ -111,22 +112,22 @@
 	RequestArrived EventKind = iota
 	AttemptDone
 	ProbeDone
-	ClientGone // the client has left; nothing is owed for the request
-	ListFull   // nodes that are missing are gone
-	ListChange // only the nodes that changed
-	ListFailed // a call for the list failed or the subscription broke
+	ClientGone   // the client has left; nothing is owed for the request
+	ListComplete // nodes that are missing are gone
+	ListUpdated  // only the nodes that changed
+	ListFailed   // a call for the list failed or the subscription broke
 	TimerFired
-	AnswerBegan     // an attempt answers at length, all others are called off: the deadline no longer binds, its node's work is done
-	BansChanged     // by the operators
-	SettingsChanged // requests that arrived before keep their class
-	ClockOffset     // the nodes' clock has been found to differ from the router's; until then the two agree
+	AnswerStarted     // an attempt answers at length, all others are called off: the deadline no longer binds, its node's work is done
+	ExclusionsChanged // by the operators
+	SettingsChanged   // requests that arrived before keep their class
+	ClockOffset       // the nodes' clock has been found to differ from the router's; until then the two agree
 )
 
 // Arrival is a request as its client sent it.
 type Arrival struct {
 	Class, Tenant, Group int
 	Session              uint64        // 0: none
-	Expires              time.Duration // from now
+	TimeLeft             time.Duration // from now
 	Work                 time.Duration // expected work; 0 if unknown
 	LastWrite            time.Duration // the nodes' clock at the session's last commit, as carried; 0: none
 }
@@ -135,40 +136,40 @@
 type Status uint8
 
 const (
-	OK         Status = iota
-	NodeError         // the node failed; the request may have run
-	NodeFull          // rejected unseen
-	TimedOut          // no answer in time; it may have run
-	NoConnect         // no connection; it never ran
-	BrokenOff         // the connection broke; it may have run
-	Cancelled         // it may have run
-	NotSent           // never sent: the request was over, or this machine lacked something; tells nothing of the node
-	TurnedAway        // a write at a replica or a read too fresh for the node; it never ran
-	NoProcess         // no connection, as the node's machine says that nothing listens; it never ran
+	OK               Status = iota
+	NodeError               // the node failed; the request may have run
+	NodeOverloaded          // rejected unseen
+	TimedOut                // no answer in time; it may have run
+	ConnectFailed           // no connection; it never ran
+	ConnectionBroken        // the connection broke; it may have run
+	Cancelled               // it may have run
+	NotSent                 // never sent: the request was over, or this machine lacked something; tells nothing of the node
+	NodeRejected            // a write at a replica or a read too fresh for the node; it never ran
+	ConnectRefused          // no connection, as the node's machine says that nothing listens; it never ran
 )
 
 // NeverRan tells whether the status proves that the attempt had no effect.
 func (s Status) NeverRan() bool {
-	return s == NodeFull || s == NoConnect || s == NoProcess || s == NotSent || s == TurnedAway
+	return s == NodeOverloaded || s == ConnectFailed || s == ConnectRefused || s == NotSent || s == NodeRejected
 }
 
 // Outcome ends an attempt or a probe.
 type Outcome struct {
-	Node    NodeID
-	Attempt int
-	Status  Status
-	Took    time.Duration
-	Final   bool // the client has its answer or the request is over
-	Note    Evidence
-	Report  Evidence
+	Node     NodeID
+	Attempt  int
+	Status   Status
+	Duration time.Duration
+	Final    bool // the client has its answer or the request is over
+	Note     Evidence
+	Report   Evidence
 }
 
 // Evidence is what a node tells about itself: with an answer as of the answer, in a report as of a while ago.
 type Evidence struct {
-	Role     Role
-	Position time.Duration // the nodes' clock up to which all commits are applied; of a write, its commit; 0: none
-	Waits    bool          // it tells how many requests wait there for others to end
-	Waiting  float64       // ... so many
+	Role         Role
+	Position     time.Duration // the nodes' clock up to which all commits are applied; of a write, its commit; 0: none
+	ReportsQueue bool          // it tells how many requests wait there for others to end
+	QueueLength  float64       // ... so many
 }
 
 type Role uint8
@@ -203,15 +204,15 @@
 	Request RequestID
 	Node    NodeID        // Send, Probe
 	Attempt int           // Cancel
-	After   time.Duration // Send: its time-out, 0 for the client's; Refuse: when to retry, 0 for no advice; SetTimer
-	By      time.Duration // Send: time of the router's clock after which it must not be written any more; 0: none
+	Delay   time.Duration // Send: its time-out, 0 for the client's; Refuse: when to retry, 0 for no advice; SetTimer
+	WriteBy time.Duration // Send: time of the router's clock after which it must not be written any more; 0: none
 }
 
 type ActionKind uint8
 
 const (
 	Send ActionKind = iota
-	Refuse
+	Reject
 	Fail
 	Cancel
 	Probe
--- a/routing/operators.go
+++ b/routing/operators.go
@@ -13,8 +13,8 @@
 	r.set, r.topWorth, r.tightest = s, 0, math.MaxInt64
 	var aims []time.Duration
 	for _, c := range s.Classes {
-		aims = append(aims, c.Aim)
-		r.topWorth = max(r.topWorth, c.Worth)
+		aims = append(aims, c.LatencyObjective)
+		r.topWorth = max(r.topWorth, c.Weight)
 		if c.Read == BoundedRead {
 			r.tightest = min(r.tightest, c.MaxAge)
 		}
@@ -59,14 +59,14 @@
 	case n.toldOff == 0:
 		return true
 	case n.State == Gone:
-		return r.set.DrainOnly && !n.drained
+		return r.set.OnlyDrainingBinds && !n.drained
 	default:
 		return asPrimary && r.now-n.toldOff < r.set.DrainGrace/2
 	}
 }
 
-// Avoided is how many nodes of the list are sent nothing now, by the operators' word, the list's or the router's own.
-func (r *Router) Avoided() (count int) {
+// Unavailable is how many nodes of the list are sent nothing now, by the operators' word, the list's or the router's own.
+func (r *Router) Unavailable() (count int) {
 	for _, n := range r.nodes {
 		if n.State != Gone && (n.down || !r.mayUse(n, false)) {
 			count++
@@ -78,8 +78,8 @@
 // Size is how much a node works on at once, as a multiple of what a small one does.
 func (r *Router) Size() float64 { return float64(r.size) }
 
-// Leads tells whether every group has a primary, as far as is known. One that is banned will do: waiting brings no other.
-func (r *Router) Leads() bool {
+// HasPrimaries tells whether every group has a primary, as far as is known. One that is banned will do: waiting brings no other.
+func (r *Router) HasPrimaries() bool {
 	for _, g := range r.groups {
 		led := len(g.members) == 0 || r.primary(g) != nil
 		for _, n := range g.members {
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -87,9 +87,9 @@
 	if w.rng.IntN(60) == 0 {
 		nodes := w.nodes()
 		w.told(nodes)
-		kind := ListChange
+		kind := ListUpdated
 		if w.rng.IntN(2) == 0 {
-			kind = ListFull
+			kind = ListComplete
 		}
 		events = append(events, Event{Kind: kind, Nodes: nodes})
 	}
@@ -118,8 +118,8 @@
 			if !try.pending || !due && w.rng.IntN(5) > 0 {
 				continue
 			}
-			o := Outcome{Node: try.node, Attempt: i, Took: w.now - try.at, Note: w.evidence(try.node),
-				Status: Status(w.rng.IntN(int(TurnedAway) + 1))}
+			o := Outcome{Node: try.node, Attempt: i, Duration: w.now - try.at, Note: w.evidence(try.node),
+				Status: Status(w.rng.IntN(int(NodeRejected) + 1))}
 			if due {
 				o.Status = TimedOut
 			}
@@ -152,8 +152,8 @@
 		w.next++
 		class := w.rng.IntN(len(w.s.Classes))
 		a := Arrival{Class: class, Group: w.rng.IntN(2), Session: uint64(w.rng.IntN(20)),
-			Expires: time.Duration(50+w.rng.IntN(1500)) * ms}
-		q := &tracked{class: w.s.Classes[class], deadline: w.now + a.Expires}
+			TimeLeft: time.Duration(50+w.rng.IntN(1500)) * ms}
+		q := &tracked{class: w.s.Classes[class], deadline: w.now + a.TimeLeft}
 		if q.class.Read == SessionRead && w.rng.IntN(2) == 0 {
 			a.LastWrite = w.now - time.Duration(w.rng.Int64N(int64(time.Second)))
 			q.need = a.LastWrite
@@ -177,7 +177,7 @@
 	case Probe:
 		w.probes = append(w.probes, a.Node)
 		return
-	case Send, Refuse, Fail, Cancel:
+	case Send, Reject, Fail, Cancel:
 	default:
 		return
 	}
@@ -205,12 +205,12 @@
 	}
 	if a.Kind != Send {
 		q.over = true
-		if a.Kind == Refuse && q.class.Effect != Safe && (q.mayRun || pending > 0) {
+		if a.Kind == Reject && q.class.Effect != Idempotent && (q.mayRun || pending > 0) {
 			w.t.Fatalf("%v: refused though it may have run", a)
 		}
 		return
 	}
-	if q.class.Effect == Unsafe && (q.mayRun || pending > 0) {
+	if q.class.Effect == NonIdempotent && (q.mayRun || pending > 0) {
 		w.t.Fatalf("%v: an unsafe request that may have run is sent again", a)
 	}
 	if pending > 0 && !w.s.CanHedge || len(q.tries) >= w.s.MaxAttempts {
@@ -235,8 +235,8 @@
 		s := settings()
 		s.Routers, s.MaxAttempts = 1+rng.IntN(4), 1+rng.IntN(6)
 		s.StaleReads = StaleReads(rng.IntN(2))
-		s.ListRole = rng.IntN(2) == 0
-		s.KeepSessions, s.ListOnRequest = rng.IntN(2) == 0, rng.IntN(2) == 0
+		s.ListHintsRole = rng.IntN(2) == 0
+		s.KeepSessions, s.ListIsPolled = rng.IntN(2) == 0, rng.IntN(2) == 0
 		s.CanHedge, s.CanCancel, s.CanProbe = rng.IntN(3) > 0, rng.IntN(3) > 0, rng.IntN(4) > 0
 		if rng.IntN(2) == 0 {
 			s.Quotas = []float64{5}
@@ -247,7 +247,7 @@
 		r, twin := New(s, seed), New(s, seed)
 		nodes := w.nodes()
 		w.told(nodes)
-		first := []Event{{Kind: ListFull, Nodes: nodes}}
+		first := []Event{{Kind: ListComplete, Nodes: nodes}}
 		for round := range 1500 {
 			events := first
 			if round > 0 {
--- a/routing/remotetime.go
+++ b/routing/remotetime.go
@@ -44,17 +44,17 @@
 
 // warmth is the share of its capacity that a node has at the least.
 func (r *Router) warmth(n *node) float64 {
-	age := r.set.ColdTime
+	age := r.set.SlowStartTime
 	if n.coldAt > 0 {
 		age = min(age, r.now-n.coldAt)
 	}
 	if n.startedAt > 0 {
 		age = min(age, r.earliestNow()-n.startedAt)
 	}
-	if age = max(age, 0); age >= r.set.ColdTime {
+	if age = max(age, 0); age >= r.set.SlowStartTime {
 		return 1
 	}
-	return r.set.ColdShare + (1-r.set.ColdShare)*float64(age)/float64(r.set.ColdTime)
+	return r.set.SlowStartShare + (1-r.set.SlowStartShare)*float64(age)/float64(r.set.SlowStartTime)
 }
 
 // coldSince is the earliest moment, by the router's clock, at which the present process of a node can have begun to answer.
--- a/routing/remotetime_test.go
+++ b/routing/remotetime_test.go
@@ -50,7 +50,7 @@
 			for _, id := range []NodeID{2, 3} {
 				h.probed(id, Replica, h.now+offset-c.age)
 			}
-			a := Arrival{Class: c.class, Session: 7, Expires: time.Second}
+			a := Arrival{Class: c.class, Session: 7, TimeLeft: time.Second}
 			if c.lastWrite > 0 {
 				a.LastWrite = h.now + offset - c.lastWrite
 			}
@@ -65,8 +65,8 @@
 			}
 			if c.class == classBounded && c.replica {
 				proof := h.now - 100*ms - c.age + h.r.set.Classes[classBounded].MaxAge // by the own clock
-				if out[0].By > proof || out[0].By < proof-2*skewed {
-					t.Errorf("offset %v: %s: to be written by %v, the proof ends at %v", offset, name, out[0].By, proof)
+				if out[0].WriteBy > proof || out[0].WriteBy < proof-2*skewed {
+					t.Errorf("offset %v: %s: to be written by %v, the proof ends at %v", offset, name, out[0].WriteBy, proof)
 				}
 			}
 		}
@@ -80,7 +80,7 @@
 		s := settings()
 		s.KeepSessions = true
 		h := skewedHarness(t, s, 0)
-		write := Arrival{Class: classWrite, Session: 7, Expires: 2 * time.Second}
+		write := Arrival{Class: classWrite, Session: 7, TimeLeft: 2 * time.Second}
 		h.step(Event{Kind: RequestArrived, Request: 1, Arrival: write})
 		h.done(1, 0, 1, TimedOut, Evidence{})
 		lost := h.now
@@ -89,7 +89,7 @@
 		h.probed(1, Primary, h.now+offset)
 		h.probed(2, Replica, lost+offset-20*ms)
 		h.probed(3, Replica, lost+offset-20*ms)
-		read := Arrival{Class: classSession, Session: 7, Expires: time.Second}
+		read := Arrival{Class: classSession, Session: 7, TimeLeft: time.Second}
 		for _, a := range h.step(Event{Kind: RequestArrived, Request: 2, Arrival: read}) {
 			if a.Kind == Send && a.Node != 1 {
 				t.Errorf("offset %v: a session's read at a replica that may lack its write", offset)
@@ -132,9 +132,9 @@
 				t.Errorf("offset %v: %s: role %d, want %d", offset, what, got, want)
 			}
 		}
-		h.step(Event{Kind: RequestArrived, Request: 1, Arrival: Arrival{Class: classWrite, Expires: 2 * time.Second}})
+		h.step(Event{Kind: RequestArrived, Request: 1, Arrival: Arrival{Class: classWrite, TimeLeft: 2 * time.Second}})
 		h.now += 100 * ms
-		h.done(1, 0, 1, TurnedAway, Evidence{Role: Replica, Position: h.now + offset - 10*ms})
+		h.done(1, 0, 1, NodeRejected, Evidence{Role: Replica, Position: h.now + offset - 10*ms})
 		role(Replica, "after an answer")
 		h.probed(1, Primary, h.now+offset-50*ms)
 		role(Replica, "after a report from before the answer")
@@ -155,7 +155,7 @@
 		h.probed(2, Replica, h.now+time.Hour-5*time.Second)
 		h.probed(3, Replica, h.now+time.Hour-5*time.Second)
 		for _, class := range []int{classBounded, classSession, classFresh} {
-			a := Arrival{Class: class, Session: 7, Expires: time.Second, LastWrite: h.now + time.Hour}
+			a := Arrival{Class: class, Session: 7, TimeLeft: time.Second, LastWrite: h.now + time.Hour}
 			out := h.step(Event{Kind: RequestArrived, Request: RequestID(class + 1), Arrival: a})
 			for _, sent := range append(out, h.wait(100*ms)...) {
 				if sent.Kind == Send && sent.Node != 1 {
@@ -192,7 +192,7 @@
 	for _, offset := range offsets {
 		h := skewedHarness(t, settings(), offset)
 		h.probed(2, Replica, h.now+offset-700*ms)
-		for _, s := range h.r.Seen(nil) {
+		for _, s := range h.r.NodeStatuses(nil) {
 			if s.ID == 2 && (s.Behind < 700*ms || s.Behind > 700*ms+skewed) {
 				t.Errorf("offset %v: behind by %v", offset, s.Behind)
 			}
@@ -204,7 +204,7 @@
 func TestAnswersOfTheProcessBeforeAStart(t *testing.T) {
 	for name, offset := range map[string]time.Duration{"clocks agree": 0, "the own clock is ahead": -time.Hour, "the own clock is behind": time.Hour} {
 		t.Run(name, func(t *testing.T) {
-			r := New(Settings{Routers: 1, Classes: []Class{{Worth: 1}}, ColdTime: time.Minute}, 1)
+			r := New(Settings{Routers: 1, Classes: []Class{{Weight: 1}}, SlowStartTime: time.Minute}, 1)
 			r.now = 2 * time.Hour
 			r.setOffset(clockoffset.Bounds{Latest: offset, Earliest: offset})
 			start := r.now - time.Second
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -179,14 +179,14 @@
 			if q := r.attemptDone(e.Request, &e.Outcome); q != nil {
 				place = append(place, q)
 			}
-		case AnswerBegan:
+		case AnswerStarted:
 			r.began(e.Request, e.Outcome.Attempt)
 		case ProbeDone:
 			r.probeDone(&e.Outcome)
-		case ListFull, ListChange:
-			r.list(e.Nodes, e.Kind == ListFull)
-		case BansChanged:
-			r.ban(e.Bans)
+		case ListComplete, ListUpdated:
+			r.list(e.Nodes, e.Kind == ListComplete)
+		case ExclusionsChanged:
+			r.ban(e.Exclusions)
 		case ClockOffset:
 			r.setOffset(e.Clock)
 		case ListFailed:
@@ -222,7 +222,7 @@
 			r.tick()
 		}
 		r.nextTick = now + rest
-		r.emit(Action{Kind: SetTimer, After: rest})
+		r.emit(Action{Kind: SetTimer, Delay: rest})
 	}
 	return r.out
 }
@@ -242,7 +242,7 @@
 // vain, when as much has passed without any: a service that answers in turn would never get through with
 // those that gave up. After another loss half of it does: nobody waits, or being turned away cost nothing.
 func (r *Router) askOver() time.Duration {
-	return min(max(pauseFirst, time.Duration(r.set.Routers)*askEach), cmp.Or(r.set.ListBinds/3, pauseMost))
+	return min(max(pauseFirst, time.Duration(r.set.Routers)*askEach), cmp.Or(r.set.ListBindsAfter/3, pauseMost))
 }
 
 func (r *Router) list(entries []Node, full bool) {
@@ -291,7 +291,7 @@
 	n.drained = n.drained || e.State == Draining
 	// The list's word counts only for a node that has not spoken for itself: a list far behind would call a
 	// deposed primary back, and reads there would be stale.
-	if e.Primary && r.set.ListRole && n.role == RoleUnknown {
+	if e.Primary && r.set.ListHintsRole && n.role == RoleUnknown {
 		n.role, n.roleAt = Primary, clockoffset.Instant{Remote: listedAt}
 	}
 }
@@ -310,7 +310,7 @@
 			slices.SortFunc(r.groups, func(a, b *group) int { return cmp.Compare(a.number, b.number) })
 		}
 		n.group = g
-		if n.State != Gone || r.set.DrainOnly {
+		if n.State != Gone || r.set.OnlyDrainingBinds {
 			g.members = append(g.members, n)
 		}
 	}
@@ -358,8 +358,8 @@
 	if e.Role != RoleUnknown && at.By(r.offset.Earliest) >= r.roleTime(n) {
 		n.role, n.roleAt = e.Role, at
 	}
-	if e.Waits && r.warmth(n) == 1 {
-		r.size = r.size.Told(r.crowd(n), e.Waiting)
+	if e.ReportsQueue && r.warmth(n) == 1 {
+		r.size = r.size.Told(r.crowd(n), e.QueueLength)
 	}
 }
 
@@ -388,10 +388,10 @@
 		n.cold.Warm()
 		return true
 	}
-	left := n.cold.Left(r.now, r.coldSince(n), r.set.FallWindow, r.set.FallMultiple,
-		warmth*r.rate*r.set.FallWindow.Seconds(), coldLeast/float64(r.set.Routers))
+	left := n.cold.Left(r.now, r.coldSince(n), r.set.OverloadWindow, r.set.OverloadMultiple,
+		warmth*r.rate*r.set.OverloadWindow.Seconds(), coldLeast/float64(r.set.Routers))
 	own := mix(r.seed ^ uint64(n.ID)) // Turns begin at another time at each router, not all at once.
-	turn := mix(own ^ uint64(coldTurns*(r.now+time.Duration(own%uint64(r.set.FallWindow)))/r.set.FallWindow))
+	turn := mix(own ^ uint64(coldTurns*(r.now+time.Duration(own%uint64(r.set.OverloadWindow)))/r.set.OverloadWindow))
 	work := r.coldWork(q)
 	part := left / work
 	if heavy := work > r.work.Of(q.Class); heavy && part < 1 && r.warmElsewhere(n) {
@@ -470,7 +470,7 @@
 		}
 	case o.Status == NotSent: // it tells nothing of the node
 	default:
-		n.died = n.died || o.Status == NoProcess
+		n.died = n.died || o.Status == ConnectRefused
 		if n.fails++; n.fails >= 2 {
 			r.suspect(n, false)
 		}
@@ -492,7 +492,7 @@
 }
 
 func (r *Router) probe(n *node) {
-	if !r.set.CanProbe || n.probing || (n.State == Gone && !r.set.DrainOnly) {
+	if !r.set.CanProbe || n.probing || (n.State == Gone && !r.set.OnlyDrainingBinds) {
 		return
 	}
 	n.probing, n.probed = true, r.now
@@ -504,10 +504,10 @@
 func (r *Router) arrive(id RequestID, a *Arrival) *request {
 	class := &r.set.Classes[a.Class]
 	q := &request{id: id, Arrival: *a, class: class, group: r.groupOf(a.Group), arrived: r.now,
-		deadline: r.now + a.Expires, letGo: r.now + a.Expires/2, worth: class.Worth / r.topWorth, room: 1,
+		deadline: r.now + a.TimeLeft, letGo: r.now + a.TimeLeft/2, worth: class.Weight / r.topWorth, room: 1,
 		most: r.set.MaxAttempts}
 	switch {
-	case class.Read == AnyRead && class.Aim > r.tightest: // It may hold the log up too long: at few nodes.
+	case class.Read == AnyRead && class.LatencyObjective > r.tightest: // It may hold the log up too long: at few nodes.
 		q.Session, q.room = uint64(a.Class)+1, anyRoom
 	case class.Read == FreshRead:
 		q.need = clockoffset.Instant{Own: r.now}
@@ -544,8 +544,8 @@
 // refused client is told to come back after the aim: sooner it would find the same crowd, or no primary yet.
 func (r *Router) giveUp(q *request) {
 	c := q.class
-	if c.Effect == Safe || !q.mayRun || c.Effect == Keyed && c.DedupGroup == DedupAll { // harmless
-		r.emit(Action{Kind: Refuse, Request: q.id, After: min(c.Aim, r.set.MaxRetryAfter)})
+	if c.Effect == Idempotent || !q.mayRun || c.Effect == Deduplicated && c.DedupGroup == DedupAll { // harmless
+		r.emit(Action{Kind: Reject, Request: q.id, Delay: min(c.LatencyObjective, r.set.MaxRetryAfter)})
 	} else {
 		r.emit(Action{Kind: Fail, Request: q.id})
 	}
@@ -565,7 +565,7 @@
 	t := &q.tries[o.Attempt]
 	n := t.n
 	t.pending, t.ended = false, r.now
-	if o.Status != NoConnect && o.Status != NoProcess && o.Status != NotSent {
+	if o.Status != ConnectFailed && o.Status != ConnectRefused && o.Status != NotSent {
 		q.letGo = q.deadline
 	}
 	q.out--
@@ -592,8 +592,8 @@
 	if q.out > 0 {
 		return nil
 	}
-	full := o.Status == NodeFull && q.class.Read != Write // Where one is full, all may be: no storm.
-	if full && r.extra < 1 || q.mayRun && q.class.Effect == Unsafe || r.now >= q.deadline {
+	full := o.Status == NodeOverloaded && q.class.Read != Write // Where one is full, all may be: no storm.
+	if full && r.extra < 1 || q.mayRun && q.class.Effect == NonIdempotent || r.now >= q.deadline {
 		r.giveUp(q)
 		return nil
 	}
@@ -606,8 +606,8 @@
 // sample books what an outcome tells of its node: health, latency, the loop's sample.
 func (r *Router) sample(n *node, q *request, o *Outcome) {
 	switch o.Status {
-	case NoConnect, NoProcess, BrokenOff, NodeError: // Sound nodes err, and reset connections.
-		n.died = n.died || o.Status == NoProcess
+	case ConnectFailed, ConnectRefused, ConnectionBroken, NodeError: // Sound nodes err, and reset connections.
+		n.died = n.died || o.Status == ConnectRefused
 		if n.fails++; n.fails >= 3 || n.fails == 2 && o.Status != NodeError {
 			r.suspect(n, o.Status == NodeError)
 		}
@@ -625,21 +625,21 @@
 	}
 	if o.Status == OK || o.Status == TimedOut {
 		if r.warmth(n) == 1 {
-			r.work.Answered(q.Class, o.Took)
+			r.work.Answered(q.Class, o.Duration)
 		}
-		n.latency += smooth * (float64(o.Took) - n.latency)
+		n.latency += smooth * (float64(o.Duration) - n.latency)
 		n.load += smooth * (q.tries[o.Attempt].behind - n.load)
-		n.sum += float64(o.Took) / float64(r.aim(q))
+		n.sum += float64(o.Duration) / float64(r.aim(q))
 		n.samples++
 	}
 }
 
 func (r *Router) aim(q *request) time.Duration {
-	return min(q.class.Aim+time.Duration(q.class.AimStretch*float64(q.Work)), q.class.Deadline)
+	return min(q.class.LatencyObjective+time.Duration(q.class.ObjectivePerWork*float64(q.Work)), q.class.Deadline)
 }
 
 func (r *Router) send(q *request, n *node) {
-	n.cold.Sent(r.now, r.set.FallWindow, r.coldWork(q))
+	n.cold.Sent(r.now, r.set.OverloadWindow, r.coldWork(q))
 	if !q.mayRun {
 		q.mayRun, q.firstRun, q.dedup = true, r.now, n
 	}
@@ -652,7 +652,7 @@
 	if q.class.Read == BoundedRead && n.role != Primary && r.set.StaleReads == StaleAnswered {
 		by = n.position + q.class.MaxAge - r.offset.Latest
 	}
-	r.emit(Action{Kind: Send, Request: q.id, Node: n.ID, By: by})
+	r.emit(Action{Kind: Send, Request: q.id, Node: n.ID, WriteBy: by})
 }
 
 // maySend keeps the rule on repeats and the attempts within their cap.
@@ -660,10 +660,10 @@
 	if q.done || len(q.tries) >= q.most || q.out > 0 && !r.set.CanHedge {
 		return false
 	}
-	if !q.mayRun || q.class.Effect == Safe {
+	if !q.mayRun || q.class.Effect == Idempotent {
 		return true
 	}
-	return q.class.Effect == Keyed && r.now-q.firstRun < q.class.DedupWindow &&
+	return q.class.Effect == Deduplicated && r.now-q.firstRun < q.class.DedupWindow &&
 		(q.class.DedupGroup != DedupZone || n.Zone == q.dedup.Zone)
 }
 
@@ -705,7 +705,7 @@
 		}
 		return
 	}
-	if q.class.LateWorth == 0 && r.now >= q.arrived+r.aim(q) {
+	if q.class.LateWeight == 0 && r.now >= q.arrived+r.aim(q) {
 		r.giveUp(q)
 	} else if n, shed := r.chooseRead(q); n != nil {
 		r.send(q, n)
@@ -821,7 +821,7 @@
 		r.nextLoop = r.now + loopPeriod
 	}
 	r.watch()
-	if r.set.ListOnRequest && r.askAt >= 0 && r.now >= r.askAt {
+	if r.set.ListIsPolled && r.askAt >= 0 && r.now >= r.askAt {
 		r.emit(Action{Kind: Subscribe})
 		r.askAt, r.asked = -1, r.now
 	}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -21,16 +21,16 @@
 
 func settings() Settings {
 	return Settings{Routers: 1, MaxAttempts: 6, MaxRetryAfter: time.Second, CanCancel: true,
-		CanProbe: true, CanHedge: true, DrainGrace: time.Second, ColdShare: 0.2,
-		ColdTime: 10 * time.Second, FallMultiple: 3, FallWindow: 2 * time.Second, OverQuota: 0.1,
+		CanProbe: true, CanHedge: true, DrainGrace: time.Second, SlowStartShare: 0.2,
+		SlowStartTime: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second, OverQuota: 0.1,
 		Classes: []Class{
-			classAny:     {Read: AnyRead, Aim: 200 * ms, Deadline: time.Second, Worth: 1, LateWorth: 0.2},
-			classBounded: {Read: BoundedRead, Aim: 200 * ms, Deadline: time.Second, Worth: 1, MaxAge: 200 * ms},
-			classSession: {Read: SessionRead, Aim: 200 * ms, Deadline: time.Second, Worth: 1},
-			classFresh:   {Read: FreshRead, Aim: 200 * ms, Deadline: time.Second, Worth: 1},
-			classWrite:   {Read: Write, Effect: Unsafe, Aim: 200 * ms, Deadline: 2 * time.Second, Worth: 2},
-			classKeyed: {Read: Write, Effect: Keyed, DedupGroup: DedupCell, DedupWindow: 500 * ms, Aim: 200 * ms,
-				Deadline: 2 * time.Second, Worth: 2},
+			classAny:     {Read: AnyRead, LatencyObjective: 200 * ms, Deadline: time.Second, Weight: 1, LateWeight: 0.2},
+			classBounded: {Read: BoundedRead, LatencyObjective: 200 * ms, Deadline: time.Second, Weight: 1, MaxAge: 200 * ms},
+			classSession: {Read: SessionRead, LatencyObjective: 200 * ms, Deadline: time.Second, Weight: 1},
+			classFresh:   {Read: FreshRead, LatencyObjective: 200 * ms, Deadline: time.Second, Weight: 1},
+			classWrite:   {Read: Write, Effect: NonIdempotent, LatencyObjective: 200 * ms, Deadline: 2 * time.Second, Weight: 2},
+			classKeyed: {Read: Write, Effect: Deduplicated, DedupGroup: DedupReplicaGroup, DedupWindow: 500 * ms, LatencyObjective: 200 * ms,
+				Deadline: 2 * time.Second, Weight: 2},
 		}}
 }
 
@@ -60,7 +60,9 @@
 	return out
 }
 
-func (h *harness) list(nodes ...Node) []Action { return h.step(Event{Kind: ListFull, Nodes: nodes}) }
+func (h *harness) list(nodes ...Node) []Action {
+	return h.step(Event{Kind: ListComplete, Nodes: nodes})
+}
 
 func (h *harness) probed(id NodeID, role Role, at time.Duration) []Action {
 	return h.step(Event{Kind: ProbeDone, Outcome: Outcome{Node: id, Report: Evidence{Role: role, Position: at}}})
@@ -74,7 +76,7 @@
 
 func (h *harness) arrive(id RequestID, class int) []Action {
 	return h.step(Event{Kind: RequestArrived, Request: id,
-		Arrival: Arrival{Class: class, Session: uint64(id), Expires: h.r.set.Classes[class].Deadline}})
+		Arrival: Arrival{Class: class, Session: uint64(id), TimeLeft: h.r.set.Classes[class].Deadline}})
 }
 
 func (h *harness) done(id RequestID, attempt int, n NodeID, status Status, note Evidence) []Action {
@@ -112,11 +114,11 @@
 		{OK, classWrite, nil},
 		{NodeError, classWrite, []ActionKind{Fail}},
 		{TimedOut, classWrite, []ActionKind{Fail}},
-		{BrokenOff, classWrite, []ActionKind{Fail}},
+		{ConnectionBroken, classWrite, []ActionKind{Fail}},
 		{Cancelled, classWrite, []ActionKind{Fail}},
-		{NoConnect, classWrite, nil},  // held: it never ran, and the primary is in doubt
-		{TurnedAway, classWrite, nil}, // held until a primary is found
-		{NodeFull, classWrite, nil},
+		{ConnectFailed, classWrite, nil}, // held: it never ran, and the primary is in doubt
+		{NodeRejected, classWrite, nil},  // held until a primary is found
+		{NodeOverloaded, classWrite, nil},
 	} {
 		h := newHarness(t, settings())
 		h.want("write", h.arrive(7, c.class), Send)
@@ -128,7 +130,7 @@
 func TestHeldWriteGoesToTheNewPrimary(t *testing.T) {
 	h := newHarness(t, settings())
 	h.want("write", h.arrive(7, classWrite), Send)
-	h.want("turned away", h.done(7, 0, 1, TurnedAway, Evidence{Role: Replica, Position: h.now}))
+	h.want("turned away", h.done(7, 0, 1, NodeRejected, Evidence{Role: Replica, Position: h.now}))
 	h.want("no primary known", h.wait(300*ms))
 	out := append(h.probed(2, Primary, h.now), h.wait(50*ms)...)
 	h.want("new primary known", out, Send)
@@ -142,7 +144,7 @@
 	h := newHarness(t, settings())
 	h.probed(1, Replica, h.now+1)
 	h.want("write without primary", h.arrive(7, classWrite))
-	h.want("until its deadline", h.wait(2*time.Second), Refuse)
+	h.want("until its deadline", h.wait(2*time.Second), Reject)
 }
 
 // A keyed write may be repeated inside its window, and only there; a refusal would promise too much.
@@ -163,7 +165,7 @@
 	h.want("read", h.arrive(7, classAny), Send)
 	h.now += time.Second
 	out := h.done(7, 0, 2, TimedOut, Evidence{})
-	h.want("time-out at the deadline", out, Refuse)
+	h.want("time-out at the deadline", out, Reject)
 	h.want("afterwards", h.wait(100*ms))
 
 	h = newHarness(t, settings())
@@ -176,7 +178,7 @@
 func TestGoneInTheSameBatch(t *testing.T) {
 	h := newHarness(t, settings())
 	h.arrive(7, classAny)
-	out := h.step(Event{Kind: AttemptDone, Request: 7, Outcome: Outcome{Node: 2, Status: NodeFull}},
+	out := h.step(Event{Kind: AttemptDone, Request: 7, Outcome: Outcome{Node: 2, Status: NodeOverloaded}},
 		Event{Kind: ClientGone, Request: 7})
 	h.want("outcome and leaving", out)
 	h.want("unknown request", h.step(Event{Kind: ClientGone, Request: 99}))
@@ -231,11 +233,11 @@
 	}
 	h := cold()
 	answered := burst(h, 8, true)
-	most := int(math.Ceil(0.5 * h.r.set.FallMultiple * float64(answered)))
+	most := int(math.Ceil(0.5 * h.r.set.OverloadMultiple * float64(answered)))
 	if all := answered + burst(h, 50, false); answered != 8 || all != most {
 		t.Fatalf("%d sends in a window with %d answers, want %d with 8", all, answered, most)
 	}
-	h.wait(2 * h.r.set.FallWindow) // those held meanwhile are given up
+	h.wait(2 * h.r.set.OverloadWindow) // those held meanwhile are given up
 	if sent := burst(h, 50, false); sent > coldLeast {
 		t.Fatalf("%d sends a window after the last answer, want %v at the most", sent, coldLeast)
 	}
@@ -264,7 +266,7 @@
 			t.Fatalf("write %d was sent to a cold primary beside the ten of the same window", id)
 		}
 	}
-	h.wait(2 * h.r.set.FallWindow) // those held meanwhile are given up
+	h.wait(2 * h.r.set.OverloadWindow) // those held meanwhile are given up
 	if !sent(40) {
 		t.Fatal("a write was held though a window has passed")
 	}
@@ -291,7 +293,7 @@
 		h.probed(1, Primary, h.now)
 		h.probed(2, Replica, h.now-c.position)
 		h.probed(3, Replica, h.now-c.position)
-		a := Arrival{Class: c.class, Session: 5, Expires: time.Second}
+		a := Arrival{Class: c.class, Session: 5, TimeLeft: time.Second}
 		if c.write > 0 {
 			a.LastWrite = h.now - c.write
 		}
@@ -311,7 +313,7 @@
 	h.now += 10 * ms
 	h.want("write", h.arrive(7, classWrite), Send)
 	h.done(7, 0, 1, OK, Evidence{Role: Primary, Position: h.now + 1})
-	out := h.step(Event{Kind: RequestArrived, Request: 8, Arrival: Arrival{Class: classSession, Session: 7, Expires: time.Second}})
+	out := h.step(Event{Kind: RequestArrived, Request: 8, Arrival: Arrival{Class: classSession, Session: 7, TimeLeft: time.Second}})
 	h.want("the session's read", out, Send)
 	if out[0].Node != 1 {
 		t.Fatalf("read sent to node %d, which has not seen the session's write", out[0].Node)
@@ -327,23 +329,23 @@
 		note    Evidence
 		replica bool // may answer the read
 	}{
-		{"lost", BrokenOff, Evidence{}, false},
+		{"lost", ConnectionBroken, Evidence{}, false},
 		{"late", TimedOut, Evidence{}, false},
 		{"spoilt", NodeError, Evidence{}, false},
 		{"without its commit", OK, Evidence{Role: Primary}, false},
 		{"whole", OK, Evidence{Role: Primary, Position: start - time.Second}, true},
-		{"it never ran", NodeFull, Evidence{}, true},
+		{"it never ran", NodeOverloaded, Evidence{}, true},
 	} {
 		s := settings()
 		s.KeepSessions = true
 		h := newHarness(t, s)
 		read := func(id RequestID) NodeID {
-			out := h.step(Event{Kind: RequestArrived, Request: id, Arrival: Arrival{Class: classSession, Session: 7, Expires: time.Second}})
+			out := h.step(Event{Kind: RequestArrived, Request: id, Arrival: Arrival{Class: classSession, Session: 7, TimeLeft: time.Second}})
 			h.want(c.name, out, Send)
 			return out[0].Node
 		}
 		h.now += 10 * ms
-		h.want("write", h.step(Event{Kind: RequestArrived, Request: 1, Arrival: Arrival{Class: classWrite, Session: 7, Expires: time.Second}}), Send)
+		h.want("write", h.step(Event{Kind: RequestArrived, Request: 1, Arrival: Arrival{Class: classWrite, Session: 7, TimeLeft: time.Second}}), Send)
 		h.now += 10 * ms
 		if n := read(2); n != 1 {
 			t.Errorf("%s: while the write is out, the read went to node %d", c.name, n)
@@ -368,7 +370,7 @@
 	if out[0].Node != 3 {
 		t.Fatalf("sent to node %d, want the most advanced replica 3", out[0].Node)
 	}
-	out = h.done(7, 0, 3, TurnedAway, Evidence{Role: Replica, Position: h.now - 250*ms})
+	out = h.done(7, 0, 3, NodeRejected, Evidence{Role: Replica, Position: h.now - 250*ms})
 	h.want("turned away", out, Send)
 	if out[0].Node == 3 {
 		t.Fatal("sent again to the node that just turned it away")
@@ -440,12 +442,12 @@
 	out := h.arrive(7, classAny)
 	first := out[0].Node
 	h.done(7, 0, first, OK, Evidence{Role: Replica, Position: h.now})
-	h.step(Event{Kind: RequestArrived, Request: 70, Arrival: Arrival{Class: classAny, Session: 7, Expires: time.Second}})
+	h.step(Event{Kind: RequestArrived, Request: 70, Arrival: Arrival{Class: classAny, Session: 7, TimeLeft: time.Second}})
 	if again := h.r.byID[first]; again.inFlight != 1 {
 		t.Fatal("the session moved to another replica")
 	}
 	h.r.byID[first].inFlight = 100
-	out = h.step(Event{Kind: RequestArrived, Request: 71, Arrival: Arrival{Class: classAny, Session: 7, Expires: time.Second}})
+	out = h.step(Event{Kind: RequestArrived, Request: 71, Arrival: Arrival{Class: classAny, Session: 7, TimeLeft: time.Second}})
 	if out[0].Node == first || out[0].Node == 1 {
 		t.Fatalf("sent to node %d, want the other replica", out[0].Node)
 	}
@@ -456,7 +458,7 @@
 func TestLongReadsOfAnyDataKeepTogether(t *testing.T) {
 	for aim, replicas := range map[time.Duration]int{200 * ms: 2, 201 * ms: 1} { // classBounded takes 200 ms
 		s := settings()
-		s.Classes[classAny].Aim = aim
+		s.Classes[classAny].LatencyObjective = aim
 		h := newHarness(t, s)
 		used := map[NodeID]int{}
 		for id := RequestID(10); id < 14; id++ {
@@ -488,7 +490,7 @@
 			out = len(open)
 			for _, id := range open {
 				h.step(Event{Kind: AttemptDone, Request: id, Outcome: Outcome{Node: at[id], Status: OK, Final: true,
-					Took: 150 * ms, Report: Evidence{Role: Replica, Position: h.now, Waits: tells, Waiting: waiting}}})
+					Duration: 150 * ms, Report: Evidence{Role: Replica, Position: h.now, ReportsQueue: tells, QueueLength: waiting}}})
 			}
 			open = nil
 			h.now += 20 * ms
@@ -518,7 +520,7 @@
 func TestOneBreakIsNoSign(t *testing.T) {
 	h := newHarness(t, settings())
 	n := h.r.byID[1]
-	for i, status := range []Status{BrokenOff, OK, NoConnect, BrokenOff} {
+	for i, status := range []Status{ConnectionBroken, OK, ConnectFailed, ConnectionBroken} {
 		h.arrive(RequestID(i+1), classWrite)
 		h.done(RequestID(i+1), 0, 1, status, Evidence{Role: Primary, Position: h.now})
 		if n.down != (i == 3) {
@@ -574,13 +576,13 @@
 // Where the list must be asked for, a failed call is repeated, ever later.
 func TestSubscribeAgain(t *testing.T) {
 	s := settings()
-	s.ListOnRequest = true
+	s.ListIsPolled = true
 	h := &harness{t, New(s, 1), start}
 	h.want("start", h.list(Node{ID: 1, State: Ready}), Subscribe)
 	h.want("unanswered", h.wait(time.Second))
 	h.step(Event{Kind: ListFailed})
 	h.want("after a failure", h.wait(time.Second), Subscribe)
-	h.step(Event{Kind: ListChange})
+	h.step(Event{Kind: ListUpdated})
 	h.want("subscribed", h.wait(20*time.Second))
 }
 
@@ -591,12 +593,12 @@
 	for i := range b.N {
 		h.now += ms
 		id := RequestID(i + 1)
-		events[0] = Event{Kind: RequestArrived, Request: id, Arrival: Arrival{Session: uint64(id), Expires: time.Second}}
+		events[0] = Event{Kind: RequestArrived, Request: id, Arrival: Arrival{Session: uint64(id), TimeLeft: time.Second}}
 		out = h.r.Step(h.now, events, out[:0])
 		for _, a := range out {
 			if a.Kind == Send {
 				events[0] = Event{Kind: AttemptDone, Request: id, Outcome: Outcome{Node: a.Node, Final: true,
-					Took: ms, Note: Evidence{Role: Replica, Position: h.now}}}
+					Duration: ms, Note: Evidence{Role: Replica, Position: h.now}}}
 			}
 		}
 		out = h.r.Step(h.now, events, out[:0])
@@ -611,7 +613,7 @@
 	for id := RequestID(10); id < 40; id++ {
 		h.now += 20 * ms
 		h.arrive(id, classFresh)
-		h.step(Event{Kind: AttemptDone, Request: id, Outcome: Outcome{Node: 1, Took: 10 * ms, Final: true,
+		h.step(Event{Kind: AttemptDone, Request: id, Outcome: Outcome{Node: 1, Duration: 10 * ms, Final: true,
 			Note: Evidence{Role: Primary, Position: h.now}}})
 		h.step(Event{Kind: TimerFired})
 	}
@@ -628,13 +630,13 @@
 func TestGoneIsNotBinding(t *testing.T) {
 	for _, drained := range []bool{false, true} {
 		s := settings()
-		s.DrainOnly = true
+		s.OnlyDrainingBinds = true
 		h := newHarness(t, s)
 		if drained {
 			h.list(Node{ID: 1, State: Draining}, Node{ID: 2, State: Ready}, Node{ID: 3, State: Ready})
 			h.now += s.DrainGrace
 		}
-		h.step(Event{Kind: ListChange, Nodes: []Node{{ID: 1, State: Gone}}})
+		h.step(Event{Kind: ListUpdated, Nodes: []Node{{ID: 1, State: Gone}}})
 		sent := len(h.arrive(7, classWrite)) == 1
 		if sent == drained {
 			t.Errorf("seen draining: %v, sent: %v", drained, sent)
@@ -654,7 +656,7 @@
 // A late list that calls a deposed primary back is not believed over the node's own word.
 func TestLateListIsNotBelieved(t *testing.T) {
 	s := settings()
-	s.ListRole = true
+	s.ListHintsRole = true
 	h := newHarness(t, s)
 	h.probed(1, Replica, h.now+1)
 	h.now += time.Minute
@@ -671,7 +673,7 @@
 	h.want("write", out, Send)
 	for i := range 2 {
 		n := out[0].Node
-		out = h.done(7, i, n, TurnedAway, Evidence{Role: Replica, Position: h.now})
+		out = h.done(7, i, n, NodeRejected, Evidence{Role: Replica, Position: h.now})
 		h.want("turned away", out, Send)
 	}
 	if n := out[0].Node; n == 1 {
@@ -712,7 +714,7 @@
 	h := &harness{t, New(settings(), 1), start}
 	h.list(Node{ID: 1, State: Gone}, Node{ID: 2, State: Ready})
 	h.now += 3 * time.Second
-	h.step(Event{Kind: ListChange, Nodes: []Node{{ID: 1, State: Draining}}})
+	h.step(Event{Kind: ListUpdated, Nodes: []Node{{ID: 1, State: Draining}}})
 	h.probed(1, Primary, h.now)
 	h.want("write three seconds after the news", h.arrive(7, classWrite))
 }
@@ -723,26 +725,26 @@
 	h := newHarness(t, settings())
 	h.probed(1, Replica, h.now+1)
 	h.want("write without primary", h.arrive(7, classWrite))
-	h.want("until half its time", h.wait(time.Second), Refuse)
+	h.want("until half its time", h.wait(time.Second), Reject)
 
 	h = newHarness(t, settings())
 	h.want("write", h.arrive(8, classWrite), Send)
-	h.want("no connection", h.done(8, 0, 1, NoConnect, Evidence{}))
+	h.want("no connection", h.done(8, 0, 1, ConnectFailed, Evidence{}))
 	h.want("no primary", h.probed(1, Replica, h.now+1))
-	h.want("until half its time", h.wait(time.Second), Refuse)
+	h.want("until half its time", h.wait(time.Second), Reject)
 
 	h = newHarness(t, settings())
 	h.want("write", h.arrive(9, classWrite), Send)
-	h.want("turned away", h.done(9, 0, 1, TurnedAway, Evidence{Role: Replica, Position: h.now + 1}))
+	h.want("turned away", h.done(9, 0, 1, NodeRejected, Evidence{Role: Replica, Position: h.now + 1}))
 	h.want("half its time", h.wait(time.Second))
-	h.want("its deadline", h.wait(time.Second), Refuse)
+	h.want("its deadline", h.wait(time.Second), Reject)
 }
 
 // A report that may take seconds does not make its node look hung: with nothing else out there, it is still the
 // primary that a write goes to.
 func TestLongReportIsNoSilence(t *testing.T) {
 	s := settings()
-	s.Classes[classAny].Aim, s.Classes[classAny].Deadline = 5*time.Second, 10*time.Second
+	s.Classes[classAny].LatencyObjective, s.Classes[classAny].Deadline = 5*time.Second, 10*time.Second
 	h := newHarness(t, s)
 	h.list(Node{ID: 1, State: Ready})
 	h.probed(1, Replica, h.now)
@@ -755,7 +757,7 @@
 // Incident rude+garble+fleet: a node behind a cut has run on, and takes its share at once when it is back; one whose
 // process was not there is taken for cold.
 func TestBackFromACut(t *testing.T) {
-	for status, cold := range map[Status]bool{NoConnect: false, NoProcess: true} {
+	for status, cold := range map[Status]bool{ConnectFailed: false, ConnectRefused: true} {
 		h := newHarness(t, settings())
 		for range 2 {
 			h.step(Event{Kind: ProbeDone, Outcome: Outcome{Node: 2, Status: status}})
@@ -782,7 +784,7 @@
 	next := NodeID(10)
 	for range 1000 {
 		h.now += time.Minute
-		h.step(Event{Kind: ListChange, Nodes: []Node{{ID: next, State: Gone}, {ID: next + 1, State: Ready}}})
+		h.step(Event{Kind: ListUpdated, Nodes: []Node{{ID: next, State: Gone}, {ID: next + 1, State: Ready}}})
 		if !h.r.Knows(next) || !h.r.Knows(next+1) {
 			t.Fatal("one that has just gone, or come, is known")
 		}
@@ -814,7 +816,7 @@
 	for _, c := range []struct {
 		status Status
 		want   []ActionKind
-	}{{NotSent, []ActionKind{Send}}, {NoConnect, nil}} {
+	}{{NotSent, []ActionKind{Send}}, {ConnectFailed, nil}} {
 		h := newHarness(t, settings())
 		for range 8 {
 			h.step(Event{Kind: ProbeDone, Outcome: Outcome{Node: 1, Status: c.status}})
--- a/routing/scale_test.go
+++ b/routing/scale_test.go
@@ -11,14 +11,14 @@
 func TestGoneInTheBatchOfItsArrival(t *testing.T) {
 	h := newHarness(t, settings())
 	out := h.step(Event{Kind: ClientGone, Request: 6},
-		Event{Kind: RequestArrived, Request: 7, Arrival: Arrival{Class: classAny, Expires: time.Second}},
+		Event{Kind: RequestArrived, Request: 7, Arrival: Arrival{Class: classAny, TimeLeft: time.Second}},
 		Event{Kind: ClientGone, Request: 7})
 	for _, a := range out {
 		if a.Request == 7 && a.Kind != Send && a.Kind != Cancel {
 			t.Fatalf("an answer for a request that is over: %v", a)
 		}
 	}
-	h.done(7, 0, 2, NodeFull, Evidence{})
+	h.done(7, 0, 2, NodeOverloaded, Evidence{})
 	h.want("after the client has left", h.wait(time.Second))
 }
 
@@ -29,7 +29,7 @@
 		s := settings()
 		s.Routers = routers
 		const perNode = 60.0 // completions a second on a warm node
-		warmth := s.ColdShare + (1-s.ColdShare)*float64(s.FallWindow/2)/float64(s.ColdTime)
+		warmth := s.SlowStartShare + (1-s.SlowStartShare)*float64(s.OverloadWindow/2)/float64(s.SlowStartTime)
 		sent := 0
 		for i := range routers {
 			r := New(s, uint64(i)*7919+1)
@@ -39,12 +39,12 @@
 			n := r.byID[1]
 			for range 200 {
 				if r.now += 10 * ms; r.coldRoom(n, &request{class: &s.Classes[classAny]}) {
-					n.cold.Sent(r.now, s.FallWindow, 1)
+					n.cold.Sent(r.now, s.OverloadWindow, 1)
 					sent++
 				}
 			}
 		}
-		if budget := s.FallMultiple * warmth * perNode * s.FallWindow.Seconds(); float64(sent) > budget {
+		if budget := s.OverloadMultiple * warmth * perNode * s.OverloadWindow.Seconds(); float64(sent) > budget {
 			t.Errorf("%d routers: %d sends in one window, budget %.0f", routers, sent, budget)
 		}
 		if sent == 0 {
@@ -70,25 +70,25 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	var sends []int // by 10 ms
 	sent, most := 0, 0.0
-	steps := int(s.ColdTime * 4 / 5 / tickEvery)
+	steps := int(s.SlowStartTime * 4 / 5 / tickEvery)
 	for step := range steps {
 		sends = append(sends, 0)
 		for _, r := range routers {
 			r.now = start + time.Duration(step)*tickEvery
 			if n := r.byID[1]; rng.Float64() < asked*tickEvery.Seconds() && r.coldRoom(n, &request{class: &s.Classes[classAny]}) {
-				n.cold.Sent(r.now, s.FallWindow, 1)
+				n.cold.Sent(r.now, s.OverloadWindow, 1)
 				sends[step]++
 				sent++
 			}
 		}
 		warmth := routers[0].warmth(routers[0].byID[1])
 		inWindow := 0
-		for _, n := range sends[max(0, step-int(s.FallWindow/tickEvery)):] {
+		for _, n := range sends[max(0, step-int(s.OverloadWindow/tickEvery)):] {
 			inWindow += n
 		}
-		most = max(most, float64(inWindow)/(s.FallMultiple*warmth*perNode*s.FallWindow.Seconds()))
+		most = max(most, float64(inWindow)/(s.OverloadMultiple*warmth*perNode*s.OverloadWindow.Seconds()))
 	}
-	mean := float64(s.ColdShare+1) / 2 * perNode * s.FallMultiple * float64(steps) * tickEvery.Seconds()
+	mean := float64(s.SlowStartShare+1) / 2 * perNode * s.OverloadMultiple * float64(steps) * tickEvery.Seconds()
 	if used := float64(sent) / mean; used < 0.2 || most > 0.8 {
 		t.Errorf("%.2f of what the node bears is sent, %.2f of it in the worst window", used, most)
 	}
@@ -108,7 +108,7 @@
 			for id := range nodes {
 				list = append(list, Node{ID: NodeID(id + 1), State: Ready, Group: id / 5})
 			}
-			events := []Event{{Kind: ListFull, Nodes: list}}
+			events := []Event{{Kind: ListComplete, Nodes: list}}
 			for step := range seconds * 100 {
 				var next []Event
 				for _, a := range h.r.Step(h.now, events, nil) {
@@ -122,13 +122,13 @@
 							Report: Evidence{Role: Replica, Position: h.now}}})
 					case Send:
 						next = append(next, Event{Kind: AttemptDone, Request: a.Request, Outcome: Outcome{Node: a.Node,
-							Status: OK, Took: 10 * ms, Final: true, Note: Evidence{Role: Replica, Position: h.now}}})
+							Status: OK, Duration: 10 * ms, Final: true, Note: Evidence{Role: Replica, Position: h.now}}})
 					}
 				}
 				if step%10 == 0 {
 					requests++
 					next = append(next, Event{Kind: RequestArrived, Request: RequestID(step + 1), Arrival: Arrival{
-						Class: classAny, Group: step / 10 % 4, Expires: time.Second}})
+						Class: classAny, Group: step / 10 % 4, TimeLeft: time.Second}})
 				}
 				events = append(next, Event{Kind: TimerFired})
 				h.now += tickEvery
@@ -167,7 +167,7 @@
 		h := newHarness(t, settings())
 		h.now += 2 * time.Second
 		events := []Event{{Kind: RequestArrived, Request: 7, Arrival: Arrival{Class: classBounded, Session: 7,
-			Expires: time.Second}}}
+			TimeLeft: time.Second}}}
 		asked, sent := 0, NodeID(0)
 		for range 20 {
 			var next []Event
@@ -197,11 +197,11 @@
 	h.now += 900 * ms
 	h.probed(2, Replica, h.now-500*ms)
 	h.probed(3, Replica, h.now-500*ms)
-	h.step(Event{Kind: ListChange, Nodes: []Node{{ID: 9, State: Ready, Group: 1}}},
-		Event{Kind: ListChange, Nodes: []Node{{ID: 9, State: Gone, Group: 1}}})
+	h.step(Event{Kind: ListUpdated, Nodes: []Node{{ID: 9, State: Ready, Group: 1}}},
+		Event{Kind: ListUpdated, Nodes: []Node{{ID: 9, State: Gone, Group: 1}}})
 	for id := range RequestID(4) { // in turn, so that a walk of group 0 precedes each of group 1
 		out := h.step(Event{Kind: RequestArrived, Request: id + 1, Arrival: Arrival{Class: classBounded,
-			Group: int(id % 2), Expires: time.Second}})
+			Group: int(id % 2), TimeLeft: time.Second}})
 		for _, a := range out {
 			if a.Kind == Send && (a.Request == 2 || a.Request == 4) {
 				t.Fatalf("a read of the empty group was sent to node %d", a.Node)
@@ -220,7 +220,7 @@
 			case Send:
 				sends++
 				again = true
-			case Refuse:
+			case Reject:
 				refusals++
 			}
 		}
@@ -230,7 +230,7 @@
 	for id := range RequestID(reads) {
 		out := h.arrive(id+1, classAny)
 		for i := 0; count(out); i++ {
-			out = h.done(id+1, i, out[0].Node, NodeFull, Evidence{Role: Replica, Position: h.now})
+			out = h.done(id+1, i, out[0].Node, NodeOverloaded, Evidence{Role: Replica, Position: h.now})
 		}
 		h.now += ms
 	}
@@ -265,7 +265,7 @@
 	h.probed(3, Replica, h.now-time.Second)
 	probes := 0
 	for _, a := range h.r.Step(h.now, []Event{{Kind: RequestArrived, Request: 7, Arrival: Arrival{Class: classBounded,
-		Expires: time.Second}}}, nil) {
+		TimeLeft: time.Second}}}, nil) {
 		if a.Kind == Probe {
 			probes++
 		}
@@ -318,7 +318,7 @@
 			h.now += 5 * time.Second
 			h.r.nextTick = h.now + time.Second // no other probes
 			for _, a := range h.r.Step(h.now, []Event{{Kind: RequestArrived, Request: 7, Arrival: Arrival{
-				Class: classBounded, Session: session + 1, Expires: time.Second}}}, nil) {
+				Class: classBounded, Session: session + 1, TimeLeft: time.Second}}}, nil) {
 				if a.Kind == Probe && a.Node == behind {
 					t.Errorf("session %d: node %d is asked, 2 s behind when it last spoke", session, behind)
 				}
@@ -345,7 +345,7 @@
 		h.r.nextTick = h.now + time.Second // no other probes
 		asked := false
 		for _, a := range h.r.Step(h.now, []Event{{Kind: RequestArrived, Request: 7, Arrival: Arrival{
-			Class: classBounded, Expires: time.Second}}}, nil) {
+			Class: classBounded, TimeLeft: time.Second}}}, nil) {
 			asked = asked || a.Kind == Probe
 		}
 		if asked != c.asks {
@@ -361,7 +361,7 @@
 func TestListCallsOfAllRoutersTogether(t *testing.T) {
 	for _, routers := range []int{3, 80, 300} {
 		s := settings()
-		s.Routers, s.ListOnRequest, s.ListBinds = routers, true, 6*time.Second
+		s.Routers, s.ListIsPolled, s.ListBindsAfter = routers, true, 6*time.Second
 		const work, patience = time.Second / 150, 2 * time.Second
 		var all []*Router
 		answers := map[time.Duration][]int{} // by the tick at which they come; negative: a failure, of router -i-1
@@ -379,7 +379,7 @@
 				if i < 0 {
 					events[-i-1] = Event{Kind: ListFailed}
 				} else {
-					events[i], last = Event{Kind: ListFull, Nodes: []Node{{ID: 1, State: Ready}}}, now
+					events[i], last = Event{Kind: ListComplete, Nodes: []Node{{ID: 1, State: Ready}}}, now
 				}
 			}
 			for i, r := range all {
@@ -398,7 +398,7 @@
 				}
 			}
 		}
-		if last > start+s.ListBinds+s.DrainGrace || calls < routers || calls > routers*5/4 {
+		if last > start+s.ListBindsAfter+s.DrainGrace || calls < routers || calls > routers*5/4 {
 			t.Errorf("%d routers: the last list %v after the loss, after %d calls", routers, last-start, calls)
 		}
 	}
@@ -411,7 +411,7 @@
 func TestWatchesThatBreakAreOpenedAnewAtOnce(t *testing.T) {
 	for _, routers := range []int{1, 5, 32, 300} {
 		s := settings()
-		s.Routers, s.ListOnRequest, s.ListBinds = routers, true, 6*time.Second
+		s.Routers, s.ListIsPolled, s.ListBindsAfter = routers, true, 6*time.Second
 		const patience = 2 * time.Second
 		work := 4 * time.Second / time.Duration(max(routers, 10))
 		var all []*harness
@@ -446,7 +446,7 @@
 				}
 			}
 		}
-		over := min(max(pauseFirst, time.Duration(routers)*askEach), s.ListBinds/3) / 2
+		over := min(max(pauseFirst, time.Duration(routers)*askEach), s.ListBindsAfter/3) / 2
 		for i := range routers {
 			if first[i] > start+over+again+tickEvery {
 				t.Errorf("%d routers: one asks first after %v", routers, first[i]-start)
@@ -468,7 +468,7 @@
 	}{{1, 500 * ms}, {5, 500 * ms}, {12, 1200 * ms}, {300, 2 * time.Second}} {
 		for seed := range uint64(20) {
 			s := settings()
-			s.Routers, s.ListOnRequest, s.ListBinds = c.routers, true, 6*time.Second
+			s.Routers, s.ListIsPolled, s.ListBindsAfter = c.routers, true, 6*time.Second
 			h := &harness{t, New(s, seed), start}
 			h.list(Node{ID: 1, State: Ready})
 			for range 6 {
@@ -499,7 +499,7 @@
 		for _, routers := range []int{1, 3, 80, 300, 5000} {
 			for seed := range uint64(20) {
 				s := settings()
-				s.Routers, s.ListOnRequest, s.ListBinds = routers, true, binds
+				s.Routers, s.ListIsPolled, s.ListBindsAfter = routers, true, binds
 				h := &harness{t, New(s, seed), start}
 				h.list(Node{ID: 1, State: Ready})
 				for failure := range 6 {
@@ -520,7 +520,7 @@
 	step := func(e Event) {
 		for _, a := range h.r.Step(h.now, []Event{e}, nil) {
 			if a.Kind == SetTimer {
-				due = h.now + a.After
+				due = h.now + a.Delay
 			}
 		}
 	}
@@ -537,7 +537,7 @@
 		t.Errorf("%d wakes in an idle second", n)
 	}
 	h.r.byID[1].role = Replica // nobody leads
-	step(Event{Kind: RequestArrived, Request: 7, Arrival: Arrival{Class: classWrite, Expires: time.Minute}})
+	step(Event{Kind: RequestArrived, Request: 7, Arrival: Arrival{Class: classWrite, TimeLeft: time.Minute}})
 	if n := wakes(); n < int(time.Second/tickEvery)-1 {
 		t.Errorf("%d wakes in a second with a request open", n)
 	}
--- a/routing/seen.go
+++ b/routing/seen.go
@@ -2,49 +2,49 @@
 
 import "time"
 
-// Seen is what a router holds of a node by its own evidence, to be shown. Nothing here decides.
-type Seen struct {
-	ID       NodeID
-	Health   Health
-	Cold     bool
-	Primary  bool          // by what nodes said, not by the list
-	Position time.Duration // the last proven one, by the nodes' clock; 0: none
-	Heard    time.Duration // the last answer or report; 0: none
-	Behind   time.Duration // how far its position was behind the nodes' clock then, at the most; of no meaning without a position
+// NodeStatus is what a router holds of a node by its own evidence, to be shown. Nothing here decides.
+type NodeStatus struct {
+	ID        NodeID
+	Health    Health
+	Cold      bool
+	Primary   bool          // by what nodes said, not by the list
+	Position  time.Duration // the last proven one, by the nodes' clock; 0: none
+	LastHeard time.Duration // the last answer or report; 0: none
+	Behind    time.Duration // how far its position was behind the nodes' clock then, at the most; of no meaning without a position
 }
 
 // Health is how a node does.
 type Health uint8
 
 const (
-	Unheard Health = iota // no evidence
-	Sound
-	Mute       // out: it left requests unanswered
-	Failing    // out: it errs, breaks connections or is not reached
-	NoListener // out: no process is there
+	HealthUnknown Health = iota // no evidence
+	Healthy
+	Unresponsive // out: it left requests unanswered
+	Failing      // out: it errs, breaks connections or is not reached
+	NotListening // out: no process is there
 )
 
 // Knows tells whether the router still remembers a node.
 func (r *Router) Knows(id NodeID) bool { return r.byID[id] != nil }
 
-// Seen appends what the router holds of each node that is not gone, by ID.
-func (r *Router) Seen(out []Seen) []Seen {
+// NodeStatuses appends what the router holds of each node that is not gone, by ID.
+func (r *Router) NodeStatuses(out []NodeStatus) []NodeStatus {
 	for _, n := range r.nodes {
 		if n.State == Gone {
 			continue
 		}
-		s := Seen{ID: n.ID, Cold: r.warmth(n) < 1, Primary: n.role == Primary && r.roleTime(n) > listedAt, Position: n.position,
-			Heard: max(n.answered, n.provenAt)}
-		s.Behind = s.Heard + r.offset.Latest - s.Position
+		s := NodeStatus{ID: n.ID, Cold: r.warmth(n) < 1, Primary: n.role == Primary && r.roleTime(n) > listedAt, Position: n.position,
+			LastHeard: max(n.answered, n.provenAt)}
+		s.Behind = s.LastHeard + r.offset.Latest - s.Position
 		switch {
 		case n.down && n.mute:
-			s.Health = Mute
+			s.Health = Unresponsive
 		case n.down && n.died:
-			s.Health = NoListener
+			s.Health = NotListening
 		case n.down:
 			s.Health = Failing
-		case s.Heard > 0:
-			s.Health = Sound
+		case s.LastHeard > 0:
+			s.Health = Healthy
 		}
 		out = append(out, s)
 	}
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -120,9 +120,9 @@
 
 func newSlowFleet(c slowStart) *slowFleet {
 	s := settings()
-	s.Routers, s.CanHedge, s.ColdShare, s.ColdTime, s.FallMultiple = c.told, false, c.coldShare, slowColdTime, slowMultiple
-	s.Classes[classAny].Aim, s.Classes[classAny].Deadline = 5*time.Second, 10*time.Second // reports
-	s.FallWindow = c.window
+	s.Routers, s.CanHedge, s.SlowStartShare, s.SlowStartTime, s.OverloadMultiple = c.told, false, c.coldShare, slowColdTime, slowMultiple
+	s.Classes[classAny].LatencyObjective, s.Classes[classAny].Deadline = 5*time.Second, 10*time.Second // reports
+	s.OverloadWindow = c.window
 	f := &slowFleet{slowStart: c, settings: s, rng: rand.New(rand.NewPCG(c.seed, 11)), now: start,
 		nodes: map[NodeID]*database{}, work: map[RequestID]float64{}, tries: map[RequestID]int{},
 		events: make([][]Event, c.routers), due: make([]time.Duration, c.routers)}
@@ -136,7 +136,7 @@
 }
 
 func (f *slowFleet) newRouter(i int) *Router {
-	f.events[i] = []Event{{Kind: ListFull, Nodes: f.list()}}
+	f.events[i] = []Event{{Kind: ListComplete, Nodes: f.list()}}
 	f.due[i] = f.now
 	return New(f.settings, f.seed+uint64(i)*7919+1)
 }
@@ -174,7 +174,7 @@
 		f.pressure(d, work)
 	}
 	if d.held >= slowQueue*slowCores {
-		return f.now + ms, NodeFull
+		return f.now + ms, NodeOverloaded
 	}
 	d.held++
 	core := 0
@@ -190,7 +190,7 @@
 
 // pressure books what a cold database is sent against what it bears: N is taken at the middle of the window.
 func (f *slowFleet) pressure(d *database, work float64) {
-	window := f.settings.FallWindow
+	window := f.settings.OverloadWindow
 	d.sends, d.inWindow, d.sent = append(d.sends, weighted{f.now, work}), d.inWindow+work, d.sent+work
 	for f.now-d.sends[0].at > window {
 		d.inWindow -= d.sends[0].work
@@ -219,7 +219,7 @@
 func (f *slowFleet) act(router int, a Action) {
 	switch a.Kind {
 	case SetTimer:
-		f.due[router] = f.now + a.After
+		f.due[router] = f.now + a.Delay
 	case Probe:
 		d := f.nodes[a.Node]
 		f.later(f.now+tickEvery, router, Event{Kind: ProbeDone, Outcome: Outcome{Node: a.Node, Report: f.evidence(d)}}, d)
@@ -227,7 +227,7 @@
 		d := f.nodes[a.Node]
 		at, status := f.take(d, f.work[a.Request])
 		f.later(at, router, Event{Kind: AttemptDone, Request: a.Request, Outcome: Outcome{Node: a.Node,
-			Attempt: f.tries[a.Request], Status: status, Took: at - f.now, Final: status == OK}}, d)
+			Attempt: f.tries[a.Request], Status: status, Duration: at - f.now, Final: status == OK}}, d)
 		f.tries[a.Request]++
 	}
 }
@@ -250,7 +250,7 @@
 		f.work[f.next] = m.work / unit * f.rng.ExpFloat64()
 		router := f.router()
 		f.events[router] = append(f.events[router], Event{Kind: RequestArrived, Request: f.next, Arrival: Arrival{
-			Class: m.class, Session: uint64(f.next), Expires: f.settings.Classes[m.class].Deadline}})
+			Class: m.class, Session: uint64(f.next), TimeLeft: f.settings.Classes[m.class].Deadline}})
 		f.due[router] = f.now
 	}
 }
@@ -283,7 +283,7 @@
 		if first && f.freshRouters {
 			f.routing[i] = f.newRouter(i)
 		} else {
-			f.later(f.now+f.late, i, Event{Kind: ListChange, Nodes: f.list()}, nil)
+			f.later(f.now+f.late, i, Event{Kind: ListUpdated, Nodes: f.list()}, nil)
 		}
 	}
 }
@@ -294,7 +294,7 @@
 		e := heap.Pop(&f.queue).(result)
 		switch {
 		case e.event.Kind == AttemptDone && e.node != f.nodes[e.node.id]:
-			e.event.Outcome.Status, e.event.Outcome.Final = BrokenOff, false
+			e.event.Outcome.Status, e.event.Outcome.Final = ConnectionBroken, false
 		case e.event.Kind == AttemptDone:
 			e.event.Outcome.Note = f.evidence(e.node)
 			if e.event.Outcome.Status == OK {
