--- a/cmd/capercove/main_test.go
+++ b/cmd/capercove/main_test.go
@@ -117,6 +117,7 @@
 		for _, addr := range []string{b.Addr, b.Management, b.Flight} {
 			at, err := netip.ParseAddrPort(addr)
 			require.NoError(t, err)
+			testbed.Release(t, addr)
 			fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 			require.NoError(t, err)
 			require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}))
--- a/internal/flight/dial_test.go
+++ b/internal/flight/dial_test.go
@@ -43,7 +43,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	t.Cleanup(cancel)
 	a := &core.Attempt{Request: &core.Request{}, Member: m, Deadline: c.Now() + patience}
-	return &try{b: b, conn: conn, ctx: ctx, cancel: cancel, a: a, s: &statement{SQL: "INSERT", update: true}}
+	return &try{b: b, conn: conn, ctx: ctx, cancel: cancel, a: a, s: &statement{SQL: "INSERT", update: true, call: &call{ctx: ctx}}}
 }
 
 // A dial that fails for a moment is made again, and gRPC sees none of it; a want on this machine that lasts tells
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -621,6 +621,16 @@
 
 func init() { ports.Store(firstPort) }
 
+// reservations are those of this test process, by their addresses.
+var reservations sync.Map
+
+// Release gives up the reservation of an address that Free has returned, for a test that takes the address itself.
+func Release(t *testing.T, addr string) {
+	r, known := reservations.LoadAndDelete(addr)
+	require.True(t, known, "%s is not reserved", addr)
+	require.NoError(t, r.(*addresses.Reservation).Close())
+}
+
 // reserve reserves the next address of this test process until the test ends.
 func reserve(t *testing.T) *addresses.Reservation {
 	pid := os.Getpid()
@@ -633,6 +643,7 @@
 			continue
 		}
 		require.NoError(t, err)
+		reservations.Store(r.String(), r)
 		t.Cleanup(func() { r.Close() })
 		return r
 	}
