--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -156,10 +156,12 @@
 
 // outcome is the counter of a status.
 func (c *Counters) outcome(s routing.Status) *int64 {
-	return [...]*int64{routing.OK: &c.Served, routing.NodeError: &c.Errors, routing.NodeOverloaded: &c.Full,
+	return [...]*int64{
+		routing.OK: &c.Served, routing.NodeError: &c.Errors, routing.NodeOverloaded: &c.Full,
 		routing.TimedOut: &c.TimedOut, routing.ConnectFailed: &c.NoConnect, routing.ConnectRefused: &c.NoProcess,
 		routing.ConnectionBroken: &c.Broken,
-		routing.Cancelled:        &c.Cancelled, routing.NotSent: &c.NotSent, routing.NodeRejected: &c.Turned}[s]
+		routing.Cancelled:        &c.Cancelled, routing.NotSent: &c.NotSent, routing.NodeRejected: &c.Turned,
+	}[s]
 }
 
 // Core owns the router, the tables and the timers.
@@ -218,11 +220,13 @@
 // New returns a core that calls ready once it is able to serve. The clock must be monotonic; it counts from the Unix
 // epoch, as positions do.
 func New(s Settings, seed uint64, l limits.Limits, log zerolog.Logger, clock func() time.Duration, wake, ready func()) *Core {
-	return &Core{Wheel: timerwheel.New(l.Tick, l.Slots, clock()), limits: l, log: log, clock: clock, wake: wake,
+	return &Core{
+		Wheel: timerwheel.New(l.Tick, l.Slots, clock()), limits: l, log: log, clock: clock, wake: wake,
 		router: routing.New(s.Settings, seed), settings: &s, ready: ready, members: map[routing.NodeID]*Member{},
 		out: map[routing.NodeID]int{}, offSince: map[routing.NodeID]time.Duration{},
 		requests: map[routing.RequestID]*Request{}, names: map[string]struct{}{},
-		Count: Counters{Fronts: map[string]map[string]*Answers{}, Routers: s.Routers}}
+		Count: Counters{Fronts: map[string]map[string]*Answers{}, Routers: s.Routers},
+	}
 }
 
 // Attach names who lists, who probes and who is told of members. It comes before the first event.
@@ -335,7 +339,8 @@
 func (c *Core) arrive(q *Request, expires time.Duration) {
 	c.held.Enter(q.id)
 	c.events = append(c.events, routing.Event{Kind: routing.RequestArrived, Request: q.id, Arrival: routing.Arrival{
-		Class: q.routed, Group: q.Group, Session: q.Session, TimeLeft: expires, Work: q.ExpectedWork, LastWrite: q.LastWrite}})
+		Class: q.routed, Group: q.Group, Session: q.Session, TimeLeft: expires, Work: q.ExpectedWork, LastWrite: q.LastWrite,
+	}})
 }
 
 // ClientGone tells that the client has gone. Nothing is owed any more; attempts still out are ended.
@@ -475,8 +480,10 @@
 			q.Client.Failed(failure(status == routing.TimedOut))
 		}
 	}
-	c.push(routing.Event{Kind: routing.AttemptDone, Request: q.id, Outcome: routing.Outcome{Node: a.Member.ID,
-		Attempt: a.number, Status: status, Duration: took, Final: q.done, Note: note}})
+	c.push(routing.Event{Kind: routing.AttemptDone, Request: q.id, Outcome: routing.Outcome{
+		Node:    a.Member.ID,
+		Attempt: a.number, Status: status, Duration: took, Final: q.done, Note: note,
+	}})
 	c.forget(q)
 }
 
@@ -505,8 +512,10 @@
 	}
 	delete(c.asking, m.ID)
 	c.reported(took, report)
-	c.push(routing.Event{Kind: routing.ProbeDone, Outcome: routing.Outcome{Node: m.ID, Status: status, Duration: took,
-		Report: report}})
+	c.push(routing.Event{Kind: routing.ProbeDone, Outcome: routing.Outcome{
+		Node: m.ID, Status: status, Duration: took,
+		Report: report,
+	}})
 }
 
 // ---- From discovery
@@ -691,8 +700,10 @@
 
 func (c *Core) send(q *Request, a routing.Action) {
 	now := c.clock()
-	try := &Attempt{Request: q, Member: c.members[a.Node], Deadline: q.deadline, WriteBy: a.WriteBy, number: len(q.attempts),
-		sent: now}
+	try := &Attempt{
+		Request: q, Member: c.members[a.Node], Deadline: q.deadline, WriteBy: a.WriteBy, number: len(q.attempts),
+		sent: now,
+	}
 	if a.Delay > 0 {
 		try.Deadline = min(try.Deadline, now+a.Delay)
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -43,9 +43,12 @@
 
 func newWorldOf(t *testing.T, ready func()) *world {
 	w := &world{t: t, now: 1_800_000_000 * time.Second}
-	s := routing.Settings{Routers: 1, MaxAttempts: 4, CanCancel: true, CanProbe: true, CanHedge: true, DrainGrace: time.Second,
+	s := routing.Settings{
+		Routers: 1, MaxAttempts: 4, CanCancel: true, CanProbe: true, CanHedge: true, DrainGrace: time.Second,
 		SlowStartShare: 0.2, SlowStartTime: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second, Classes: []routing.Class{
-			{Read: routing.AnyRead, LatencyObjective: 200 * time.Millisecond, Deadline: 5 * time.Second, Weight: 1, LateWeight: 0.2}}}
+			{Read: routing.AnyRead, LatencyObjective: 200 * time.Millisecond, Deadline: 5 * time.Second, Weight: 1, LateWeight: 0.2},
+		},
+	}
 	l := limits.For(limits.Machine{MemoryMB: 64, Sockets: 256}, 250*time.Millisecond, 15*time.Second, 5*time.Second)
 	w.core = core.New(core.Settings{Settings: s, Names: []string{"read"}}, 1, l, zerolog.Nop(),
 		func() time.Duration { return w.now }, func() {}, ready)
--- a/internal/core/door.go
+++ b/internal/core/door.go
@@ -45,12 +45,16 @@
 	classes := make([]admission.Class, len(routed.Classes))
 	for i, class := range routed.Classes {
 		n := len(c.settings.Names)
-		classes[i] = admission.Class{Name: c.settings.Names[i%n] + Route(i/n).String(), Aim: class.LatencyObjective,
-			Primary: class.Read == routing.Write || class.Read == routing.FreshRead}
+		classes[i] = admission.Class{
+			Name: c.settings.Names[i%n] + Route(i/n).String(), Aim: class.LatencyObjective,
+			Primary: class.Read == routing.Write || class.Read == routing.FreshRead,
+		}
 	}
-	return cfg.Settings(classes, admission.Settings{MaxRetryAfter: c.settings.MaxRetryAfter, Bounds: admission.Bounds{Queue: c.limits.DoorQueue,
+	return cfg.Settings(classes, admission.Settings{MaxRetryAfter: c.settings.MaxRetryAfter, Bounds: admission.Bounds{
+		Queue: c.limits.DoorQueue,
 		Lanes: c.limits.DoorLanes, Promises: c.limits.DoorPromises, LimitMin: float64(c.limits.DoorLeast),
-		LimitMax: float64(c.limits.DoorMost)}})
+		LimitMax: float64(c.limits.DoorMost),
+	}})
 }
 
 // tell notes an event for the door.
@@ -62,8 +66,10 @@
 // offer brings a request to the door.
 func (c *Core) offer(q *Request, expires time.Duration) {
 	q.door = doorQueued
-	c.tell(admission.Event{Kind: admission.Offered, Request: uint64(q.id), Offer: admission.Offer{Tenant: q.Tenant, Class: q.routed,
-		Group: q.Group, Client: q.Caller, Work: q.ExpectedWork, Expires: expires}})
+	c.tell(admission.Event{Kind: admission.Offered, Request: uint64(q.id), Offer: admission.Offer{
+		Tenant: q.Tenant, Class: q.routed,
+		Group: q.Group, Client: q.Caller, Work: q.ExpectedWork, Expires: expires,
+	}})
 }
 
 // outside tells the door that a request is over, or that it holds no database up any more.
@@ -160,8 +166,10 @@
 		return nil
 	}
 	d := c.door.door
-	f := &AdmissionFigures{Count: d.Count, Queued: d.Queued(), Tenants: d.Tenants(), Lanes: d.Queues(),
-		Sojourn: map[string]float64{}}
+	f := &AdmissionFigures{
+		Count: d.Count, Queued: d.Queued(), Tenants: d.Tenants(), Lanes: d.Queues(),
+		Sojourn: map[string]float64{},
+	}
 	f.Tenants = f.Tenants[:min(len(f.Tenants), c.limits.DoorShown)]
 	for name, q := range map[string]float64{"p50": 50, "p99": 99, "max": 100} {
 		f.Sojourn[name] = float64(d.Sojourn.ValueAtQuantile(q)) / 1000
--- a/internal/core/operators.go
+++ b/internal/core/operators.go
@@ -31,8 +31,10 @@
 
 // publish shows the figures, again and again.
 func (c *Core) publish() {
-	f := Figures{Classes: map[string]Answers{}, Written: c.Count.Written, Pending: c.Open(), Members: len(c.Members()),
-		Unavailable: c.router.Unavailable(), Reloads: c.Count.Reloads, ReloadErrors: c.Count.ReloadErrors}
+	f := Figures{
+		Classes: map[string]Answers{}, Written: c.Count.Written, Pending: c.Open(), Members: len(c.Members()),
+		Unavailable: c.router.Unavailable(), Reloads: c.Count.Reloads, ReloadErrors: c.Count.ReloadErrors,
+	}
 	for _, name := range c.settings.Names {
 		f.Classes[name] = Answers{}
 	}
@@ -53,8 +55,10 @@
 }
 
 func (a Answers) plus(b Answers) Answers {
-	return Answers{Taken: a.Taken + b.Taken, Served: a.Served + b.Served, Refused: a.Refused + b.Refused,
-		Failed: a.Failed + b.Failed, Gone: a.Gone + b.Gone}
+	return Answers{
+		Taken: a.Taken + b.Taken, Served: a.Served + b.Served, Refused: a.Refused + b.Refused,
+		Failed: a.Failed + b.Failed, Gone: a.Gone + b.Gone,
+	}
 }
 
 // answers are the counts of a front and class.
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -82,8 +82,10 @@
 	case in.core.IsOpen(a.ID): // Against two answers of one name: the client could not tell them apart.
 		return nil, &Problem{FieldID, "a request of this id is open"}
 	}
-	q := &core.Request{Front: a.Front, Name: a.ID, Class: number, Group: a.Group, TimeLeft: a.Wait, LastWrite: a.After,
-		Payload: a.Payload, Backend: a.Backend}
+	q := &core.Request{
+		Front: a.Front, Name: a.ID, Class: number, Group: a.Group, TimeLeft: a.Wait, LastWrite: a.After,
+		Payload: a.Payload, Backend: a.Backend,
+	}
 	if q.TimeLeft == 0 {
 		q.TimeLeft = class.Deadline
 	}
--- a/internal/intake/process_test.go
+++ b/internal/intake/process_test.go
@@ -57,8 +57,10 @@
 func TestMislabelled(t *testing.T) {
 	b := testbed.Start(t, testbed.WithTables(enforce))
 	c := b.Client()
-	for _, sql := range []string{"SELECT nextval('s')", "SELECT pg_catalog.nextval('s') FROM t", "WITH d AS (DELETE FROM t RETURNING a) SELECT a FROM d",
-		"SELECT a FROM t FOR UPDATE", "SELECT app.note(1)", "SELECT nobody_knows(1)", `SELECT "nextval"('s')`} {
+	for _, sql := range []string{
+		"SELECT nextval('s')", "SELECT pg_catalog.nextval('s') FROM t", "WITH d AS (DELETE FROM t RETURNING a) SELECT a FROM d",
+		"SELECT a FROM t FOR UPDATE", "SELECT app.note(1)", "SELECT nobody_knows(1)", `SELECT "nextval"('s')`,
+	} {
 		for _, class := range []string{"read", "report"} {
 			r := c.Ask(labelled(class, sql))
 			require.Equal(t, "from db-0", string(r.Value), "%s: %s %s", sql, r.Code, r.Message)
--- a/internal/intake/reader.go
+++ b/internal/intake/reader.go
@@ -45,8 +45,10 @@
 		return
 	}
 	if in.reader == nil {
-		in.reader = &reader{shapes: statement.NewFingerprints(bytes, seed), log: log, every: every,
-			count: Readings{Kinds: map[string]int64{}}}
+		in.reader = &reader{
+			shapes: statement.NewFingerprints(bytes, seed), log: log, every: every,
+			count: Readings{Kinds: map[string]int64{}},
+		}
 	}
 	in.reader.config, in.reader.analyser = c, statement.New(c.Rules())
 }
--- a/internal/intake/statement.go
+++ b/internal/intake/statement.go
@@ -16,9 +16,11 @@
 	if in.rules != nil {
 		caller.Comment = query.Told
 	}
-	q, problem := in.Request(&Input{Front: front, ID: query.ID, Class: query.Class, Group: query.Group,
+	q, problem := in.Request(&Input{
+		Front: front, ID: query.ID, Class: query.Class, Group: query.Group,
 		HasGroup: query.HasGroup, Key: query.Key, Wait: query.Wait, After: query.After, SQL: sql, Label: query.Label, Caller: caller,
-		Payload: &query, Backend: backend})
+		Payload: &query, Backend: backend,
+	})
 	if problem != nil {
 		if problem.Field == FieldLabel {
 			return nil, pg.CodeSyntax, problem.Why
