--- a/internal/core/off.go
+++ b/internal/core/blocks.go
@@ -28,6 +28,13 @@
 	c.keepOff()
 }
 
+// Exclude takes in which databases the operators keep out, each since when. It holds when this returns: what was decided
+// before and is not on its way yet is taken back by the backends.
+func (c *Core) Exclude(bans map[routing.NodeID]time.Duration) {
+	c.banned = bans
+	c.keepOut()
+}
+
 // keepOff hands the router what is kept off now.
 func (c *Core) keepOff() {
 	now := c.clock()
@@ -89,26 +96,6 @@
 
 func (c *Core) lapsed() bool { return c.off.Until > 0 && c.clock() >= c.off.Until }
 
-// MaySend tells whether an attempt that waited for its connection may still be written: asked as the last thing before its
-// statement goes out. Against a client that has left meanwhile where attempts are not called off, a read sent on a proof that has
-// run out, and a database that has begun to drain.
-func (c *Core) MaySend(a *Attempt) bool {
-	c.leaveUnheard(a.Request)
-	now := c.clock()
-	return !a.done && !a.Request.done && now < a.Deadline && (a.WriteBy == 0 || now <= a.WriteBy) && c.may(a.Member)
-}
-
-// leaveUnheard ends a request whose client has gone, before its front has heard of that. Against an attempt for a
-// client whose close lies unread: behind its requests that are read first, or because the process was not let run.
-func (c *Core) leaveUnheard(q *Request) {
-	if q.done {
-		return
-	}
-	if client, ok := q.Client.(Leaver); ok && client.HasLeft() {
-		c.ClientGone(q)
-	}
-}
-
 // may tells whether anything may be begun at a database now. Against a process that was not let run for a while, and goes on where
 // it was with what is not so any more: its timers come only then. To one that drains goes what was decided on before, or what only
 // it can take, for half of the grace.
@@ -125,16 +112,3 @@
 	}
 	return !off
 }
-
-// AttemptsInFlight is how many attempts are out at each of some databases.
-func (c *Core) AttemptsInFlight(at map[routing.NodeID]bool) map[routing.NodeID]int {
-	out := map[routing.NodeID]int{}
-	for _, q := range c.requests {
-		for _, a := range q.attempts {
-			if !a.done && at[a.Member.ID] {
-				out[a.Member.ID]++
-			}
-		}
-	}
-	return out
-}
--- a/internal/core/operators.go
+++ b/internal/core/figures.go
@@ -2,7 +2,6 @@
 
 import (
 	"maps"
-	"time"
 
 	"capercove/routing"
 )
@@ -21,6 +20,14 @@
 	Blind                 int64 // attempts sent to databases that could be at work, as nothing else was left
 }
 
+// DatabaseStatus is what the router holds of a database by its own evidence.
+type DatabaseStatus struct {
+	routing.NodeStatus
+	Name        string
+	Group, Zone int
+	MayAsk      bool // a probe may be sent there
+}
+
 // Figures returns the figures as they were a moment ago, to any goroutine.
 func (c *Core) Figures() Figures {
 	if f := c.figures.Load(); f != nil {
@@ -29,6 +36,9 @@
 	return Figures{}
 }
 
+// Observe lets the figures tell what the router sees.
+func (c *Core) Observe() { c.observed, c.asks = true, map[int]int64{} }
+
 // publish shows the figures, again and again.
 func (c *Core) publish() {
 	f := Figures{
@@ -54,45 +64,17 @@
 	c.Wheel.At(now+c.limits.Figures, c.publish)
 }
 
-func (a Answers) plus(b Answers) Answers {
-	return Answers{
-		Taken: a.Taken + b.Taken, Served: a.Served + b.Served, Refused: a.Refused + b.Refused,
-		Failed: a.Failed + b.Failed, Gone: a.Gone + b.Gone,
+// sights are what the router sees now; nil where nobody looks.
+func (c *Core) sights() []DatabaseStatus {
+	if !c.observed {
+		return nil
 	}
-}
-
-// answers are the counts of a front and class.
-func (c *Core) answers(front, class string) *Answers {
-	classes := c.Count.Fronts[front]
-	if classes == nil {
-		classes = map[string]*Answers{}
-		c.Count.Fronts[front] = classes
-	}
-	if classes[class] == nil {
-		classes[class] = &Answers{}
+	seen := c.router.NodeStatuses(nil)
+	sights := make([]DatabaseStatus, 0, len(seen))
+	for _, s := range seen {
+		if m := c.members[s.ID]; m != nil {
+			sights = append(sights, DatabaseStatus{NodeStatus: s, Name: m.Name, Group: m.Group, Zone: m.Zone, MayAsk: c.mayAsk(m)})
+		}
 	}
-	return classes[class]
-}
-
-// Stopping tells that this process is about to end: it is ready no more.
-func (c *Core) Stopping() { c.stopping = true }
-
-// Reconfigure takes in new settings. What was submitted before keeps its class.
-func (c *Core) Reconfigure(s Settings) {
-	c.Count.Reloads++
-	c.settings = &s
-	c.retune()
-}
-
-// ReloadRejected counts a configuration that was not taken.
-func (c *Core) ReloadRejected() { c.Count.ReloadErrors++ }
-
-// HasMember tells whether any list has named the database.
-func (c *Core) HasMember(id routing.NodeID) bool { return c.members[id] != nil }
-
-// Exclude takes in which databases the operators keep out, each since when. It holds when this returns: what was decided
-// before and is not on its way yet is taken back by the backends.
-func (c *Core) Exclude(bans map[routing.NodeID]time.Duration) {
-	c.banned = bans
-	c.keepOut()
+	return sights
 }
--- /dev/null
+++ b/internal/core/healthcheck.go
@@ -0,0 +1,46 @@
+package core
+
+import (
+	"time"
+
+	"capercove/routing"
+)
+
+// HealthChecker asks a database for its report; each call ends with Core.Probed.
+type HealthChecker interface{ Probe(*Member) }
+
+// ProbeByName probes a database that other poolers have a word on. What comes back is evidence like any other; nothing is sent to one
+// that is gone, draining or banned, or to which a probe is out already.
+func (c *Core) ProbeByName(name string) (asked bool) {
+	for id, m := range c.members {
+		if m.Name != name || !c.mayAsk(m) || c.asking[id] {
+			continue
+		}
+		if c.asking == nil {
+			c.asking = map[routing.NodeID]bool{}
+		}
+		c.asking[id] = true
+		c.Count.Probes++
+		c.Count.Asked++
+		c.prober.Probe(m)
+		return true
+	}
+	return false
+}
+
+func (c *Core) mayAsk(m *Member) bool {
+	return c.settings.CanProbe && m.State == routing.Ready && !m.Excluded
+}
+
+// Probed ends a probe.
+func (c *Core) Probed(m *Member, status routing.Status, took time.Duration, report routing.Evidence) {
+	if status != routing.OK {
+		c.Count.ProbesFailed++
+	}
+	delete(c.asking, m.ID)
+	c.reported(took, report)
+	c.push(routing.Event{Kind: routing.ProbeDone, Outcome: routing.Outcome{
+		Node: m.ID, Status: status, Duration: took,
+		Report: report,
+	}})
+}
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -50,42 +50,6 @@
 	return c.settings.Classes[q.Class].Read == routing.Write
 }
 
-// routed are the settings as the router has them: with the routers that are there, and with each class as it is, then each as a
-// write, then each as a read.
-func (c *Core) routed() routing.Settings {
-	s := c.settings.Settings
-	if c.routers > 0 {
-		s.Routers = c.routers
-	}
-	if !c.routes {
-		return s
-	}
-	all := make([]routing.Class, 0, int(routes)*len(s.Classes))
-	for r := AsLabelled; r < routes; r++ {
-		for _, class := range s.Classes {
-			switch r {
-			case AsWrite:
-				class.Read, class.Effect = routing.Write, routing.NonIdempotent
-			case AsRead:
-				class.Read, class.Effect = routing.FreshRead, routing.Idempotent
-			}
-			all = append(all, class)
-		}
-	}
-	s.Classes = all
-	return s
-}
-
-// retune hands the settings as they are to the router and to the door.
-func (c *Core) retune() {
-	s := c.routed()
-	c.Count.Routers = s.Routers
-	c.push(routing.Event{Kind: routing.SettingsChanged, Settings: &s})
-	if c.door != nil {
-		c.ReconfigureAdmission(c.door.config)
-	}
-}
-
 // teach tells what an attempt took, if it was answered well.
 func (c *Core) teach(a *Attempt, status routing.Status, took time.Duration) {
 	if n := c.out[a.Member.ID] - 1; n > 0 {
