--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -7,41 +7,41 @@
 	"capercove/routing"
 )
 
-// fair is the door, where requests wait for their turn before the router sees them, and what is on its way to it.
-type fair struct {
-	door    *admission.Controller
-	config  admission.Config
-	events  []admission.Event
-	spare   []admission.Event
-	actions []admission.Action
+// admissionControl is the door, where requests wait for their turn before the router sees them, and what is on its way to it.
+type admissionControl struct {
+	controller *admission.Controller
+	config     admission.Config
+	events     []admission.Event
+	spare      []admission.Event
+	actions    []admission.Action
 }
 
-// doorState tells where a request is, as the door sees it.
-type doorState uint8
+// admissionState tells where a request is, as the door sees it.
+type admissionState uint8
 
 const (
-	doorNone doorState = iota // there is no door, or it is past it for good
-	doorQueued
-	doorInside
+	notInAdmission admissionState = iota // there is no door, or it is past it for good
+	queuedForAdmission
+	admitted
 )
 
 // EnableAdmission puts a door before the router. It comes before the first request.
 func (c *Core) EnableAdmission(cfg admission.Config, seed uint64) {
-	c.door = &fair{config: cfg, door: admission.New(c.doorSettings(cfg), seed)}
+	c.admission = &admissionControl{config: cfg, controller: admission.New(c.admissionSettings(cfg), seed)}
 }
 
 // ReconfigureAdmission takes in other tenants, weights and limits, all at once. What is queued stays.
 func (c *Core) ReconfigureAdmission(cfg admission.Config) {
-	if c.door == nil {
+	if c.admission == nil {
 		return
 	}
-	c.door.config = cfg
-	s := c.doorSettings(cfg)
-	c.tell(admission.Event{Kind: admission.Retuned, Settings: &s})
+	c.admission.config = cfg
+	s := c.admissionSettings(cfg)
+	c.pushAdmission(admission.Event{Kind: admission.Retuned, Settings: &s})
 }
 
-func (c *Core) doorSettings(cfg admission.Config) admission.Settings {
-	routed := c.routed()
+func (c *Core) admissionSettings(cfg admission.Config) admission.Settings {
+	routed := c.routerSettings()
 	classes := make([]admission.Class, len(routed.Classes))
 	for i, class := range routed.Classes {
 		n := len(c.settings.Names)
@@ -57,97 +57,97 @@
 	}})
 }
 
-// tell notes an event for the door.
-func (c *Core) tell(e admission.Event) {
-	c.door.events = append(c.door.events, e)
-	c.rouse()
+// pushAdmission notes an event for the door.
+func (c *Core) pushAdmission(e admission.Event) {
+	c.admission.events = append(c.admission.events, e)
+	c.requestFlush()
 }
 
-// offer brings a request to the door.
-func (c *Core) offer(q *Request, expires time.Duration) {
-	q.door = doorQueued
-	c.tell(admission.Event{Kind: admission.Offered, Request: uint64(q.id), Offer: admission.Offer{
-		Tenant: q.Tenant, Class: q.routed,
-		Group: q.Group, Client: q.Caller, Work: q.ExpectedWork, Expires: expires,
+// offerForAdmission brings a request to the door.
+func (c *Core) offerForAdmission(request *Request, expires time.Duration) {
+	request.admission = queuedForAdmission
+	c.pushAdmission(admission.Event{Kind: admission.Offered, Request: uint64(request.id), Offer: admission.Offer{
+		Tenant: request.Tenant, Class: request.routerClass,
+		Group: request.Group, Client: request.Caller, Work: request.ExpectedWork, Expires: expires,
 	}})
 }
 
-// outside tells the door that a request is over, or that it holds no database up any more.
-func (c *Core) outside(q *Request) {
-	switch q.door {
-	case doorQueued:
-		c.tell(admission.Event{Kind: admission.Left, Request: uint64(q.id)})
-	case doorInside:
-		c.tell(admission.Event{Kind: admission.Ended, Request: uint64(q.id), Outcome: admission.Outcome{Ran: q.ran, Took: q.took}})
+// leaveAdmission tells the door that a request is over, or that it holds no database up any more.
+func (c *Core) leaveAdmission(request *Request) {
+	switch request.admission {
+	case queuedForAdmission:
+		c.pushAdmission(admission.Event{Kind: admission.Left, Request: uint64(request.id)})
+	case admitted:
+		c.pushAdmission(admission.Event{Kind: admission.Ended, Request: uint64(request.id), Outcome: admission.Outcome{Ran: request.mayHaveRun, Took: request.lastDuration}})
 	}
-	q.door = doorNone
+	request.admission = notInAdmission
 }
 
-// learn notes for the door, and for who learns what statements take, how an attempt ended.
-func (c *Core) learn(a *Attempt, status routing.Status, took time.Duration) {
-	q := a.Request
-	if q.CostObserver != nil {
-		c.teach(a, status, took)
+// noteAttemptEnded notes for the door, and for who learns what statements take, how an attempt ended.
+func (c *Core) noteAttemptEnded(attempt *Attempt, status routing.Status, took time.Duration) {
+	request := attempt.Request
+	if request.CostObserver != nil {
+		c.observeCost(attempt, status, took)
 	}
-	if q.door != doorInside {
+	if request.admission != admitted {
 		return
 	}
 	if status == routing.OK || status == routing.TimedOut {
-		q.took = took
+		request.lastDuration = took
 	}
 	if status == routing.NodeOverloaded {
-		c.tell(admission.Event{Kind: admission.Full, Request: uint64(q.id)})
+		c.pushAdmission(admission.Event{Kind: admission.Full, Request: uint64(request.id)})
 	}
-	q.ran = q.ran || !status.NeverRan()
+	request.mayHaveRun = request.mayHaveRun || !status.NeverRan()
 }
 
-// shed tells the door that the router has refused a request as soon as it came: there was no room behind the door.
-func (c *Core) shed(q *Request) {
-	if q.door == doorInside && len(q.attempts) == 0 && c.clock()-q.entered <= c.limits.ShedWithin {
-		c.tell(admission.Event{Kind: admission.Full, Request: uint64(q.id)})
+// noteShedByRouter tells the door that the router has refused a request as soon as it came: there was no room behind the door.
+func (c *Core) noteShedByRouter(request *Request) {
+	if request.admission == admitted && len(request.attempts) == 0 && c.clock()-request.admittedAt <= c.limits.ShedWithin {
+		c.pushAdmission(admission.Event{Kind: admission.Full, Request: uint64(request.id)})
 	}
 }
 
-// advise is the time to come back for a request that the router refuses: at least what the router says, and such that the
+// retryAfter is the time to come back for a request that the router refuses: at least what the router says, and such that the
 // door can keep it.
-func (c *Core) advise(q *Request, least time.Duration) time.Duration {
-	if c.door == nil || q.door != doorInside {
+func (c *Core) retryAfter(request *Request, least time.Duration) time.Duration {
+	if c.admission == nil || request.admission != admitted {
 		return least
 	}
-	return c.door.door.RetryAfter(c.clock(), uint64(q.id), least)
+	return c.admission.controller.RetryAfter(c.clock(), uint64(request.id), least)
 }
 
-// enter hands the door what has come, and lets in or refuses what it says. Those let in are with the router in the
+// stepAdmission hands the door what has come, and lets in or refuses what it says. Those let in are with the router in the
 // same Flush.
-func (c *Core) enter() {
-	f := c.door
+func (c *Core) stepAdmission() {
+	f := c.admission
 	if len(f.events) == 0 {
 		return
 	}
 	events := f.events
 	f.events = f.spare[:0]
 	now := c.clock()
-	f.actions = f.door.Step(now, events, f.actions[:0])
+	f.actions = f.controller.Step(now, events, f.actions[:0])
 	clear(events) // they may hold settings
 	f.spare = events
-	for _, a := range f.actions {
-		if a.Kind == admission.Wake {
-			c.Wheel.At(now+a.After, func() { c.tell(admission.Event{Kind: admission.Woken}) })
+	for _, action := range f.actions {
+		if action.Kind == admission.Wake {
+			c.Wheel.At(now+action.After, func() { c.pushAdmission(admission.Event{Kind: admission.Woken}) })
 			continue
 		}
-		q := c.requests[routing.RequestID(a.Request)]
-		if q == nil || q.door != doorQueued { // its client left in the same batch
+		request := c.requests[routing.RequestID(action.Request)]
+		if request == nil || request.admission != queuedForAdmission { // its client left in the same batch
 			continue
 		}
-		if a.Kind == admission.Admit {
-			q.door, q.routed, q.entered = doorInside, a.Class, now
-			c.arrive(q, q.deadline-now)
+		if action.Kind == admission.Admit {
+			request.admission, request.routerClass, request.admittedAt = admitted, action.Class, now
+			c.forwardToRouter(request, request.deadline-now)
 			continue
 		}
-		q.door = doorNone
-		c.finish(q)
-		q.count.Refused++
-		q.Client.Rejected(a.After)
+		request.admission = notInAdmission
+		c.finish(request)
+		request.answers.Refused++
+		request.Client.Rejected(action.After)
 	}
 }
 
@@ -162,17 +162,17 @@
 
 // Admission returns the figures of the door, nil if there is none.
 func (c *Core) Admission() *AdmissionFigures {
-	if c.door == nil {
+	if c.admission == nil {
 		return nil
 	}
-	d := c.door.door
+	d := c.admission.controller
 	f := &AdmissionFigures{
 		Count: d.Count, Queued: d.Queued(), Tenants: d.Tenants(), Lanes: d.Queues(),
 		Sojourn: map[string]float64{},
 	}
 	f.Tenants = f.Tenants[:min(len(f.Tenants), c.limits.DoorShown)]
-	for name, q := range map[string]float64{"p50": 50, "p99": 99, "max": 100} {
-		f.Sojourn[name] = float64(d.Sojourn.ValueAtQuantile(q)) / 1000
+	for name, quantile := range map[string]float64{"p50": 50, "p99": 99, "max": 100} {
+		f.Sojourn[name] = float64(d.Sojourn.ValueAtQuantile(quantile)) / 1000
 	}
 	return f
 }
--- a/internal/core/blocks.go
+++ b/internal/core/blocks.go
@@ -20,28 +20,28 @@
 
 // Block takes in what is kept off. It holds when this returns, as a ban does, but for no primary's writes any longer.
 func (c *Core) Block(o Blocks) {
-	c.off = o
-	c.lapse.Stop()
+	c.blocks = o
+	c.blocksExpiry.Stop()
 	if now := c.clock(); o.Until > now {
-		c.lapse = c.Wheel.At(o.Until, c.keepOff)
+		c.blocksExpiry = c.Wheel.At(o.Until, c.applyBlocks)
 	}
-	c.keepOff()
+	c.applyBlocks()
 }
 
 // Exclude takes in which databases the operators keep out, each since when. It holds when this returns: what was decided
 // before and is not on its way yet is taken back by the backends.
 func (c *Core) Exclude(bans map[routing.NodeID]time.Duration) {
-	c.banned = bans
-	c.keepOut()
+	c.excludedByOperators = bans
+	c.applyExclusions()
 }
 
-// keepOff hands the router what is kept off now.
-func (c *Core) keepOff() {
+// applyBlocks hands the router what is kept off now.
+func (c *Core) applyBlocks() {
 	now := c.clock()
-	off := c.off.Now
-	if c.lapsed() {
-		off = c.off.Then
-	} else if c.off.All {
+	off := c.blocks.Now
+	if c.blocksExpired() {
+		off = c.blocks.Then
+	} else if c.blocks.All {
 		off = map[routing.NodeID]bool{}
 		for id := range c.members {
 			off[id] = true
@@ -49,40 +49,40 @@
 	}
 	// Against machines that were only kept off for a while, and would be taken for cold as if they had been restarted: in the same
 	// step in which they are let in, they are kept out since this moment.
-	warm := maps.Clone(c.bans)
+	warm := maps.Clone(c.excluded)
 	lifted := false
-	for id := range c.offSince {
+	for id := range c.blockedSince {
 		if off[id] {
 			continue
 		}
-		delete(c.offSince, id)
-		if _, banned := c.banned[id]; !banned && !c.off.Worn[id] {
+		delete(c.blockedSince, id)
+		if _, banned := c.excludedByOperators[id]; !banned && !c.blocks.Worn[id] {
 			warm[id], lifted = now, true
 		}
 	}
 	for id := range off {
-		if _, already := c.offSince[id]; !already {
-			c.offSince[id] = now - c.settings.DrainGrace // no primary's writes go on
+		if _, already := c.blockedSince[id]; !already {
+			c.blockedSince[id] = now - c.settings.DrainGrace // no primary's writes go on
 		}
 	}
 	if lifted {
-		c.push(routing.Event{Kind: routing.ExclusionsChanged, Exclusions: warm})
+		c.pushEvent(routing.Event{Kind: routing.ExclusionsChanged, Exclusions: warm})
 	}
-	c.keepOut()
+	c.applyExclusions()
 }
 
-// keepOut lets the operators' bans and what is kept off hold.
-func (c *Core) keepOut() {
-	all := c.banned
-	if len(c.offSince) > 0 {
-		all = maps.Clone(c.offSince)
-		maps.Copy(all, c.banned)
+// applyExclusions lets the operators' bans and what is kept off hold.
+func (c *Core) applyExclusions() {
+	all := c.excludedByOperators
+	if len(c.blockedSince) > 0 {
+		all = maps.Clone(c.blockedSince)
+		maps.Copy(all, c.excludedByOperators)
 	}
-	if maps.Equal(c.bans, all) {
+	if maps.Equal(c.excluded, all) {
 		return
 	}
-	c.bans = all
-	c.push(routing.Event{Kind: routing.ExclusionsChanged, Exclusions: all})
+	c.excluded = all
+	c.pushEvent(routing.Event{Kind: routing.ExclusionsChanged, Exclusions: all})
 	c.Flush()
 	for _, m := range c.members {
 		if _, banned := all[m.ID]; banned != m.Excluded {
@@ -94,18 +94,18 @@
 	}
 }
 
-func (c *Core) lapsed() bool { return c.off.Until > 0 && c.clock() >= c.off.Until }
+func (c *Core) blocksExpired() bool { return c.blocks.Until > 0 && c.clock() >= c.blocks.Until }
 
-// may tells whether anything may be begun at a database now. Against a process that was not let run for a while, and goes on where
+// mayBegin tells whether anything may be begun at a database now. Against a process that was not let run for a while, and goes on where
 // it was with what is not so any more: its timers come only then. To one that drains goes what was decided on before, or what only
 // it can take, for half of the grace.
-func (c *Core) may(m *Member) bool {
+func (c *Core) mayBegin(m *Member) bool {
 	if m.DrainingSince > 0 && c.clock()-m.DrainingSince >= c.settings.DrainGrace/2 {
 		return false
 	}
-	off := c.off.All || c.off.Now[m.ID]
-	if c.lapsed() {
-		off = c.off.Then[m.ID]
+	off := c.blocks.All || c.blocks.Now[m.ID]
+	if c.blocksExpired() {
+		off = c.blocks.Then[m.ID]
 	}
 	if off {
 		c.Count.KeptOff++
--- a/internal/core/clockoffset.go
+++ b/internal/core/clockoffset.go
@@ -10,28 +10,28 @@
 // The core's clock counts from the wall clock at the start, which may have been wrong. What databases tell of their own
 // time, the positions in answers and reports, shows by how much.
 
-// answered takes in the position that came with an answer.
-func (c *Core) answered(a *Attempt, status routing.Status, note routing.Evidence) {
-	s := clockoffset.Sample{Position: note.Position, Sent: a.Request.attempts[0].sent, Received: c.clock()}
+// sampleAnswer takes in the position that came with an answer.
+func (c *Core) sampleAnswer(attempt *Attempt, status routing.Status, note routing.Evidence) {
+	s := clockoffset.Sample{Position: note.Position, Sent: attempt.Request.attempts[0].sentAt, Received: c.clock()}
 	switch {
 	case status != routing.OK:
-	case a.Request.writes && note.Role != routing.Replica:
+	case attempt.Request.isWrite && note.Role != routing.Replica:
 		// A repeat may be told the commit of the first attempt: that is what Sent is of.
 		s.Kind = clockoffset.Commit
 	case note.Role == routing.Primary:
 		s.Kind = clockoffset.Primary
 	}
-	c.sample(s)
+	c.addClockSample(s)
 }
 
-// reported takes in the position of a report, which is as of some time ago.
-func (c *Core) reported(took time.Duration, report routing.Evidence) {
+// sampleReport takes in the position of a report, which is as of some time ago.
+func (c *Core) sampleReport(took time.Duration, report routing.Evidence) {
 	now := c.clock()
-	c.sample(clockoffset.Sample{Position: report.Position, Sent: now - took, Received: now})
+	c.addClockSample(clockoffset.Sample{Position: report.Position, Sent: now - took, Received: now})
 }
 
-// sample hands the router the estimate of the offset if it has changed, before the outcome that changed it.
-func (c *Core) sample(s clockoffset.Sample) {
+// addClockSample hands the router the estimate of the offset if it has changed, before the outcome that changed it.
+func (c *Core) addClockSample(s clockoffset.Sample) {
 	changed := c.offset.Add(s)
 	c.Count.ClockDissent = c.offset.Dissent()
 	if !changed {
@@ -42,7 +42,7 @@
 	c.Count.ClockUnknown = b.Latest == clockoffset.Unknown
 	c.Count.ClockAhead = b.Earliest.Milliseconds()
 	c.logOffset(b)
-	c.push(routing.Event{Kind: routing.ClockOffset, Clock: b})
+	c.pushEvent(routing.Event{Kind: routing.ClockOffset, Clock: b})
 }
 
 // logOffset logs the estimate, or that there is none, once in a while.
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -8,7 +8,7 @@
 	Gone                           int64 // the client left first
 }
 
-func (a Answers) plus(b Answers) Answers {
+func (a Answers) add(b Answers) Answers {
 	return Answers{
 		Taken: a.Taken + b.Taken, Served: a.Served + b.Served, Refused: a.Refused + b.Refused,
 		Failed: a.Failed + b.Failed, Gone: a.Gone + b.Gone,
@@ -50,8 +50,8 @@
 	}[s]
 }
 
-// answers are the counts of a front and class.
-func (c *Core) answers(front, class string) *Answers {
+// answersOf are the counts of a front and class.
+func (c *Core) answersOf(front, class string) *Answers {
 	classes := c.Count.Fronts[front]
 	if classes == nil {
 		classes = map[string]*Answers{}
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -37,7 +37,7 @@
 }
 
 // Observe lets the figures tell what the router sees.
-func (c *Core) Observe() { c.observed, c.asks = true, map[int]int64{} }
+func (c *Core) Observe() { c.observing, c.requestsByGroup = true, map[int]int64{} }
 
 // publish shows the figures, again and again.
 func (c *Core) publish() {
@@ -50,12 +50,12 @@
 	}
 	for _, classes := range c.Count.Fronts {
 		for name, a := range classes {
-			f.Classes[name] = f.Classes[name].plus(*a)
+			f.Classes[name] = f.Classes[name].add(*a)
 		}
 	}
-	f.Admission, f.Databases, f.Asks, f.Blind = c.Admission(), c.sights(), maps.Clone(c.asks), c.Count.Blind
+	f.Admission, f.Databases, f.Asks, f.Blind = c.Admission(), c.databaseStatuses(), maps.Clone(c.requestsByGroup), c.Count.Blind
 	now := c.clock()
-	if c.ready != nil && !c.stopping && (now >= c.readyBy || c.listed && f.Members > 0 && c.router.HasPrimaries()) {
+	if c.ready != nil && !c.stopping && (now >= c.readyBy || c.listReceived && f.Members > 0 && c.router.HasPrimaries()) {
 		c.ready()
 		c.ready = nil
 	}
@@ -64,16 +64,16 @@
 	c.Wheel.At(now+c.limits.Figures, c.publish)
 }
 
-// sights are what the router sees now; nil where nobody looks.
-func (c *Core) sights() []DatabaseStatus {
-	if !c.observed {
+// databaseStatuses are what the router sees now; nil where nobody looks.
+func (c *Core) databaseStatuses() []DatabaseStatus {
+	if !c.observing {
 		return nil
 	}
 	seen := c.router.NodeStatuses(nil)
 	sights := make([]DatabaseStatus, 0, len(seen))
 	for _, s := range seen {
 		if m := c.members[s.ID]; m != nil {
-			sights = append(sights, DatabaseStatus{NodeStatus: s, Name: m.Name, Group: m.Group, Zone: m.Zone, MayAsk: c.mayAsk(m)})
+			sights = append(sights, DatabaseStatus{NodeStatus: s, Name: m.Name, Group: m.Group, Zone: m.Zone, MayAsk: c.mayProbe(m)})
 		}
 	}
 	return sights
--- a/internal/core/healthcheck.go
+++ b/internal/core/healthcheck.go
@@ -13,22 +13,22 @@
 // that is gone, draining or banned, or to which a probe is out already.
 func (c *Core) ProbeByName(name string) (asked bool) {
 	for id, m := range c.members {
-		if m.Name != name || !c.mayAsk(m) || c.asking[id] {
+		if m.Name != name || !c.mayProbe(m) || c.hintedProbes[id] {
 			continue
 		}
-		if c.asking == nil {
-			c.asking = map[routing.NodeID]bool{}
+		if c.hintedProbes == nil {
+			c.hintedProbes = map[routing.NodeID]bool{}
 		}
-		c.asking[id] = true
+		c.hintedProbes[id] = true
 		c.Count.Probes++
 		c.Count.Asked++
-		c.prober.Probe(m)
+		c.healthChecker.Probe(m)
 		return true
 	}
 	return false
 }
 
-func (c *Core) mayAsk(m *Member) bool {
+func (c *Core) mayProbe(m *Member) bool {
 	return c.settings.CanProbe && m.State == routing.Ready && !m.Excluded
 }
 
@@ -37,9 +37,9 @@
 	if status != routing.OK {
 		c.Count.ProbesFailed++
 	}
-	delete(c.asking, m.ID)
-	c.reported(took, report)
-	c.push(routing.Event{Kind: routing.ProbeDone, Outcome: routing.Outcome{
+	delete(c.hintedProbes, m.ID)
+	c.sampleReport(took, report)
+	c.pushEvent(routing.Event{Kind: routing.ProbeDone, Outcome: routing.Outcome{
 		Node: m.ID, Status: status, Duration: took,
 		Report: report,
 	}})
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -53,30 +53,30 @@
 // LoadKnownMembers takes in the list as it was known before the start.
 func (c *Core) LoadKnownMembers(entries []Member) {
 	c.UpdateMembers(entries, true)
-	c.listed = false
+	c.listReceived = false
 }
 
 // UpdateMembers takes in the whole list, or the entries that changed.
 func (c *Core) UpdateMembers(entries []Member, full bool) {
-	c.listed, c.relisted = true, true
+	c.listReceived, c.listChanged = true, true
 	c.Count.Lists++
 	nodes := make([]routing.Node, 0, len(entries))
 	listed := map[routing.NodeID]bool{}
 	for _, e := range entries {
 		if c.members[e.ID] == nil && len(c.members) >= c.limits.Members { // Against lists that name ever new ones.
-			c.leaveOut(e)
+			c.skipUnlisted(e)
 			continue
 		}
 		listed[e.ID] = true
 		nodes = append(nodes, e.Node)
-		c.change(e)
+		c.updateMember(e)
 	}
 	if full {
 		for id, m := range c.members {
 			if !listed[id] && m.State != routing.Gone {
 				gone := *m
 				gone.State = routing.Gone
-				c.change(gone)
+				c.updateMember(gone)
 			}
 		}
 	}
@@ -84,22 +84,22 @@
 	if full {
 		kind = routing.ListComplete
 	}
-	c.push(routing.Event{Kind: kind, Nodes: nodes})
-	if c.off.All { // what the list has brought, too
-		c.keepOff()
+	c.pushEvent(routing.Event{Kind: kind, Nodes: nodes})
+	if c.blocks.All { // what the list has brought, too
+		c.applyBlocks()
 	}
 }
 
-// leaveOut counts an entry that is not taken in, and logs one in a while.
-func (c *Core) leaveOut(e Member) {
+// skipUnlisted counts an entry that is not taken in, and logs one in a while.
+func (c *Core) skipUnlisted(e Member) {
 	c.Count.Unlisted++
-	if now := c.clock(); c.crowded == 0 || now-c.crowded >= c.limits.LogEvery {
-		c.crowded = now
+	if now := c.clock(); c.unlistedLogged == 0 || now-c.unlistedLogged >= c.limits.LogEvery {
+		c.unlistedLogged = now
 		c.log.Error().Str("database", e.Name).Int("known", len(c.members)).Int64("so_far", c.Count.Unlisted).Msg("the list names too many databases")
 	}
 }
 
-func (c *Core) change(e Member) {
+func (c *Core) updateMember(e Member) {
 	m := c.members[e.ID]
 	if m == nil {
 		m = &Member{}
@@ -107,7 +107,7 @@
 	}
 	since := m.DrainingSince
 	*m = e
-	_, m.Excluded = c.bans[m.ID]
+	_, m.Excluded = c.excluded[m.ID]
 	if m.DrainingSince = 0; e.State == routing.Draining || e.State == routing.Gone && (since > 0 || !c.settings.OnlyDrainingBinds) {
 		m.DrainingSince = cmp.Or(since, c.clock())
 	}
@@ -118,7 +118,7 @@
 
 // forgetGone drops the members that the router has forgotten, which it was told of in this step at the latest.
 func (c *Core) forgetGone() {
-	c.relisted = false
+	c.listChanged = false
 	for id, m := range c.members {
 		if m.State == routing.Gone && !c.router.Knows(id) {
 			delete(c.members, id)
@@ -132,5 +132,5 @@
 // ListFailed tells that a call for the list failed or that the watch broke.
 func (c *Core) ListFailed() {
 	c.Count.ListsFailed++
-	c.push(routing.Event{Kind: routing.ListFailed})
+	c.pushEvent(routing.Event{Kind: routing.ListFailed})
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -58,27 +58,27 @@
 	Tenant       int           // whose it is, and which client's of theirs, for the door
 	Caller       uint64
 
-	id       routing.RequestID
-	deadline time.Duration
-	aim      time.Duration // of its class as it came
-	attempts []*Attempt
-	out      int
-	routed   int // the router's class
-	door     doorState
-	entered  time.Duration // past the door
-	writes   bool          // its class, or its route, is that of writes
-	ran      bool          // an attempt may have run
-	took     time.Duration // the last attempt that was answered, or not in time
-	began    *Attempt      // the attempt whose answer is already on its way to the client
-	done     bool
-	guard    *timerwheel.Timer
-	count    *Answers
+	id               routing.RequestID
+	deadline         time.Duration
+	latencyObjective time.Duration // of its class as it came
+	attempts         []*Attempt
+	inFlight         int
+	routerClass      int // the router's class
+	admission        admissionState
+	admittedAt       time.Duration // past the door
+	isWrite          bool          // its class, or its route, is that of writes
+	mayHaveRun       bool          // an attempt may have run
+	lastDuration     time.Duration // the last attempt that was answered, or not in time
+	answering        *Attempt      // the attempt whose answer is already on its way to the client
+	done             bool
+	overdue          *timerwheel.Timer
+	answers          *Answers
 }
 
 // Open is how many requests await their answer.
 func (c *Core) Open() (n int) {
-	for _, q := range c.requests {
-		if !q.done {
+	for _, request := range c.requests {
+		if !request.done {
 			n++
 		}
 	}
@@ -92,120 +92,120 @@
 }
 
 // Submit takes a request. The answer may come before Submit returns only if there are too many open, or after Abandon.
-func (c *Core) Submit(q *Request) {
-	q.count = c.answers(q.Front, c.settings.Names[q.Class])
-	q.count.Taken++
-	if c.observed {
-		c.asks[q.Group]++
+func (c *Core) Submit(request *Request) {
+	request.answers = c.answersOf(request.Front, c.settings.Names[request.Class])
+	request.answers.Taken++
+	if c.observing {
+		c.requestsByGroup[request.Group]++
 	}
-	if c.ended || len(c.requests) >= c.limits.Requests { // Against tables without bound, and requests that are lost with the program.
-		q.done = true
-		q.count.Refused++
-		q.Client.Rejected(0)
+	if c.closed || len(c.requests) >= c.limits.Requests { // Against tables without bound, and requests that are lost with the program.
+		request.done = true
+		request.answers.Refused++
+		request.Client.Rejected(0)
 		return
 	}
-	c.last++
-	q.id = c.last
-	expires := max(q.TimeLeft-c.limits.Margin, 0)
-	q.deadline, q.aim = c.clock()+expires, c.settings.Classes[q.Class].LatencyObjective
-	c.requests[q.id] = q
-	q.routed, q.writes = c.route(q), c.routesAsWrite(q)
-	c.names[q.Name] = struct{}{}
+	c.lastRequest++
+	request.id = c.lastRequest
+	expires := max(request.TimeLeft-c.limits.Margin, 0)
+	request.deadline, request.latencyObjective = c.clock()+expires, c.settings.Classes[request.Class].LatencyObjective
+	c.requests[request.id] = request
+	request.routerClass, request.isWrite = c.routerClass(request), c.routesAsWrite(request)
+	c.names[request.Name] = struct{}{}
 	// Against a request without an answer, whatever the router or a backend forgets.
-	q.guard = c.Wheel.At(q.deadline+c.limits.Overdue, func() {
-		if !q.done {
+	request.overdue = c.Wheel.At(request.deadline+c.limits.Overdue, func() {
+		if !request.done {
 			c.Count.Overdue++
-			c.log.Error().Uint64("request", uint64(q.id)).Msg("no answer by the deadline")
-			c.finish(q)
-			q.count.Failed++
-			q.Client.Failed(DeadlineExceeded)
-			c.push(routing.Event{Kind: routing.ClientGone, Request: q.id})
+			c.log.Error().Uint64("request", uint64(request.id)).Msg("no answer by the deadline")
+			c.finish(request)
+			request.answers.Failed++
+			request.Client.Failed(DeadlineExceeded)
+			c.pushEvent(routing.Event{Kind: routing.ClientGone, Request: request.id})
 		}
 	})
-	if c.door != nil {
-		c.offer(q, expires)
+	if c.admission != nil {
+		c.offerForAdmission(request, expires)
 		return
 	}
-	c.arrive(q, expires)
-	c.rouse()
+	c.forwardToRouter(request, expires)
+	c.requestFlush()
 }
 
-// arrive hands a request to the router.
-func (c *Core) arrive(q *Request, expires time.Duration) {
-	c.held.Enter(q.id)
-	c.events = append(c.events, routing.Event{Kind: routing.RequestArrived, Request: q.id, Arrival: routing.Arrival{
-		Class: q.routed, Group: q.Group, Session: q.Session, TimeLeft: expires, Work: q.ExpectedWork, LastWrite: q.LastWrite,
+// forwardToRouter hands a request to the router.
+func (c *Core) forwardToRouter(request *Request, expires time.Duration) {
+	c.pending.Enter(request.id)
+	c.events = append(c.events, routing.Event{Kind: routing.RequestArrived, Request: request.id, Arrival: routing.Arrival{
+		Class: request.routerClass, Group: request.Group, Session: request.Session, TimeLeft: expires, Work: request.ExpectedWork, LastWrite: request.LastWrite,
 	}})
 }
 
 // ClientGone tells that the client has gone. Nothing is owed any more; attempts still out are ended.
-func (c *Core) ClientGone(q *Request) {
-	if q.done {
+func (c *Core) ClientGone(request *Request) {
+	if request.done {
 		return
 	}
-	q.count.Gone++
-	c.finish(q)
-	c.push(routing.Event{Kind: routing.ClientGone, Request: q.id})
+	request.answers.Gone++
+	c.finish(request)
+	c.pushEvent(routing.Event{Kind: routing.ClientGone, Request: request.id})
 }
 
-// leaveUnheard ends a request whose client has gone, before its front has heard of that. Against an attempt for a
+// detectClientGone ends a request whose client has gone, before its front has heard of that. Against an attempt for a
 // client whose close lies unread: behind its requests that are read first, or because the process was not let run.
-func (c *Core) leaveUnheard(q *Request) {
-	if q.done {
+func (c *Core) detectClientGone(request *Request) {
+	if request.done {
 		return
 	}
-	if client, ok := q.Client.(Leaver); ok && client.HasLeft() {
-		c.ClientGone(q)
+	if client, ok := request.Client.(Leaver); ok && client.HasLeft() {
+		c.ClientGone(request)
 	}
 }
 
 // AnswerAll gives all that is open its answer, as the program is about to end, and refuses what is submitted from then on. Against
 // requests that are lost with it.
 func (c *Core) AnswerAll() {
-	c.ended = true
-	for _, q := range c.requests {
-		if !q.done {
-			routed := q.door != doorQueued
-			c.finish(q)
-			if len(q.attempts) == 0 { // it never ran, and another pooler may take it
-				q.count.Refused++
-				q.Client.Rejected(0)
+	c.closed = true
+	for _, request := range c.requests {
+		if !request.done {
+			routed := request.admission != queuedForAdmission
+			c.finish(request)
+			if len(request.attempts) == 0 { // it never ran, and another pooler may take it
+				request.answers.Refused++
+				request.Client.Rejected(0)
 			} else {
-				q.count.Failed++
-				q.Client.Failed(ConnectionBroke)
+				request.answers.Failed++
+				request.Client.Failed(ConnectionBroke)
 			}
 			if routed {
-				c.push(routing.Event{Kind: routing.ClientGone, Request: q.id})
+				c.pushEvent(routing.Event{Kind: routing.ClientGone, Request: request.id})
 			}
 		}
 	}
 }
 
-// relieve gives up what waits beyond the bound, from the longest wait on. None of it was sent anywhere, so it is refused.
-func (c *Core) relieve() {
-	for id, over := c.held.Over(c.limits.Held); over; id, over = c.held.Over(c.limits.Held) {
-		q := c.requests[id]
+// shedOldest gives up what waits beyond the bound, from the longest wait on. None of it was sent anywhere, so it is refused.
+func (c *Core) shedOldest() {
+	for id, over := c.pending.Over(c.limits.Held); over; id, over = c.pending.Over(c.limits.Held) {
+		request := c.requests[id]
 		c.Count.Relieved++
-		c.push(routing.Event{Kind: routing.ClientGone, Request: id})
-		c.shed(q)
-		after := c.advise(q, min(q.aim, c.settings.MaxRetryAfter))
-		c.finish(q)
-		q.count.Refused++
-		q.Client.Rejected(after)
+		c.pushEvent(routing.Event{Kind: routing.ClientGone, Request: id})
+		c.noteShedByRouter(request)
+		after := c.retryAfter(request, min(request.latencyObjective, c.settings.MaxRetryAfter))
+		c.finish(request)
+		request.answers.Refused++
+		request.Client.Rejected(after)
 	}
 }
 
-func (c *Core) finish(q *Request) {
-	q.done = true
-	q.guard.Stop()
-	c.held.Leave(q.id)
-	c.outside(q)
-	delete(c.names, q.Name)
-	c.forget(q)
+func (c *Core) finish(request *Request) {
+	request.done = true
+	request.overdue.Stop()
+	c.pending.Leave(request.id)
+	c.leaveAdmission(request)
+	delete(c.names, request.Name)
+	c.release(request)
 }
 
-func (c *Core) forget(q *Request) {
-	if q.done && q.out == 0 {
-		delete(c.requests, q.id)
+func (c *Core) release(request *Request) {
+	if request.done && request.inFlight == 0 {
+		delete(c.requests, request.id)
 	}
 }
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -14,7 +14,7 @@
 	AsLabelled Route = iota
 	AsWrite          // by the primary only, and never again once it may have run
 	AsRead           // by whoever has all that was committed before it came, and again if need be
-	routes
+	routeCount
 )
 
 func (r Route) String() string { return [...]string{"", " as a write", " as a read"}[r] }
@@ -27,37 +27,37 @@
 
 // EnableStatementRouting lets requests be routed otherwise than their classes say. Off, the router knows the classes alone.
 func (c *Core) EnableStatementRouting(on bool) {
-	if on == c.routes {
+	if on == c.statementRouting {
 		return
 	}
-	c.routes = on
-	c.retune()
+	c.statementRouting = on
+	c.pushSettings()
 }
 
-// route is the router's number for the class of a request.
-func (c *Core) route(q *Request) int {
-	if !c.routes {
-		return q.Class
+// routerClass is the router's number for the class of a request.
+func (c *Core) routerClass(request *Request) int {
+	if !c.statementRouting {
+		return request.Class
 	}
-	return q.Class + int(q.Route)*len(c.settings.Classes)
+	return request.Class + int(request.Route)*len(c.settings.Classes)
 }
 
 // routesAsWrite tells whether a request goes to the primary alone, for what it may change there.
-func (c *Core) routesAsWrite(q *Request) bool {
-	if c.routes && q.Route != AsLabelled {
-		return q.Route == AsWrite
+func (c *Core) routesAsWrite(request *Request) bool {
+	if c.statementRouting && request.Route != AsLabelled {
+		return request.Route == AsWrite
 	}
-	return c.settings.Classes[q.Class].Read == routing.Write
+	return c.settings.Classes[request.Class].Read == routing.Write
 }
 
-// teach tells what an attempt took, if it was answered well.
-func (c *Core) teach(a *Attempt, status routing.Status, took time.Duration) {
-	if n := c.out[a.Member.ID] - 1; n > 0 {
-		c.out[a.Member.ID] = n
+// observeCost tells what an attempt took, if it was answered well.
+func (c *Core) observeCost(attempt *Attempt, status routing.Status, took time.Duration) {
+	if n := c.teachingInFlight[attempt.Member.ID] - 1; n > 0 {
+		c.teachingInFlight[attempt.Member.ID] = n
 	} else {
-		delete(c.out, a.Member.ID)
+		delete(c.teachingInFlight, attempt.Member.ID)
 	}
 	if status == routing.OK {
-		a.Request.CostObserver.ObserveCost(took, a.others)
+		attempt.Request.CostObserver.ObserveCost(took, attempt.othersInFlight)
 	}
 }
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -24,7 +24,7 @@
 func (c *Core) Reconfigure(s Settings) {
 	c.Count.Reloads++
 	c.settings = &s
-	c.retune()
+	c.pushSettings()
 }
 
 // ReloadRejected counts a configuration that was not taken.
@@ -32,24 +32,24 @@
 
 // SetRouters takes in how many routers share the databases, in place of the number in the settings; 0 is back to that.
 func (c *Core) SetRouters(routers int) {
-	if routers != c.routers {
-		c.routers = routers
-		c.retune()
+	if routers != c.routerCount {
+		c.routerCount = routers
+		c.pushSettings()
 	}
 }
 
-// routed are the settings as the router has them: with the routers that are there, and with each class as it is, then each as a
+// routerSettings are the settings as the router has them: with the routers that are there, and with each class as it is, then each as a
 // write, then each as a read.
-func (c *Core) routed() routing.Settings {
+func (c *Core) routerSettings() routing.Settings {
 	s := c.settings.Settings
-	if c.routers > 0 {
-		s.Routers = c.routers
+	if c.routerCount > 0 {
+		s.Routers = c.routerCount
 	}
-	if !c.routes {
+	if !c.statementRouting {
 		return s
 	}
-	all := make([]routing.Class, 0, int(routes)*len(s.Classes))
-	for r := AsLabelled; r < routes; r++ {
+	all := make([]routing.Class, 0, int(routeCount)*len(s.Classes))
+	for r := AsLabelled; r < routeCount; r++ {
 		for _, class := range s.Classes {
 			switch r {
 			case AsWrite:
@@ -64,12 +64,12 @@
 	return s
 }
 
-// retune hands the settings as they are to the router and to the door.
-func (c *Core) retune() {
-	s := c.routed()
+// pushSettings hands the settings as they are to the router and to the door.
+func (c *Core) pushSettings() {
+	s := c.routerSettings()
 	c.Count.Routers = s.Routers
-	c.push(routing.Event{Kind: routing.SettingsChanged, Settings: &s})
-	if c.door != nil {
-		c.ReconfigureAdmission(c.door.config)
+	c.pushEvent(routing.Event{Kind: routing.SettingsChanged, Settings: &s})
+	if c.admission != nil {
+		c.ReconfigureAdmission(c.admission.config)
 	}
 }
--- a/internal/core/stall.go
+++ b/internal/core/stall.go
@@ -10,15 +10,15 @@
 // held up, though the client counts from when it sent its request.
 func (c *Core) Unread(read time.Duration) time.Duration {
 	now := c.clock()
-	c.noteStall(now)
+	c.detectStall(now)
 	if read-c.stall.until > c.limits.StallRead {
 		return 0
 	}
 	return now - c.stall.from
 }
 
-// noteStall looks whether a timer that is due has yet to come.
-func (c *Core) noteStall(now time.Duration) {
+// detectStall looks whether a timer that is due has yet to come.
+func (c *Core) detectStall(now time.Duration) {
 	due, ok := c.Wheel.Due()
 	if !ok || now-due <= c.limits.StallLeast {
 		return
