--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -21,20 +21,26 @@
 	WriteBy  time.Duration // it must not be written later than this; 0: at any time; see MaySend
 	Handle   any           // the backend's own
 
-	number         int
+	number         int // of the request's attempts, from 0
 	sentAt         time.Duration
-	firstPieceAt   time.Duration // its answer's first piece; 0 for one that comes whole
-	timer          *timerwheel.Timer
-	othersInFlight int // attempts out at its database when it was sent, of requests that teach
+	firstPieceAt   time.Duration // of its answer; 0 for one that comes whole
+	timeout        *timerwheel.Timer
+	othersInFlight int // at its database when it was sent, of requests with a CostObserver
 	done           bool
-	written        bool // it has been written whole
+	written        bool // it has been handed over for its database, to the last byte
 }
 
+// send begins an attempt. If the request has been answered meanwhile, or nothing may be begun at the database, it ends at
+// once as not sent.
 func (c *Core) send(request *Request, action routing.Action) {
 	now := c.clock()
 	attempt := &Attempt{
-		Request: request, Member: c.members[action.Node], Deadline: request.deadline, WriteBy: action.WriteBy, number: len(request.attempts),
-		sentAt: now,
+		Request:  request,
+		Member:   c.members[action.Node],
+		Deadline: request.deadline,
+		WriteBy:  action.WriteBy,
+		number:   len(request.attempts),
+		sentAt:   now,
 	}
 	if action.Delay > 0 {
 		attempt.Deadline = min(attempt.Deadline, now+action.Delay)
@@ -43,8 +49,8 @@
 	request.inFlight++
 	c.pending.Leave(request.id)
 	if request.CostObserver != nil {
-		attempt.othersInFlight = c.teachingInFlight[action.Node]
-		c.teachingInFlight[action.Node]++
+		attempt.othersInFlight = c.costObserved[action.Node]
+		c.costObserved[action.Node]++
 	}
 	if request.done || request.answering != nil || !c.mayBegin(attempt.Member) {
 		c.Done(attempt, routing.NotSent, routing.Evidence{}, nil)
@@ -54,18 +60,22 @@
 	if c.blocks.Blind[action.Node] && c.blocksExpired() {
 		c.Count.Blind++
 	}
-	// Against peers that are cut off and never close.
-	attempt.timer = c.Wheel.At(attempt.Deadline, func() { c.cancel(attempt, routing.TimedOut) })
+	// The timeout ends attempts at databases that are cut off and never close.
+	attempt.timeout = c.Wheel.At(attempt.Deadline, func() { c.cancel(attempt, routing.TimedOut) })
 	request.Backend.Send(attempt)
 }
 
-// MaySend tells whether an attempt that waited for its connection may still be written: asked as the last thing before its
-// statement goes out. Against a client that has left meanwhile where attempts are not called off, a read sent on a proof that has
-// run out, and a database that has begun to drain.
+// MaySend tells whether an attempt that waited for its connection may still be written; a backend asks as the last thing
+// before the statement goes out. It holds back attempts for a client that has left where attempts cannot be cancelled, reads
+// whose proof of freshness has expired, and attempts at a database that has begun to drain.
 func (c *Core) MaySend(attempt *Attempt) bool {
 	c.detectClientGone(attempt.Request)
 	now := c.clock()
-	return !attempt.done && !attempt.Request.done && now < attempt.Deadline && (attempt.WriteBy == 0 || now <= attempt.WriteBy) && c.mayBegin(attempt.Member)
+	if attempt.done || attempt.Request.done || now >= attempt.Deadline {
+		return false
+	}
+	inTime := attempt.WriteBy == 0 || now <= attempt.WriteBy
+	return inTime && c.mayBegin(attempt.Member)
 }
 
 // Written tells that the last byte of an attempt has been handed over for its database.
@@ -77,14 +87,18 @@
 }
 
 // AnswerStarted tells that the answer of an attempt starts to reach the client: from now on no other attempt can answer
-// the request. It returns false if the request is over and nothing may be passed on.
+// the request, and a hedged one is cancelled, so that it neither ends the answer nor mixes into it. It returns false if the
+// request is over and nothing may be passed on.
 func (c *Core) AnswerStarted(attempt *Attempt) bool {
 	request := attempt.Request
-	if attempt.done || request.done || request.answering != nil {
-		return request.answering == attempt && !attempt.done && !request.done
+	if attempt.done || request.done {
+		return false
+	}
+	if request.answering != nil {
+		return request.answering == attempt
 	}
 	request.answering = attempt
-	for _, other := range request.attempts { // Against a second copy that ends or mixes with the answer.
+	for _, other := range request.attempts {
 		if other != attempt {
 			c.cancel(other, routing.Cancelled)
 		}
@@ -92,89 +106,111 @@
 	return true
 }
 
-// AnswerPiece passes on a piece of a long answer, as Streamer does. With the first one the request is bound to this attempt,
-// and from then on only progress is timed: cut off at the deadline, what the database still gives would be lost.
+// AnswerPiece passes on a piece of a long answer, as StreamingClient.Piece does; room is false if more is called once there
+// is room again, ok is false if nothing may be passed on. With the first piece the request is bound to this attempt, and
+// from then on only progress is timed: cut off at the deadline, what the database still sends would be lost.
 func (c *Core) AnswerPiece(attempt *Attempt, data []byte, more func()) (room, ok bool) {
 	request := attempt.Request
 	if request.answering != attempt && !c.AnswerStarted(attempt) || attempt.done || request.done {
 		return false, false
 	}
-	now := c.clock()
 	if attempt.firstPieceAt == 0 {
-		attempt.firstPieceAt = now
-		request.overdue.Stop()
-		c.pushEvent(routing.Event{Kind: routing.AnswerStarted, Request: request.id, Outcome: routing.Outcome{Attempt: attempt.number}})
-		request.mayHaveRun, request.lastDuration = true, now-attempt.sentAt
-		c.leaveAdmission(request) // what is left is the client's time, not the databases'
-	}
-	silent := func() { // Against a database that stops halfway.
-		attempt.timer.Stop()
-		attempt.timer = c.Wheel.At(min(c.clock()+c.limits.PieceWait, attempt.firstPieceAt+c.limits.AnswerLongest),
-			func() { c.cancel(attempt, routing.TimedOut) })
-	}
-	s, ok := request.Client.(StreamingClient)
-	if !ok || s.Piece(data, func() {
+		c.startStreaming(attempt)
+	}
+	client, ok := request.Client.(StreamingClient)
+	if !ok || client.Piece(data, func() {
 		if !attempt.done {
-			silent()
+			c.awaitPiece(attempt)
 			more()
 		}
 	}) {
-		silent()
+		c.awaitPiece(attempt)
 		return true, true
 	}
-	attempt.timer.Stop() // the client's own progress is timed by its front
-	attempt.timer = c.Wheel.At(attempt.firstPieceAt+c.limits.AnswerLongest, func() { c.cancel(attempt, routing.TimedOut) })
+	attempt.timeout.Stop() // the client's own progress is timed by its front
+	attempt.timeout = c.Wheel.At(attempt.firstPieceAt+c.limits.AnswerLongest,
+		func() { c.cancel(attempt, routing.TimedOut) })
 	return false, true
 }
 
+// startStreaming notes the first piece of an answer. What follows is the client's time, not the databases'.
+func (c *Core) startStreaming(attempt *Attempt) {
+	request := attempt.Request
+	now := c.clock()
+	attempt.firstPieceAt = now
+	request.overdue.Stop()
+	c.pushEvent(routing.Event{
+		Kind:    routing.AnswerStarted,
+		Request: request.id,
+		Outcome: routing.Outcome{Attempt: attempt.number},
+	})
+	request.mayHaveRun, request.lastDuration = true, now-attempt.sentAt
+	c.leaveAdmission(request)
+}
+
+// awaitPiece sets the timeout for the next piece of an answer: a database that stops halfway is given up.
+func (c *Core) awaitPiece(attempt *Attempt) {
+	attempt.timeout.Stop()
+	attempt.timeout = c.Wheel.At(min(c.clock()+c.limits.PieceWait, attempt.firstPieceAt+c.limits.AnswerLongest),
+		func() { c.cancel(attempt, routing.TimedOut) })
+}
+
 // Done ends an attempt. With OK the answer goes to the client, if the request is not over.
-func (c *Core) Done(attempt *Attempt, status routing.Status, note routing.Evidence, answer any) {
+func (c *Core) Done(attempt *Attempt, status routing.Status, evidence routing.Evidence, answer any) {
 	if attempt.done {
 		return
 	}
 	request := attempt.Request
 	attempt.done = true
-	attempt.timer.Stop()
+	attempt.timeout.Stop()
 	request.inFlight--
 	*c.Count.outcome(status)++
 	took := c.clock() - attempt.sentAt
-	if attempt.firstPieceAt > 0 { // what the client took to read is not the database's time
+	if attempt.firstPieceAt > 0 { // the time in which the client reads is not the database's
 		took = attempt.firstPieceAt - attempt.sentAt
 	}
 	c.noteAttemptEnded(attempt, status, took)
-	c.sampleAnswer(attempt, status, note)
+	c.sampleAnswer(attempt, status, evidence)
 	if !request.done {
-		switch {
-		case request.answering != nil && request.answering != attempt: // the answer is another attempt's
-		case status == routing.OK:
-			c.finish(request)
-			request.answers.Served++
-			request.Client.Served(answer)
-		case request.answering != nil: // Against an answer cut halfway being sent again, or shown as whole.
-			c.finish(request)
-			request.answers.Failed++
-			request.Client.Failed(failure(status == routing.TimedOut))
-		}
+		c.answerWith(attempt, status, answer)
 	}
 	c.pushEvent(routing.Event{Kind: routing.AttemptDone, Request: request.id, Outcome: routing.Outcome{
-		Node:    attempt.Member.ID,
-		Attempt: attempt.number, Status: status, Duration: took, Final: request.done, Note: note,
+		Node:     attempt.Member.ID,
+		Attempt:  attempt.number,
+		Status:   status,
+		Duration: took,
+		Final:    request.done,
+		Note:     evidence,
 	}})
 	c.release(request)
 }
 
-// DoneUnusable ends an attempt whose statement the database cannot use, and the request with it. Against a bad client's
-// request being sent again and again, each time at the cost of another database's good name.
-func (c *Core) DoneUnusable(attempt *Attempt, note routing.Evidence) {
-	if request := attempt.Request; !attempt.done && !request.done && (request.answering == nil || request.answering == attempt) {
-		c.finish(request)
-		request.answers.Failed++
-		request.Client.Failed(Unusable)
+// answerWith ends the open request of an attempt that has ended, if the attempt decides it. An answer that was cut halfway
+// is neither sent again nor shown as complete: the request fails.
+func (c *Core) answerWith(attempt *Attempt, status routing.Status, answer any) {
+	request := attempt.Request
+	if request.answering != nil && request.answering != attempt {
+		return
+	}
+	switch {
+	case status == routing.OK:
+		c.serve(request, answer)
+	case request.answering != nil:
+		c.fail(request, failureAt(status == routing.TimedOut))
+	}
+}
+
+// DoneUnusable ends an attempt whose statement the database cannot use, and the request with it: a bad client's request is
+// not sent again and again, each time held against another database.
+func (c *Core) DoneUnusable(attempt *Attempt, evidence routing.Evidence) {
+	request := attempt.Request
+	if !attempt.done && !request.done && (request.answering == nil || request.answering == attempt) {
+		c.fail(request, Unusable)
 	}
-	c.Done(attempt, routing.NodeRejected, note, nil)
+	c.Done(attempt, routing.NodeRejected, evidence, nil)
 }
 
-// cancel ends the wait on an attempt: its connection is closed before anything else is sent for the request.
+// cancel ends the wait for an attempt: its connection is closed before anything else is sent for the request.
 func (c *Core) cancel(attempt *Attempt, status routing.Status) {
 	if attempt.done {
 		return
@@ -183,15 +219,15 @@
 	c.Done(attempt, status, routing.Evidence{}, nil)
 }
 
-// AttemptsInFlight is how many attempts are out at each of some databases.
+// AttemptsInFlight is how many attempts are in flight at each of some databases; those that have none are left out.
 func (c *Core) AttemptsInFlight(at map[routing.NodeID]bool) map[routing.NodeID]int {
-	out := map[routing.NodeID]int{}
+	inFlight := map[routing.NodeID]int{}
 	for _, request := range c.requests {
 		for _, attempt := range request.attempts {
 			if !attempt.done && at[attempt.Member.ID] {
-				out[attempt.Member.ID]++
+				inFlight[attempt.Member.ID]++
 			}
 		}
 	}
-	return out
+	return inFlight
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,8 @@
-// Package core runs the decisions of package choice for requests of any wire. It knows no socket and no
-// protocol: fronts submit requests and get one final answer each; backends carry attempts and report how they
-// ended. One goroutine owns a Core and calls everything in it.
+// Package core runs the routing decisions for requests of any wire protocol. It knows no socket and no protocol: fronts
+// submit requests and get one final answer each; backends carry attempts and report how they ended.
+//
+// One goroutine owns a Core and calls everything in it, but for Core.Figures. What comes in is collected as events; Flush
+// hands them to the router (package routing) in one batch and performs the actions that the router decides on.
 package core
 
 import (
@@ -16,70 +18,99 @@
 	"capercove/routing"
 )
 
-// Core owns the router, the tables and the timers.
+// Core owns the router, the tables of requests and members, and the timers.
 type Core struct {
 	Wheel *timerwheel.Wheel
 	Count Counters
 
-	limits              limits.Limits
-	log                 zerolog.Logger
-	clock               func() time.Duration
-	notifyOwner         func() // asks for a Flush soon
-	flushRequested      bool
-	router              *routing.Router
-	lister              EndpointLister
-	healthChecker       HealthChecker
-	watchers            []Watcher
-	settings            *Settings
-	figures             atomic.Pointer[Figures]
-	excluded            map[routing.NodeID]time.Duration // by the operators, and those that are kept off
-	excludedByOperators map[routing.NodeID]time.Duration // of them, by the operators
+	limits         limits.Limits
+	log            zerolog.Logger
+	clock          func() time.Duration
+	notifyOwner    func() // asks the owner to call Flush soon
+	flushRequested bool
+	closed         bool // no request is accepted any more
+
+	router  *routing.Router
+	events  []routing.Event // for the next Step of the router
+	actions []routing.Action
+	stall   stall // the last one
+
+	// Settings, in settings.go.
+	settings         *Settings
+	statementRouting bool // the router knows each class as a write and as a read too
+	routerCount      int  // poolers that share the databases, as membership tells; 0: as in the settings
+
+	// Requests, in request.go.
+	requests    map[routing.RequestID]*Request
+	names       map[string]struct{} // of the open requests
+	lastRequest routing.RequestID
+	pending     pending.Queue[routing.RequestID] // with the router, and sent nowhere yet
+	admission   *admissionControl                // nil: all requests are forwarded at once
+
+	// costObserved counts the attempts in flight by database, of requests with a CostObserver.
+	costObserved map[routing.NodeID]int
+
+	// The endpoint list, in members.go, and health checks.
+	lister         EndpointLister
+	watchers       []Watcher
+	members        map[routing.NodeID]*Member
+	listReceived   bool          // a list has come from discovery
+	listChanged    bool          // ... since members were last forgotten
+	unlistedLogged time.Duration // when entries that were left out were last logged
+	healthChecker  HealthChecker
+	hintedProbes   map[routing.NodeID]bool // probes in flight that another pooler's hint asked for
+
+	// Exclusions and blocks, in blocks.go: each database with the time since when it is excluded.
+	excluded            map[routing.NodeID]time.Duration // all, as the router was last told
+	excludedByOperators map[routing.NodeID]time.Duration
 	blocks              Blocks
-	blockedSince        map[routing.NodeID]time.Duration // of what is kept off: from when it would have been banned
-	blocksExpiry        *timerwheel.Timer                // of what is known of it
-	requestsByGroup     map[int]int64                    // requests by group, where the figures tell what the router sees
-	ready               func()                           // called once; nil from then on
-	readyBy             time.Duration
-	statementRouting    bool                   // the router knows each class as a write and as a read too
-	teachingInFlight    map[routing.NodeID]int // attempts that are out, of requests that teach
-	listReceived        bool                   // the list has come
-	listChanged         bool                   // ... since members were last forgotten
-	unlistedLogged      time.Duration          // when entries that were left out were last logged
-	stall               stall                  // the last one
-	stopping            bool
-	closed              bool                    // nothing is taken any more
-	observing           bool                    // the figures tell what the router sees
-	routerCount         int                     // that share the databases, as is known of the fleet; 0: as in the settings
-	hintedProbes        map[routing.NodeID]bool // probes that are out on other poolers' word
-	members             map[routing.NodeID]*Member
-	requests            map[routing.RequestID]*Request
-	names               map[string]struct{} // of the open requests
-	lastRequest         routing.RequestID
-	offset              clockoffset.Estimator
-	offsetLogged        time.Duration                    // when a change of its estimate was last logged
-	admission           *admissionControl                // nil: all come in at once
-	pending             pending.Queue[routing.RequestID] // with the router, and sent nowhere yet
-	events              []routing.Event
-	actions             []routing.Action
+	blockedSince        map[routing.NodeID]time.Duration // of the blocked databases, as if they had been excluded
+	blocksExpiry        *timerwheel.Timer
+
+	// The clock offset, in clockoffset.go.
+	offset       clockoffset.Estimator
+	offsetLogged time.Duration // when a change of its estimate was last logged
+
+	// Readiness and figures, in figures.go.
+	ready           func()        // called once; nil from then on
+	readyBy         time.Duration // when ready is called at the latest
+	stopping        bool
+	observing       bool          // the figures tell what the router sees
+	requestsByGroup map[int]int64 // only while observing
+	figures         atomic.Pointer[Figures]
 }
 
 // New returns a core that calls ready once it is able to serve. The clock must be monotonic; it counts from the Unix
-// epoch, as positions do.
-func New(s Settings, seed uint64, l limits.Limits, log zerolog.Logger, clock func() time.Duration, wake, ready func()) *Core {
+// epoch, as replication positions do. The core calls wake when it has something for the next Flush.
+func New(
+	settings Settings, seed uint64, bounds limits.Limits, log zerolog.Logger,
+	clock func() time.Duration, wake, ready func(),
+) *Core {
 	return &Core{
-		Wheel: timerwheel.New(l.Tick, l.Slots, clock()), limits: l, log: log, clock: clock, notifyOwner: wake,
-		router: routing.New(s.Settings, seed), settings: &s, ready: ready, members: map[routing.NodeID]*Member{},
-		teachingInFlight: map[routing.NodeID]int{}, blockedSince: map[routing.NodeID]time.Duration{},
-		requests: map[routing.RequestID]*Request{}, names: map[string]struct{}{},
-		Count: Counters{Fronts: map[string]map[string]*Answers{}, Routers: s.Routers},
+		Wheel:        timerwheel.New(bounds.Tick, bounds.Slots, clock()),
+		Count:        Counters{Fronts: map[string]map[string]*Answers{}, Routers: settings.Routers},
+		limits:       bounds,
+		log:          log,
+		clock:        clock,
+		notifyOwner:  wake,
+		router:       routing.New(settings.Settings, seed),
+		settings:     &settings,
+		requests:     map[routing.RequestID]*Request{},
+		names:        map[string]struct{}{},
+		costObserved: map[routing.NodeID]int{},
+		members:      map[routing.NodeID]*Member{},
+		blockedSince: map[routing.NodeID]time.Duration{},
+		ready:        ready,
 	}
 }
 
-// Attach names who lists, who probes and who is told of members. It comes before the first event.
-func (c *Core) Attach(lister EndpointLister, prober HealthChecker, watchers ...Watcher) {
-	c.lister, c.healthChecker, c.watchers = lister, prober, watchers
+// Attach names who lists the endpoints, who checks their health and who is notified of members. It must be called before
+// the first event.
+func (c *Core) Attach(lister EndpointLister, healthChecker HealthChecker, watchers ...Watcher) {
+	c.lister, c.healthChecker, c.watchers = lister, healthChecker, watchers
 }
 
+// Now returns the time on the core's clock, as a span since the Unix epoch.
 func (c *Core) Now() time.Duration { return c.clock() }
 
 // Start gives the router its first turn; from then on its own timers drive it.
@@ -89,12 +120,20 @@
 	c.publish()
 }
 
-func (c *Core) pushEvent(e routing.Event) {
-	c.events = append(c.events, e)
+// Tick fires the timers that are due.
+func (c *Core) Tick() {
+	now := c.clock()
+	c.detectStall(now)
+	c.Wheel.Advance(now)
+}
+
+// pushEvent queues an event for the router's next Step and requests a Flush.
+func (c *Core) pushEvent(event routing.Event) {
+	c.events = append(c.events, event)
 	c.requestFlush()
 }
 
-// requestFlush asks for a Flush.
+// requestFlush notifies the owner, once until the next Flush.
 func (c *Core) requestFlush() {
 	if !c.flushRequested {
 		c.flushRequested = true
@@ -102,14 +141,7 @@
 	}
 }
 
-// Tick fires the timers that are due.
-func (c *Core) Tick() {
-	now := c.clock()
-	c.detectStall(now)
-	c.Wheel.Advance(now)
-}
-
-// Flush hands the router what has come in and carries out what it decides.
+// Flush hands the router the events that have come in, in one batch, and performs what it decides.
 func (c *Core) Flush() {
 	c.flushRequested = false
 	if c.admission != nil {
@@ -133,6 +165,7 @@
 	c.shedOldest()
 }
 
+// perform carries out one action of the router. Actions for a request that is over, with no attempt in flight, are void.
 func (c *Core) perform(action routing.Action) {
 	switch action.Kind {
 	case routing.Subscribe:
@@ -148,7 +181,7 @@
 	}
 	request := c.requests[action.Request]
 	if request == nil {
-		return // over, and nothing is out for it
+		return
 	}
 	switch action.Kind {
 	case routing.Send:
@@ -156,21 +189,20 @@
 	case routing.Cancel:
 		c.cancel(request.attempts[action.Attempt], routing.Cancelled)
 	case routing.Reject, routing.Fail:
-		if request.done {
-			return
-		}
-		c.noteShedByRouter(request)
-		action.Delay = c.retryAfter(request, action.Delay)
-		c.finish(request)
-		if action.Kind == routing.Reject && request.answering == nil {
-			request.answers.Refused++
-			request.Client.Rejected(action.Delay)
-		} else {
-			request.answers.Failed++
-			request.Client.Failed(failure(c.clock() >= request.deadline))
-		}
+		c.performRejection(request, action)
 	}
 }
 
-// Stopping tells that this process is about to end: it is ready no more.
-func (c *Core) Stopping() { c.stopping = true }
+// performRejection answers a request that the router gives up. One whose answer is on its way to the client can only fail.
+func (c *Core) performRejection(request *Request, action routing.Action) {
+	if request.done {
+		return
+	}
+	c.noteShedByRouter(request)
+	retryAfter := c.retryAfter(request, action.Delay)
+	if action.Kind == routing.Reject && request.answering == nil {
+		c.reject(request, retryAfter)
+	} else {
+		c.fail(request, failureAt(c.clock() >= request.deadline))
+	}
+}
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -78,3 +78,6 @@
 	}
 	return sights
 }
+
+// Stopping tells that this process is about to end: it is ready no more.
+func (c *Core) Stopping() { c.stopping = true }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -10,7 +10,7 @@
 // Client gets the one final answer of a request.
 type Client interface {
 	Served(answer any)            // what the backend reported with the attempt
-	Rejected(after time.Duration) // trying again is harmless, after so long
+	Rejected(after time.Duration) // it never ran: the client may retry after this long
 	Failed(why Failure)
 }
 
@@ -28,14 +28,16 @@
 // Failure tells why a request failed.
 type Failure uint8
 
+// The reasons for which requests fail.
 const (
 	ConnectionBroke  Failure = iota // it may have run
 	DeadlineExceeded                // no answer in time; it may have run
 	Unusable                        // the databases cannot use it
 )
 
-func failure(late bool) Failure {
-	if late {
+// failureAt is why a request failed that may have run, by whether its time is up.
+func failureAt(deadlineExceeded bool) Failure {
+	if deadlineExceeded {
 		return DeadlineExceeded
 	}
 	return ConnectionBroke
@@ -53,26 +55,27 @@
 	Backend      Backend
 	Client       Client
 	Route        Route         // how it is routed, if not as its class says
-	ExpectedWork time.Duration // expected; 0: unknown
-	CostObserver CostObserver  // is told what it took; nil: nobody
-	Tenant       int           // whose it is, and which client's of theirs, for the door
-	Caller       uint64
+	ExpectedWork time.Duration // 0: unknown
+	CostObserver CostObserver  // is notified of what its attempts took; nil: nobody is
+	Tenant       int           // whose it is, for admission control
+	Caller       uint64        // ... and which client of theirs
 
 	id               routing.RequestID
 	deadline         time.Duration
 	latencyObjective time.Duration // of its class as it came
+	routerClass      int           // its class as the router numbers it
+	isWrite          bool          // by its class, or by its route
 	attempts         []*Attempt
-	inFlight         int
-	routerClass      int // the router's class
-	admission        admissionState
-	admittedAt       time.Duration // past the door
-	isWrite          bool          // its class, or its route, is that of writes
-	mayHaveRun       bool          // an attempt may have run
-	lastDuration     time.Duration // the last attempt that was answered, or not in time
-	answering        *Attempt      // the attempt whose answer is already on its way to the client
-	done             bool
+	inFlight         int      // of its attempts
+	answering        *Attempt // the attempt whose answer is already on its way to the client
+	done             bool     // it has its final answer, or needs none
 	overdue          *timerwheel.Timer
-	answers          *Answers
+	answers          *Answers // the counters of its front and class
+
+	admission    admissionState
+	admittedAt   time.Duration
+	mayHaveRun   bool          // one of its attempts may have run
+	lastDuration time.Duration // of the last attempt that was answered, or not in time
 }
 
 // Open is how many requests await their answer.
@@ -91,14 +94,15 @@
 	return open
 }
 
-// Submit takes a request. The answer may come before Submit returns only if there are too many open, or after Abandon.
+// Submit takes a request. The answer comes before Submit returns only if too many are open, or after AnswerAll; either
+// bounds the table, and keeps requests from being lost with the program.
 func (c *Core) Submit(request *Request) {
 	request.answers = c.answersOf(request.Front, c.settings.Names[request.Class])
 	request.answers.Taken++
 	if c.observing {
 		c.requestsByGroup[request.Group]++
 	}
-	if c.closed || len(c.requests) >= c.limits.Requests { // Against tables without bound, and requests that are lost with the program.
+	if c.closed || len(c.requests) >= c.limits.Requests {
 		request.done = true
 		request.answers.Refused++
 		request.Client.Rejected(0)
@@ -106,39 +110,48 @@
 	}
 	c.lastRequest++
 	request.id = c.lastRequest
-	expires := max(request.TimeLeft-c.limits.Margin, 0)
-	request.deadline, request.latencyObjective = c.clock()+expires, c.settings.Classes[request.Class].LatencyObjective
+	timeLeft := max(request.TimeLeft-c.limits.Margin, 0)
+	request.deadline = c.clock() + timeLeft
+	request.latencyObjective = c.settings.Classes[request.Class].LatencyObjective
 	c.requests[request.id] = request
 	request.routerClass, request.isWrite = c.routerClass(request), c.routesAsWrite(request)
 	c.names[request.Name] = struct{}{}
-	// Against a request without an answer, whatever the router or a backend forgets.
-	request.overdue = c.Wheel.At(request.deadline+c.limits.Overdue, func() {
-		if !request.done {
-			c.Count.Overdue++
-			c.log.Error().Uint64("request", uint64(request.id)).Msg("no answer by the deadline")
-			c.finish(request)
-			request.answers.Failed++
-			request.Client.Failed(DeadlineExceeded)
-			c.pushEvent(routing.Event{Kind: routing.ClientGone, Request: request.id})
-		}
-	})
+	request.overdue = c.Wheel.At(request.deadline+c.limits.Overdue, func() { c.failOverdue(request) })
 	if c.admission != nil {
-		c.offerForAdmission(request, expires)
+		c.offerForAdmission(request, timeLeft)
 		return
 	}
-	c.forwardToRouter(request, expires)
+	c.forwardToRouter(request, timeLeft)
 	c.requestFlush()
 }
 
-// forwardToRouter hands a request to the router.
-func (c *Core) forwardToRouter(request *Request, expires time.Duration) {
+// failOverdue ends a request that has no answer some time after its deadline. Every request is answered thereby, whatever
+// the router or a backend forgets.
+func (c *Core) failOverdue(request *Request) {
+	if request.done {
+		return
+	}
+	c.Count.Overdue++
+	c.log.Error().Uint64("request", uint64(request.id)).Msg("no answer by the deadline")
+	c.fail(request, DeadlineExceeded)
+	c.pushEvent(routing.Event{Kind: routing.ClientGone, Request: request.id})
+}
+
+// forwardToRouter hands a request to the router with the next batch. The caller requests the Flush.
+func (c *Core) forwardToRouter(request *Request, timeLeft time.Duration) {
 	c.pending.Enter(request.id)
-	c.events = append(c.events, routing.Event{Kind: routing.RequestArrived, Request: request.id, Arrival: routing.Arrival{
-		Class: request.routerClass, Group: request.Group, Session: request.Session, TimeLeft: expires, Work: request.ExpectedWork, LastWrite: request.LastWrite,
-	}})
+	arrival := routing.Arrival{
+		Class:     request.routerClass,
+		Group:     request.Group,
+		Session:   request.Session,
+		TimeLeft:  timeLeft,
+		Work:      request.ExpectedWork,
+		LastWrite: request.LastWrite,
+	}
+	c.events = append(c.events, routing.Event{Kind: routing.RequestArrived, Request: request.id, Arrival: arrival})
 }
 
-// ClientGone tells that the client has gone. Nothing is owed any more; attempts still out are ended.
+// ClientGone tells that the client has gone. Nothing is owed any more; attempts in flight are cancelled.
 func (c *Core) ClientGone(request *Request) {
 	if request.done {
 		return
@@ -148,8 +161,8 @@
 	c.pushEvent(routing.Event{Kind: routing.ClientGone, Request: request.id})
 }
 
-// detectClientGone ends a request whose client has gone, before its front has heard of that. Against an attempt for a
-// client whose close lies unread: behind its requests that are read first, or because the process was not let run.
+// detectClientGone ends a request whose client has gone, before its front has heard of that. It prevents an attempt for a
+// client whose close lies unread: behind its requests that are read first, or because the process was not scheduled.
 func (c *Core) detectClientGone(request *Request) {
 	if request.done {
 		return
@@ -159,42 +172,64 @@
 	}
 }
 
-// AnswerAll gives all that is open its answer, as the program is about to end, and refuses what is submitted from then on. Against
-// requests that are lost with it.
+// AnswerAll answers all open requests, as the program is about to end and they would be lost with it, and rejects what is
+// submitted from then on. A request that was never sent is rejected, since another pooler may take it.
 func (c *Core) AnswerAll() {
 	c.closed = true
 	for _, request := range c.requests {
-		if !request.done {
-			routed := request.admission != queuedForAdmission
-			c.finish(request)
-			if len(request.attempts) == 0 { // it never ran, and another pooler may take it
-				request.answers.Refused++
-				request.Client.Rejected(0)
-			} else {
-				request.answers.Failed++
-				request.Client.Failed(ConnectionBroke)
-			}
-			if routed {
-				c.pushEvent(routing.Event{Kind: routing.ClientGone, Request: request.id})
-			}
+		if request.done {
+			continue
+		}
+		routerKnows := request.admission != queuedForAdmission
+		if len(request.attempts) == 0 {
+			c.reject(request, 0)
+		} else {
+			c.fail(request, ConnectionBroke)
+		}
+		if routerKnows {
+			c.pushEvent(routing.Event{Kind: routing.ClientGone, Request: request.id})
 		}
 	}
 }
 
-// shedOldest gives up what waits beyond the bound, from the longest wait on. None of it was sent anywhere, so it is refused.
+// shedOldest rejects the pending requests beyond the bound, those that have waited longest first. None of them was sent
+// anywhere.
 func (c *Core) shedOldest() {
-	for id, over := c.pending.Over(c.limits.Held); over; id, over = c.pending.Over(c.limits.Held) {
+	for {
+		id, over := c.pending.Over(c.limits.Held)
+		if !over {
+			return
+		}
 		request := c.requests[id]
 		c.Count.Relieved++
 		c.pushEvent(routing.Event{Kind: routing.ClientGone, Request: id})
 		c.noteShedByRouter(request)
-		after := c.retryAfter(request, min(request.latencyObjective, c.settings.MaxRetryAfter))
-		c.finish(request)
-		request.answers.Refused++
-		request.Client.Rejected(after)
+		c.reject(request, c.retryAfter(request, min(request.latencyObjective, c.settings.MaxRetryAfter)))
 	}
 }
 
+// serve ends a request with its answer.
+func (c *Core) serve(request *Request, answer any) {
+	c.finish(request)
+	request.answers.Served++
+	request.Client.Served(answer)
+}
+
+// reject ends a request that never ran.
+func (c *Core) reject(request *Request, retryAfter time.Duration) {
+	c.finish(request)
+	request.answers.Refused++
+	request.Client.Rejected(retryAfter)
+}
+
+// fail ends a request that may have run, or never can.
+func (c *Core) fail(request *Request, why Failure) {
+	c.finish(request)
+	request.answers.Failed++
+	request.Client.Failed(why)
+}
+
+// finish marks a request as over. It stays in the table while attempts are in flight.
 func (c *Core) finish(request *Request) {
 	request.done = true
 	request.overdue.Stop()
@@ -204,6 +239,7 @@
 	c.release(request)
 }
 
+// release takes a request out of the table if it is over and nothing is in flight for it.
 func (c *Core) release(request *Request) {
 	if request.done && request.inFlight == 0 {
 		delete(c.requests, request.id)
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -52,10 +52,10 @@
 
 // observeCost tells what an attempt took, if it was answered well.
 func (c *Core) observeCost(attempt *Attempt, status routing.Status, took time.Duration) {
-	if n := c.teachingInFlight[attempt.Member.ID] - 1; n > 0 {
-		c.teachingInFlight[attempt.Member.ID] = n
+	if n := c.costObserved[attempt.Member.ID] - 1; n > 0 {
+		c.costObserved[attempt.Member.ID] = n
 	} else {
-		delete(c.teachingInFlight, attempt.Member.ID)
+		delete(c.costObserved, attempt.Member.ID)
 	}
 	if status == routing.OK {
 		attempt.Request.CostObserver.ObserveCost(took, attempt.othersInFlight)
