--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -30,8 +30,8 @@
 	written        bool // it has been handed over for its database, to the last byte
 }
 
-// send begins an attempt. If the request has been answered meanwhile, or nothing may be begun at the database, it ends at
-// once as not sent.
+// send begins an attempt. If the request has been answered meanwhile, or nothing may be begun at the database, it
+// ends at once as not sent.
 func (c *Core) send(request *Request, action routing.Action) {
 	now := c.clock()
 	attempt := &Attempt{
@@ -65,9 +65,9 @@
 	request.Backend.Send(attempt)
 }
 
-// MaySend tells whether an attempt that waited for its connection may still be written; a backend asks as the last thing
-// before the statement goes out. It holds back attempts for a client that has left where attempts cannot be cancelled, reads
-// whose proof of freshness has expired, and attempts at a database that has begun to drain.
+// MaySend tells whether an attempt that waited for its connection may still be written; a backend asks as the last
+// thing before the statement goes out. It holds back attempts for a client that has left where attempts cannot be
+// cancelled, reads whose proof of freshness has expired, and attempts at a database that has begun to drain.
 func (c *Core) MaySend(attempt *Attempt) bool {
 	c.detectClientGone(attempt.Request)
 	now := c.clock()
@@ -86,9 +86,9 @@
 	}
 }
 
-// AnswerStarted tells that the answer of an attempt starts to reach the client: from now on no other attempt can answer
-// the request, and a hedged one is cancelled, so that it neither ends the answer nor mixes into it. It returns false if the
-// request is over and nothing may be passed on.
+// AnswerStarted tells that the answer of an attempt starts to reach the client: from now on no other attempt can
+// answer the request, and a hedged one is cancelled, so that it neither ends the answer nor mixes into it. It returns
+// false if the request is over and nothing may be passed on.
 func (c *Core) AnswerStarted(attempt *Attempt) bool {
 	request := attempt.Request
 	if attempt.done || request.done {
@@ -106,9 +106,10 @@
 	return true
 }
 
-// AnswerPiece passes on a piece of a long answer, as StreamingClient.Piece does; room is false if more is called once there
-// is room again, ok is false if nothing may be passed on. With the first piece the request is bound to this attempt, and
-// from then on only progress is timed: cut off at the deadline, what the database still sends would be lost.
+// AnswerPiece passes on a piece of a long answer, as StreamingClient.Piece does; room is false if more is called once
+// there is room again, ok is false if nothing may be passed on. With the first piece the request is bound to this
+// attempt, and from then on only progress is timed: cut off at the deadline, what the database still sends would be
+// lost.
 func (c *Core) AnswerPiece(attempt *Attempt, data []byte, more func()) (room, ok bool) {
 	request := attempt.Request
 	if request.answering != attempt && !c.AnswerStarted(attempt) || attempt.done || request.done {
@@ -185,8 +186,8 @@
 	c.release(request)
 }
 
-// answerWith ends the open request of an attempt that has ended, if the attempt decides it. An answer that was cut halfway
-// is neither sent again nor shown as complete: the request fails.
+// answerWith ends the open request of an attempt that has ended, if the attempt decides it. An answer that was cut
+// halfway is neither sent again nor shown as complete: the request fails.
 func (c *Core) answerWith(attempt *Attempt, status routing.Status, answer any) {
 	request := attempt.Request
 	if request.answering != nil && request.answering != attempt {
@@ -200,8 +201,8 @@
 	}
 }
 
-// DoneUnusable ends an attempt whose statement the database cannot use, and the request with it: a bad client's request is
-// not sent again and again, each time held against another database.
+// DoneUnusable ends an attempt whose statement the database cannot use, and the request with it: a bad client's
+// request is not sent again and again, each time held against another database.
 func (c *Core) DoneUnusable(attempt *Attempt, evidence routing.Evidence) {
 	request := attempt.Request
 	if !attempt.done && !request.done && (request.answering == nil || request.answering == attempt) {
--- a/internal/core/clockoffset.go
+++ b/internal/core/clockoffset.go
@@ -7,55 +7,60 @@
 	"capercove/routing"
 )
 
-// The core's clock counts from the wall clock at the start, which may have been wrong. What databases tell of their own
-// time, the positions in answers and reports, shows by how much.
+// The core's clock counts from the wall clock at the start, which may have been wrong. The replication positions in
+// answers and load reports, which are times on the databases' clock, show by how much.
 
-// sampleAnswer takes in the position that came with an answer.
-func (c *Core) sampleAnswer(attempt *Attempt, status routing.Status, note routing.Evidence) {
-	s := clockoffset.Sample{Position: note.Position, Sent: attempt.Request.attempts[0].sentAt, Received: c.clock()}
+// sampleAnswer takes in the replication position that came with an answer. The deduplicated retry of a write may be
+// told the commit of the first attempt; its sample therefore begins when that was sent.
+func (c *Core) sampleAnswer(attempt *Attempt, status routing.Status, evidence routing.Evidence) {
+	request := attempt.Request
+	sample := clockoffset.Sample{
+		Position: evidence.Position,
+		Sent:     request.attempts[0].sentAt,
+		Received: c.clock(),
+	}
 	switch {
 	case status != routing.OK:
-	case attempt.Request.isWrite && note.Role != routing.Replica:
-		// A repeat may be told the commit of the first attempt: that is what Sent is of.
-		s.Kind = clockoffset.Commit
-	case note.Role == routing.Primary:
-		s.Kind = clockoffset.Primary
+	case request.isWrite && evidence.Role != routing.Replica:
+		sample.Kind = clockoffset.Commit
+	case evidence.Role == routing.Primary:
+		sample.Kind = clockoffset.Primary
 	}
-	c.addClockSample(s)
+	c.addClockSample(sample)
 }
 
-// sampleReport takes in the position of a report, which is as of some time ago.
+// sampleReport takes in the replication position of a load report, which is as of some time ago.
 func (c *Core) sampleReport(took time.Duration, report routing.Evidence) {
 	now := c.clock()
 	c.addClockSample(clockoffset.Sample{Position: report.Position, Sent: now - took, Received: now})
 }
 
 // addClockSample hands the router the estimate of the offset if it has changed, before the outcome that changed it.
-func (c *Core) addClockSample(s clockoffset.Sample) {
-	changed := c.offset.Add(s)
+func (c *Core) addClockSample(sample clockoffset.Sample) {
+	changed := c.offset.Add(sample)
 	c.Count.ClockDissent = c.offset.Dissent()
 	if !changed {
 		return
 	}
-	b := c.offset.Bounds()
+	bounds := c.offset.Bounds()
 	c.Count.ClockMoves++
-	c.Count.ClockUnknown = b.Latest == clockoffset.Unknown
-	c.Count.ClockAhead = b.Earliest.Milliseconds()
-	c.logOffset(b)
-	c.pushEvent(routing.Event{Kind: routing.ClockOffset, Clock: b})
+	c.Count.ClockUnknown = bounds.Latest == clockoffset.Unknown
+	c.Count.ClockAhead = bounds.Earliest.Milliseconds()
+	c.logOffset(bounds)
+	c.pushEvent(routing.Event{Kind: routing.ClockOffset, Clock: bounds})
 }
 
 // logOffset logs the estimate, or that there is none, once in a while.
-func (c *Core) logOffset(b clockoffset.Bounds) {
+func (c *Core) logOffset(bounds clockoffset.Bounds) {
 	now := c.clock()
 	if c.offsetLogged > 0 && now-c.offsetLogged < c.limits.LogEvery {
 		return
 	}
 	c.offsetLogged = now
-	if b.Latest == clockoffset.Unknown {
+	if bounds.Latest == clockoffset.Unknown {
 		c.log.Warn().Msg("the databases' clock is ahead by an unknown time: no replica counts as fresh")
 		return
 	}
-	c.log.Warn().Dur("ahead_at_least_ms", b.Earliest).Dur("ahead_at_most_ms", b.Latest).
+	c.log.Warn().Dur("ahead_at_least_ms", bounds.Earliest).Dur("ahead_at_most_ms", bounds.Latest).
 		Msg("the databases' clock, estimated anew")
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,8 +1,8 @@
-// Package core runs the routing decisions for requests of any wire protocol. It knows no socket and no protocol: fronts
-// submit requests and get one final answer each; backends carry attempts and report how they ended.
+// Package core runs the routing decisions for requests of any wire protocol. It knows no socket and no protocol:
+// fronts submit requests and get one final answer each; backends carry attempts and report how they ended.
 //
-// One goroutine owns a Core and calls everything in it, but for Core.Figures. What comes in is collected as events; Flush
-// hands them to the router (package routing) in one batch and performs the actions that the router decides on.
+// One goroutine owns a Core and calls everything in it, but for Core.Figures. What comes in is collected as events;
+// Flush hands them to the router (package routing) in one batch and performs the actions that the router decides on.
 package core
 
 import (
@@ -104,8 +104,8 @@
 	}
 }
 
-// Attach names who lists the endpoints, who checks their health and who is notified of members. It must be called before
-// the first event.
+// Attach names who lists the endpoints, who checks their health and who is notified of members. It must be called
+// before the first event.
 func (c *Core) Attach(lister EndpointLister, healthChecker HealthChecker, watchers ...Watcher) {
 	c.lister, c.healthChecker, c.watchers = lister, healthChecker, watchers
 }
@@ -165,7 +165,8 @@
 	c.shedOldest()
 }
 
-// perform carries out one action of the router. Actions for a request that is over, with no attempt in flight, are void.
+// perform carries out one action of the router. Actions for a request that is over, with no attempt in flight, are
+// void.
 func (c *Core) perform(action routing.Action) {
 	switch action.Kind {
 	case routing.Subscribe:
@@ -193,7 +194,8 @@
 	}
 }
 
-// performRejection answers a request that the router gives up. One whose answer is on its way to the client can only fail.
+// performRejection answers a request that the router gives up. One whose answer is on its way to the client can only
+// fail.
 func (c *Core) performRejection(request *Request, action routing.Action) {
 	if request.done {
 		return
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -3,6 +3,7 @@
 import (
 	"maps"
 
+	"capercove/internal/admission"
 	"capercove/routing"
 )
 
@@ -10,17 +11,31 @@
 type Figures struct {
 	Ready                 bool
 	Classes               map[string]Answers // over all fronts
-	Written               int64
-	Pending               int
-	Members, Unavailable  int
-	Reloads, ReloadErrors int64
-	Admission             *AdmissionFigures // nil: there is none
-	Databases             []DatabaseStatus  // nil: not observed, as with the next
-	Asks                  map[int]int64
-	Blind                 int64 // attempts sent to databases that could be at work, as nothing else was left
+	Written               int64              // attempts that were written to databases, to the last byte
+	Pending               int                // requests that await their answer
+	Members, Unavailable  int                // databases of the list; of them, those that the router does not use
+	Reloads, ReloadErrors int64              // configurations taken in; rejected
+	Admission             *AdmissionFigures  // nil: there is no admission control
+	Databases             []DatabaseStatus   // nil unless Observe was called
+	Asks                  map[int]int64      // requests by group; nil unless Observe was called
+	Blind                 int64              // attempts sent to databases in maintenance, as far as known; see Blocks
 }
 
-// DatabaseStatus is what the router holds of a database by its own evidence.
+// AdmissionFigures are what operators are shown of admission control.
+type AdmissionFigures struct {
+	Count   admission.Count
+	Queued  int
+	Sojourn map[string]float64 // quantiles in milliseconds of the requests that waited and were admitted
+	Tenants []admission.TenantFigures
+	Lanes   []admission.QueueFigures
+}
+
+// sojournQuantiles are the percentiles that AdmissionFigures.Sojourn names.
+var sojournQuantiles = map[string]float64{"p50": 50, "p99": 99, "max": 100}
+
+const microsecondsPerMillisecond = 1000
+
+// DatabaseStatus is what the router knows of a database by its own evidence.
 type DatabaseStatus struct {
 	routing.NodeStatus
 	Name        string
@@ -28,56 +43,102 @@
 	MayAsk      bool // a probe may be sent there
 }
 
-// Figures returns the figures as they were a moment ago, to any goroutine.
+// Figures returns the figures as they were last published. Any goroutine may call it.
 func (c *Core) Figures() Figures {
-	if f := c.figures.Load(); f != nil {
-		return *f
+	if published := c.figures.Load(); published != nil {
+		return *published
 	}
 	return Figures{}
 }
 
-// Observe lets the figures tell what the router sees.
+// Observe lets the figures tell what the router knows of databases, and requests by group.
 func (c *Core) Observe() { c.observing, c.requestsByGroup = true, map[int]int64{} }
 
-// publish shows the figures, again and again.
+// Stopping tells that this process is about to end: it is ready no more.
+func (c *Core) Stopping() { c.stopping = true }
+
+// publish replaces the figures, now and from then on at an interval, and looks whether the core has become ready.
 func (c *Core) publish() {
-	f := Figures{
-		Classes: map[string]Answers{}, Written: c.Count.Written, Pending: c.Open(), Members: len(c.Members()),
-		Unavailable: c.router.Unavailable(), Reloads: c.Count.Reloads, ReloadErrors: c.Count.ReloadErrors,
+	figures := Figures{
+		Classes:      c.answersByClass(),
+		Written:      c.Count.Written,
+		Pending:      c.Open(),
+		Members:      len(c.Members()),
+		Unavailable:  c.router.Unavailable(),
+		Reloads:      c.Count.Reloads,
+		ReloadErrors: c.Count.ReloadErrors,
+		Admission:    c.Admission(),
+		Databases:    c.databaseStatuses(),
+		Asks:         maps.Clone(c.requestsByGroup),
+		Blind:        c.Count.Blind,
+	}
+	now := c.clock()
+	if c.ready != nil && !c.stopping {
+		canServe := c.listReceived && figures.Members > 0 && c.router.HasPrimaries()
+		if now >= c.readyBy || canServe {
+			c.ready()
+			c.ready = nil
+		}
 	}
+	figures.Ready = c.ready == nil && figures.Members > 0 && !c.stopping
+	c.figures.Store(&figures)
+	c.Wheel.At(now+c.limits.Figures, c.publish)
+}
+
+// answersByClass sums up the answers of all fronts. Each class of the settings is named, also if nothing has come in
+// it.
+func (c *Core) answersByClass() map[string]Answers {
+	sums := map[string]Answers{}
 	for _, name := range c.settings.Names {
-		f.Classes[name] = Answers{}
+		sums[name] = Answers{}
 	}
 	for _, classes := range c.Count.Fronts {
-		for name, a := range classes {
-			f.Classes[name] = f.Classes[name].add(*a)
+		for name, answers := range classes {
+			sums[name] = sums[name].add(*answers)
 		}
 	}
-	f.Admission, f.Databases, f.Asks, f.Blind = c.Admission(), c.databaseStatuses(), maps.Clone(c.requestsByGroup), c.Count.Blind
-	now := c.clock()
-	if c.ready != nil && !c.stopping && (now >= c.readyBy || c.listReceived && f.Members > 0 && c.router.HasPrimaries()) {
-		c.ready()
-		c.ready = nil
-	}
-	f.Ready = c.ready == nil && f.Members > 0 && !c.stopping
-	c.figures.Store(&f)
-	c.Wheel.At(now+c.limits.Figures, c.publish)
+	return sums
 }
 
-// databaseStatuses are what the router sees now; nil where nobody looks.
+// databaseStatuses are what the router knows of databases now; nil unless they are observed.
 func (c *Core) databaseStatuses() []DatabaseStatus {
 	if !c.observing {
 		return nil
 	}
-	seen := c.router.NodeStatuses(nil)
-	sights := make([]DatabaseStatus, 0, len(seen))
-	for _, s := range seen {
-		if m := c.members[s.ID]; m != nil {
-			sights = append(sights, DatabaseStatus{NodeStatus: s, Name: m.Name, Group: m.Group, Zone: m.Zone, MayAsk: c.mayProbe(m)})
+	nodes := c.router.NodeStatuses(nil)
+	statuses := make([]DatabaseStatus, 0, len(nodes))
+	for _, node := range nodes {
+		member := c.members[node.ID]
+		if member == nil {
+			continue
 		}
+		statuses = append(statuses, DatabaseStatus{
+			NodeStatus: node,
+			Name:       member.Name,
+			Group:      member.Group,
+			Zone:       member.Zone,
+			MayAsk:     c.mayProbe(member),
+		})
 	}
-	return sights
+	return statuses
 }
 
-// Stopping tells that this process is about to end: it is ready no more.
-func (c *Core) Stopping() { c.stopping = true }
+// Admission returns the figures of admission control, nil if there is none.
+func (c *Core) Admission() *AdmissionFigures {
+	if c.admission == nil {
+		return nil
+	}
+	controller := c.admission.controller
+	tenants := controller.Tenants()
+	figures := &AdmissionFigures{
+		Count:   controller.Count,
+		Queued:  controller.Queued(),
+		Sojourn: map[string]float64{},
+		Tenants: tenants[:min(len(tenants), c.limits.DoorShown)],
+		Lanes:   controller.Queues(),
+	}
+	for name, quantile := range sojournQuantiles {
+		figures.Sojourn[name] = float64(controller.Sojourn.ValueAtQuantile(quantile)) / microsecondsPerMillisecond
+	}
+	return figures
+}
--- a/internal/core/healthcheck.go
+++ b/internal/core/healthcheck.go
@@ -6,14 +6,15 @@
 	"capercove/routing"
 )
 
-// HealthChecker asks a database for its report; each call ends with Core.Probed.
+// HealthChecker asks a database for its load report; each call ends with Core.Probed.
 type HealthChecker interface{ Probe(*Member) }
 
-// ProbeByName probes a database that other poolers have a word on. What comes back is evidence like any other; nothing is sent to one
-// that is gone, draining or banned, or to which a probe is out already.
-func (c *Core) ProbeByName(name string) (asked bool) {
-	for id, m := range c.members {
-		if m.Name != name || !c.mayProbe(m) || c.hintedProbes[id] {
+// ProbeByName probes a database of which another pooler has observed something, and tells whether it did. What comes
+// back is evidence like any other. Nothing is sent to a database that is gone, draining or excluded, or that such a
+// probe is in flight to already.
+func (c *Core) ProbeByName(name string) (probed bool) {
+	for id, member := range c.members {
+		if member.Name != name || !c.mayProbe(member) || c.hintedProbes[id] {
 			continue
 		}
 		if c.hintedProbes == nil {
@@ -22,25 +23,27 @@
 		c.hintedProbes[id] = true
 		c.Count.Probes++
 		c.Count.Asked++
-		c.healthChecker.Probe(m)
+		c.healthChecker.Probe(member)
 		return true
 	}
 	return false
 }
 
-func (c *Core) mayProbe(m *Member) bool {
-	return c.settings.CanProbe && m.State == routing.Ready && !m.Excluded
+func (c *Core) mayProbe(member *Member) bool {
+	return c.settings.CanProbe && member.State == routing.Ready && !member.Excluded
 }
 
-// Probed ends a probe.
-func (c *Core) Probed(m *Member, status routing.Status, took time.Duration, report routing.Evidence) {
+// Probed ends a probe. The report is valid with status OK.
+func (c *Core) Probed(member *Member, status routing.Status, took time.Duration, report routing.Evidence) {
 	if status != routing.OK {
 		c.Count.ProbesFailed++
 	}
-	delete(c.hintedProbes, m.ID)
+	delete(c.hintedProbes, member.ID)
 	c.sampleReport(took, report)
 	c.pushEvent(routing.Event{Kind: routing.ProbeDone, Outcome: routing.Outcome{
-		Node: m.ID, Status: status, Duration: took,
-		Report: report,
+		Node:     member.ID,
+		Status:   status,
+		Duration: took,
+		Report:   report,
 	}})
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -8,43 +8,43 @@
 	"capercove/routing"
 )
 
-// EndpointLister keeps the member list coming: each call ends with Core.List or Core.ListFailed.
+// EndpointLister keeps the endpoint list coming: each call ends with Core.UpdateMembers or Core.ListFailed.
 type EndpointLister interface{ Subscribe() }
 
-// Watcher is told of every change of a member before anything is sent under it, and once it is forgotten: if it comes back, it is
-// another Member.
+// Watcher is notified of every change of a member before anything is sent under it, and once it is forgotten: if the
+// database comes back, it is another Member.
 type Watcher interface {
 	Changed(*Member)
 	Forgotten(*Member)
 }
 
-// Member is a database of the list.
+// Member is a database of the endpoint list.
 type Member struct {
 	routing.Node
 	Name, Addr    string
-	Excluded      bool          // by the operators; its primary's writes go on for part of the grace
-	DrainingSince time.Duration // when the list first said that it drains, or is gone for good; 0: it is neither
+	Excluded      bool          // by operators, or blocked; a primary's writes may go on for part of the grace
+	DrainingSince time.Duration // when the list first said that it is draining, or gone for good; 0: it is neither
 }
 
 // Members returns the names of the databases that are not gone, sorted.
 func (c *Core) Members() (names []string) {
-	for _, m := range c.members {
-		if m.State != routing.Gone {
-			names = append(names, m.Name)
+	for _, member := range c.members {
+		if member.State != routing.Gone {
+			names = append(names, member.Name)
 		}
 	}
 	slices.Sort(names)
 	return names
 }
 
-// HasGroup tells whether any list has named a database of the group.
+// HasGroup tells whether any list has named a database of the group. Before the first list, any group may exist.
 func (c *Core) HasGroup(group int) bool {
-	for _, m := range c.members {
-		if m.Group == group {
+	for _, member := range c.members {
+		if member.Group == group {
 			return true
 		}
 	}
-	return len(c.members) == 0 // before the first list none is known to be wrong
+	return len(c.members) == 0
 }
 
 // HasMember tells whether any list has named the database.
@@ -56,80 +56,97 @@
 	c.listReceived = false
 }
 
-// UpdateMembers takes in the whole list, or the entries that changed.
-func (c *Core) UpdateMembers(entries []Member, full bool) {
+// UpdateMembers takes in the complete list, or the entries that changed. New entries beyond the bound are left out.
+func (c *Core) UpdateMembers(entries []Member, complete bool) {
 	c.listReceived, c.listChanged = true, true
 	c.Count.Lists++
 	nodes := make([]routing.Node, 0, len(entries))
 	listed := map[routing.NodeID]bool{}
-	for _, e := range entries {
-		if c.members[e.ID] == nil && len(c.members) >= c.limits.Members { // Against lists that name ever new ones.
-			c.skipUnlisted(e)
+	for _, entry := range entries {
+		if c.members[entry.ID] == nil && len(c.members) >= c.limits.Members {
+			c.skipEntry(entry)
 			continue
 		}
-		listed[e.ID] = true
-		nodes = append(nodes, e.Node)
-		c.updateMember(e)
-	}
-	if full {
-		for id, m := range c.members {
-			if !listed[id] && m.State != routing.Gone {
-				gone := *m
-				gone.State = routing.Gone
-				c.updateMember(gone)
-			}
-		}
+		listed[entry.ID] = true
+		nodes = append(nodes, entry.Node)
+		c.updateMember(entry)
 	}
 	kind := routing.ListUpdated
-	if full {
+	if complete {
 		kind = routing.ListComplete
+		c.markUnlistedGone(listed)
 	}
 	c.pushEvent(routing.Event{Kind: kind, Nodes: nodes})
-	if c.blocks.All { // what the list has brought, too
+	if c.blocks.All { // the members that the list has added are blocked, too
 		c.applyBlocks()
 	}
 }
 
-// skipUnlisted counts an entry that is not taken in, and logs one in a while.
-func (c *Core) skipUnlisted(e Member) {
+// skipEntry counts an entry that is left out, and logs one once in a while.
+func (c *Core) skipEntry(entry Member) {
 	c.Count.Unlisted++
-	if now := c.clock(); c.unlistedLogged == 0 || now-c.unlistedLogged >= c.limits.LogEvery {
-		c.unlistedLogged = now
-		c.log.Error().Str("database", e.Name).Int("known", len(c.members)).Int64("so_far", c.Count.Unlisted).Msg("the list names too many databases")
+	now := c.clock()
+	if c.unlistedLogged > 0 && now-c.unlistedLogged < c.limits.LogEvery {
+		return
+	}
+	c.unlistedLogged = now
+	c.log.Error().Str("database", entry.Name).Int("known", len(c.members)).Int64("so_far", c.Count.Unlisted).
+		Msg("the list names too many databases")
+}
+
+// markUnlistedGone marks the members that a complete list does not name.
+func (c *Core) markUnlistedGone(listed map[routing.NodeID]bool) {
+	for id, member := range c.members {
+		if !listed[id] && member.State != routing.Gone {
+			gone := *member
+			gone.State = routing.Gone
+			c.updateMember(gone)
+		}
 	}
 }
 
-func (c *Core) updateMember(e Member) {
-	m := c.members[e.ID]
-	if m == nil {
-		m = &Member{}
-		c.members[e.ID] = m
+// updateMember takes in an entry of the list. The time since when it is draining, and whether it is excluded, are the
+// core's to know.
+func (c *Core) updateMember(entry Member) {
+	member := c.members[entry.ID]
+	if member == nil {
+		member = &Member{}
+		c.members[entry.ID] = member
 	}
-	since := m.DrainingSince
-	*m = e
-	_, m.Excluded = c.excluded[m.ID]
-	if m.DrainingSince = 0; e.State == routing.Draining || e.State == routing.Gone && (since > 0 || !c.settings.OnlyDrainingBinds) {
-		m.DrainingSince = cmp.Or(since, c.clock())
+	drainingSince := member.DrainingSince
+	*member = entry
+	_, member.Excluded = c.excluded[member.ID]
+	member.DrainingSince = 0
+	goneForGood := entry.State == routing.Gone && (drainingSince > 0 || !c.settings.OnlyDrainingBinds)
+	if entry.State == routing.Draining || goneForGood {
+		member.DrainingSince = cmp.Or(drainingSince, c.clock())
 	}
-	for _, w := range c.watchers {
-		w.Changed(m)
+	c.notifyChanged(member)
+}
+
+// notifyChanged notifies the watchers of a member's change.
+func (c *Core) notifyChanged(member *Member) {
+	for _, watcher := range c.watchers {
+		watcher.Changed(member)
 	}
 }
 
-// forgetGone drops the members that the router has forgotten, which it was told of in this step at the latest.
+// forgetGone drops the gone members that the router has forgotten too. It runs after the router's Step, which was
+// told of the list.
 func (c *Core) forgetGone() {
 	c.listChanged = false
-	for id, m := range c.members {
-		if m.State == routing.Gone && !c.router.Knows(id) {
-			delete(c.members, id)
-			for _, w := range c.watchers {
-				w.Forgotten(m)
-			}
+	for id, member := range c.members {
+		if member.State != routing.Gone || c.router.Knows(id) {
+			continue
+		}
+		delete(c.members, id)
+		for _, watcher := range c.watchers {
+			watcher.Forgotten(member)
 		}
 	}
 }
 
-// ListFailed tells that a call for the list failed or that the watch broke.
+// ListFailed tells that a poll for the list failed or that the watch broke.
 func (c *Core) ListFailed() {
 	c.Count.ListsFailed++
 	c.pushEvent(routing.Event{Kind: routing.ListFailed})
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -16,8 +16,8 @@
 
 // StreamingClient is a client that can take a long answer in pieces. Served or Failed follows the last one.
 type StreamingClient interface {
-	// Piece passes bytes on; they are the callee's only until it returns. If there is no room for more, it returns false
-	// and calls more once, later, when there is.
+	// Piece passes bytes on; they are the callee's only until it returns. If there is no room for more, it returns
+	// false and calls more once, later, when there is.
 	Piece(data []byte, more func()) bool
 }
 
@@ -94,8 +94,8 @@
 	return open
 }
 
-// Submit takes a request. The answer comes before Submit returns only if too many are open, or after AnswerAll; either
-// bounds the table, and keeps requests from being lost with the program.
+// Submit takes a request. The answer comes before Submit returns only if too many are open, or after AnswerAll;
+// either bounds the table, and keeps requests from being lost with the program.
 func (c *Core) Submit(request *Request) {
 	request.answers = c.answersOf(request.Front, c.settings.Names[request.Class])
 	request.answers.Taken++
@@ -125,8 +125,8 @@
 	c.requestFlush()
 }
 
-// failOverdue ends a request that has no answer some time after its deadline. Every request is answered thereby, whatever
-// the router or a backend forgets.
+// failOverdue ends a request that has no answer some time after its deadline. Every request is answered thereby,
+// whatever the router or a backend forgets.
 func (c *Core) failOverdue(request *Request) {
 	if request.done {
 		return
@@ -161,8 +161,9 @@
 	c.pushEvent(routing.Event{Kind: routing.ClientGone, Request: request.id})
 }
 
-// detectClientGone ends a request whose client has gone, before its front has heard of that. It prevents an attempt for a
-// client whose close lies unread: behind its requests that are read first, or because the process was not scheduled.
+// detectClientGone ends a request whose client has gone, before its front has heard of that. It prevents an attempt
+// for a client whose close lies unread: behind its requests that are read first, or because the process was not
+// scheduled.
 func (c *Core) detectClientGone(request *Request) {
 	if request.done {
 		return
@@ -172,8 +173,8 @@
 	}
 }
 
-// AnswerAll answers all open requests, as the program is about to end and they would be lost with it, and rejects what is
-// submitted from then on. A request that was never sent is rejected, since another pooler may take it.
+// AnswerAll answers all open requests, as the program is about to end and they would be lost with it, and rejects
+// what is submitted from then on. A request that was never sent is rejected, since another pooler may take it.
 func (c *Core) AnswerAll() {
 	c.closed = true
 	for _, request := range c.requests {
@@ -192,8 +193,8 @@
 	}
 }
 
-// shedOldest rejects the pending requests beyond the bound, those that have waited longest first. None of them was sent
-// anywhere.
+// shedOldest rejects the pending requests beyond the bound, those that have waited longest first. None of them was
+// sent anywhere.
 func (c *Core) shedOldest() {
 	for {
 		id, over := c.pending.Over(c.limits.Held)
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -6,26 +6,34 @@
 	"capercove/routing"
 )
 
-// Route tells how a request is routed where what it does is not what its class says. Its class's aim, deadline and worth
-// stay, and so does what it is counted as.
+// Route tells how a request is routed where its statement is not what its class says. Its class's latency objective,
+// deadline and weight stay, and so does the class that it is counted under.
 type Route uint8
 
+// The routes of requests.
 const (
-	AsLabelled Route = iota
-	AsWrite          // by the primary only, and never again once it may have run
-	AsRead           // by whoever has all that was committed before it came, and again if need be
+	AsLabelled Route = iota // as its class says
+	AsWrite                 // to the primary only, and never retried once it may have run
+	AsRead                  // to any database that has all that was committed before it came, and retried if need be
 	routeCount
 )
 
+// String is the suffix that tells a class on this route apart from the class itself.
 func (r Route) String() string { return [...]string{"", " as a write", " as a read"}[r] }
 
-// CostObserver is told what the attempts of a request take.
-type CostObserver interface {
-	// ObserveCost tells what one took, beside so many others at its database.
-	ObserveCost(took time.Duration, others int)
+// apply returns a class as it is routed on this route.
+func (r Route) apply(class routing.Class) routing.Class {
+	switch r {
+	case AsWrite:
+		class.Read, class.Effect = routing.Write, routing.NonIdempotent
+	case AsRead:
+		class.Read, class.Effect = routing.FreshRead, routing.Idempotent
+	}
+	return class
 }
 
-// EnableStatementRouting lets requests be routed otherwise than their classes say. Off, the router knows the classes alone.
+// EnableStatementRouting lets requests be routed otherwise than their classes say. While it is off, the router knows
+// the classes alone.
 func (c *Core) EnableStatementRouting(on bool) {
 	if on == c.statementRouting {
 		return
@@ -34,7 +42,7 @@
 	c.pushSettings()
 }
 
-// routerClass is the router's number for the class of a request.
+// routerClass is the router's number for the class of a request, on its route.
 func (c *Core) routerClass(request *Request) int {
 	if !c.statementRouting {
 		return request.Class
@@ -50,12 +58,18 @@
 	return c.settings.Classes[request.Class].Read == routing.Write
 }
 
-// observeCost tells what an attempt took, if it was answered well.
+// CostObserver is notified of what the attempts of a request took.
+type CostObserver interface {
+	// ObserveCost tells what one attempt took, and how many others were in flight at its database when it was sent.
+	ObserveCost(took time.Duration, others int)
+}
+
+// observeCost notifies the request's observer of what an attempt took, if it was answered well.
 func (c *Core) observeCost(attempt *Attempt, status routing.Status, took time.Duration) {
-	if n := c.costObserved[attempt.Member.ID] - 1; n > 0 {
-		c.costObserved[attempt.Member.ID] = n
-	} else {
-		delete(c.costObserved, attempt.Member.ID)
+	database := attempt.Member.ID
+	c.costObserved[database]--
+	if c.costObserved[database] <= 0 {
+		delete(c.costObserved, database)
 	}
 	if status == routing.OK {
 		attempt.Request.CostObserver.ObserveCost(took, attempt.othersInFlight)
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -12,25 +12,27 @@
 	Names []string
 }
 
-// Class returns the number and the settings of a request's class. A class has its number until the next Retune.
+// Class returns the number and the settings of a request's class. A class has its number until the next Reconfigure.
 func (c *Core) Class(name string) (number int, class *routing.Class, known bool) {
-	if number = slices.Index(c.settings.Names, name); number < 0 {
+	number = slices.Index(c.settings.Names, name)
+	if number < 0 {
 		return 0, nil, false
 	}
 	return number, &c.settings.Classes[number], true
 }
 
 // Reconfigure takes in new settings. What was submitted before keeps its class.
-func (c *Core) Reconfigure(s Settings) {
+func (c *Core) Reconfigure(settings Settings) {
 	c.Count.Reloads++
-	c.settings = &s
+	c.settings = &settings
 	c.pushSettings()
 }
 
-// ReloadRejected counts a configuration that was not taken.
+// ReloadRejected counts a configuration that was not taken in.
 func (c *Core) ReloadRejected() { c.Count.ReloadErrors++ }
 
-// SetRouters takes in how many routers share the databases, in place of the number in the settings; 0 is back to that.
+// SetRouters takes in how many poolers share the databases, in place of the number in the settings; 0 returns to
+// that.
 func (c *Core) SetRouters(routers int) {
 	if routers != c.routerCount {
 		c.routerCount = routers
@@ -38,37 +40,31 @@
 	}
 }
 
-// routerSettings are the settings as the router has them: with the routers that are there, and with each class as it is, then each as a
-// write, then each as a read.
+// routerSettings are the settings as the router has them: with the number of poolers that is known, and, if
+// statements are routed, with each class as it is, then each as a write, then each as a read. See routerClass.
 func (c *Core) routerSettings() routing.Settings {
-	s := c.settings.Settings
+	settings := c.settings.Settings
 	if c.routerCount > 0 {
-		s.Routers = c.routerCount
+		settings.Routers = c.routerCount
 	}
 	if !c.statementRouting {
-		return s
+		return settings
 	}
-	all := make([]routing.Class, 0, int(routeCount)*len(s.Classes))
-	for r := AsLabelled; r < routeCount; r++ {
-		for _, class := range s.Classes {
-			switch r {
-			case AsWrite:
-				class.Read, class.Effect = routing.Write, routing.NonIdempotent
-			case AsRead:
-				class.Read, class.Effect = routing.FreshRead, routing.Idempotent
-			}
-			all = append(all, class)
+	classes := make([]routing.Class, 0, int(routeCount)*len(settings.Classes))
+	for route := range routeCount {
+		for _, class := range settings.Classes {
+			classes = append(classes, route.apply(class))
 		}
 	}
-	s.Classes = all
-	return s
+	settings.Classes = classes
+	return settings
 }
 
-// pushSettings hands the settings as they are to the router and to the door.
+// pushSettings hands the settings as they are to the router and to the admission controller.
 func (c *Core) pushSettings() {
-	s := c.routerSettings()
-	c.Count.Routers = s.Routers
-	c.pushEvent(routing.Event{Kind: routing.SettingsChanged, Settings: &s})
+	settings := c.routerSettings()
+	c.Count.Routers = settings.Routers
+	c.pushEvent(routing.Event{Kind: routing.SettingsChanged, Settings: &settings})
 	if c.admission != nil {
 		c.ReconfigureAdmission(c.admission.config)
 	}
--- a/internal/core/stall.go
+++ b/internal/core/stall.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// stall is a span in which the loop was not let run, as a timer that came late has shown.
+// stall is a span in which the loop was not scheduled, as a timer that fired late has shown.
 type stall struct{ from, until time.Duration }
 
-// Unread is how long by now what was read at a time may have waited since it lay in the kernel: since the loop stood
-// still, if that ended just before, else 0. Against a deadline that begins anew when the process goes on after it was
-// held up, though the client counts from when it sent its request.
+// Unread is how long by now what was read at a time may have waited in the kernel: since the loop stalled, if the
+// stall ended just before the read, else 0. It keeps deadlines from beginning anew when the process resumes, since
+// the client counts from when it sent its request.
 func (c *Core) Unread(read time.Duration) time.Duration {
 	now := c.clock()
 	c.detectStall(now)
@@ -17,13 +17,13 @@
 	return now - c.stall.from
 }
 
-// detectStall looks whether a timer that is due has yet to come.
+// detectStall looks whether a timer that is due has yet to fire.
 func (c *Core) detectStall(now time.Duration) {
 	due, ok := c.Wheel.Due()
 	if !ok || now-due <= c.limits.StallLeast {
 		return
 	}
-	if due > c.stall.until { // else the same one goes on
+	if due > c.stall.until { // else the same stall goes on
 		c.stall.from = due
 	}
 	c.stall.until = now
