--- a/internal/pending/pending.go
+++ b/internal/pending/pending.go
@@ -1,55 +1,62 @@
-// Package pending bounds how many requests wait at a pooler without having been sent anywhere. Each keeps its caller's
-// connection, of which callers have only so many: while a group has no primary, the writes that wait for one would
-// leave none for requests that can be served. It is pure: no clock, no I/O.
+// Package pending bounds how many requests wait at a pooler without having been sent anywhere. Each occupies its
+// client's connection, of which clients have only so many: while a group has no primary, the writes that wait for one
+// would leave none for requests that can be served. It is pure: no clock, no I/O.
 package pending
 
 import "slices"
 
-const few = 64 // places that may be wasted
+// slack is how many places of elements that have left the order may keep, beyond as many as there are elements
+// waiting.
+const slack = 64
 
-// Queue holds what waits, in the order in which it came. The zero value is empty.
+// Queue holds the elements that wait, in the order in which they came. The zero value is empty.
 type Queue[T comparable] struct {
-	order []T
-	waits map[T]struct{}
+	order   []T // also some elements that have left
+	waiting map[T]struct{}
 }
 
-// Enter adds one.
-func (q *Queue[T]) Enter(one T) {
-	if q.waits == nil {
-		q.waits = map[T]struct{}{}
+// Enter adds an element.
+func (q *Queue[T]) Enter(element T) {
+	if q.waiting == nil {
+		q.waiting = map[T]struct{}{}
 	}
-	q.waits[one] = struct{}{}
-	q.order = append(q.order, one)
+	q.waiting[element] = struct{}{}
+	q.order = append(q.order, element)
 }
 
-// Leave takes one out that has been sent or is over; one that is not there is no error.
-func (q *Queue[T]) Leave(one T) {
-	delete(q.waits, one)
-	if len(q.order) <= 2*len(q.waits)+few {
+// Leave takes an element out that has been sent or is over; one that is not in the queue is no error. It drops the
+// places of elements that have left once there are many, so that they don't pile up behind one that stays.
+func (q *Queue[T]) Leave(element T) {
+	delete(q.waiting, element)
+	if len(q.order) <= 2*len(q.waiting)+slack {
 		return
 	}
-	// Against places of those that have left, behind one that stays.
-	q.order = slices.DeleteFunc(q.order, func(one T) bool { _, waits := q.waits[one]; return !waits })
+	q.order = slices.DeleteFunc(q.order, func(element T) bool { return !q.waits(element) })
+}
+
+func (q *Queue[T]) waits(element T) bool {
+	_, waits := q.waiting[element]
+	return waits
 }
 
 // Kept is how many places the queue takes up: at most some more than twice those that wait.
 func (q *Queue[T]) Kept() int { return len(q.order) }
 
-// Len is how many wait.
-func (q *Queue[T]) Len() int { return len(q.waits) }
+// Len is how many elements wait.
+func (q *Queue[T]) Len() int { return len(q.waiting) }
 
-// Over takes out and returns the one that has waited longest, if more than most wait. That one is given up first: the newest
-// may still be answered within the time that it is wanted in, and those that were there before it are the nearest to
-// being given up anyway.
-func (q *Queue[T]) Over(most int) (one T, over bool) {
-	if len(q.waits) <= most {
-		return one, false
+// Over takes out and returns the element that has waited longest, if more than limit wait. That one is given up
+// first: the newest may still be answered in time, and those that were there before it are the nearest to their
+// deadline anyway.
+func (q *Queue[T]) Over(limit int) (oldest T, over bool) {
+	if len(q.waiting) <= limit {
+		return oldest, false
 	}
 	for {
-		one, q.order = q.order[0], q.order[1:]
-		if _, waits := q.waits[one]; waits {
-			q.Leave(one)
-			return one, true
+		oldest, q.order = q.order[0], q.order[1:]
+		if q.waits(oldest) {
+			q.Leave(oldest)
+			return oldest, true
 		}
 	}
 }
