--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,5 +1,5 @@
-// Package tenant tells by the operators' rules who a request is of. It is a table that is made once and looked up; a
-// change of the rules is a new table.
+// Package tenant tells by the operators' rules whose a request is. The rules are a table that is made once and looked
+// up; a change of the rules is a new table.
 package tenant
 
 import (
@@ -31,96 +31,127 @@
 	Class                       string
 	Address                     netip.Addr
 	Connection                  uint64                   // its number; 0: none
-	Comment                     func(name string) string // nil: the request has none
-	Header                      func(name string) string
+	Comment                     func(name string) string // the value of a name in it; nil: the request has none
+	Header                      func(name string) string // ... in the call's headers
 }
 
 // Rules tell a caller's tenant.
 type Rules struct{ rules []rule }
 
+// rule is a Rule with its texts parsed.
 type rule struct {
 	Rule
-	number         int
-	addresses      netip.Prefix
-	comment, value string
-	header, is     string
+	tenant          int // its number
+	comment, header pair
+	addresses       netip.Prefix // not valid: any
 }
 
+// pair is a name with the pattern that its value has to match.
+type pair struct{ name, pattern string }
+
 var fronts = map[string]bool{"": true, "postgres": true, "flight": true, "pcap": true}
 
 // New makes rules for tenants of these names. The error names the key at fault, such as rules[2].address.
 func New(names []string, list []Rule) (*Rules, error) {
-	numbers := map[string]int{}
+	tenants := map[string]int{}
 	for i, name := range names {
-		numbers[name] = i
+		tenants[name] = i
 	}
-	r := &Rules{}
-	for i, from := range list {
-		key := fmt.Sprintf("rules[%d]", i)
-		number, known := numbers[from.Tenant]
-		if !known {
-			return nil, tables.Bad(key+".tenant", "no tenant is named %q", from.Tenant)
-		}
-		made := rule{Rule: from, number: number}
-		var ok bool
-		if made.comment, made.value, ok = strings.Cut(from.Comment, "="); from.Comment != "" && !ok {
-			return nil, tables.Bad(key+".comment", "%q is not name=value", from.Comment)
-		}
-		if made.header, made.is, ok = strings.Cut(from.Header, "="); from.Header != "" && !ok {
-			return nil, tables.Bad(key+".header", "%q is not name=value", from.Header)
-		}
-		if !fronts[from.Front] {
-			return nil, tables.Bad(key+".front", "%q is not postgres, flight or pcap", from.Front)
+	rules := &Rules{}
+	for i, written := range list {
+		parsed, err := parse(fmt.Sprintf("rules[%d]", i), written, tenants)
+		if err != nil {
+			return nil, err
 		}
-		if from.Address != "" {
-			one, err := netip.ParseAddr(from.Address)
-			if err == nil {
-				made.addresses, err = one.Prefix(one.BitLen())
-			} else {
-				made.addresses, err = netip.ParsePrefix(from.Address)
-			}
-			if err != nil {
-				return nil, tables.Bad(key+".address", "%v", err)
-			}
-		}
-		if (Rule{Tenant: from.Tenant}) == from {
-			return nil, tables.Bad(key, "has no condition")
-		}
-		r.rules = append(r.rules, made)
+		rules.rules = append(rules.rules, parsed)
+	}
+	return rules, nil
+}
+
+// parse reads the rule of a key, given the tenants' numbers by name.
+func parse(key string, written Rule, tenants map[string]int) (rule, error) {
+	tenant, known := tenants[written.Tenant]
+	if !known {
+		return rule{}, tables.Bad(key+".tenant", "no tenant is named %q", written.Tenant)
+	}
+	parsed := rule{Rule: written, tenant: tenant}
+	var err error
+	if parsed.comment, err = parsePair(key+".comment", written.Comment); err != nil {
+		return rule{}, err
+	}
+	if parsed.header, err = parsePair(key+".header", written.Header); err != nil {
+		return rule{}, err
+	}
+	if !fronts[written.Front] {
+		return rule{}, tables.Bad(key+".front", "%q is not postgres, flight or pcap", written.Front)
+	}
+	if parsed.addresses, err = parseAddresses(written.Address); err != nil {
+		return rule{}, tables.Bad(key+".address", "%v", err)
+	}
+	if (Rule{Tenant: written.Tenant}) == written {
+		return rule{}, tables.Bad(key, "has no condition")
 	}
-	return r, nil
+	return parsed, nil
+}
+
+// parsePair reads name=value; an empty text is no condition.
+func parsePair(key, text string) (pair, error) {
+	name, pattern, ok := strings.Cut(text, "=")
+	if text != "" && !ok {
+		return pair{}, tables.Bad(key, "%q is not name=value", text)
+	}
+	return pair{name, pattern}, nil
+}
+
+// parseAddresses reads an address or a range of them; an empty text is no condition.
+func parseAddresses(text string) (netip.Prefix, error) {
+	if text == "" {
+		return netip.Prefix{}, nil
+	}
+	if address, err := netip.ParseAddr(text); err == nil {
+		return address.Prefix(address.BitLen())
+	}
+	return netip.ParsePrefix(text)
 }
 
 // Of returns the number of a caller's tenant: of the first rule that matches, or 0.
-func (r *Rules) Of(c *Caller) int {
+func (r *Rules) Of(caller *Caller) int {
 	for i := range r.rules {
-		if r.rules[i].matches(c) {
-			return r.rules[i].number
+		if r.rules[i].matches(caller) {
+			return r.rules[i].tenant
 		}
 	}
 	return 0
 }
 
-func (r *rule) matches(c *Caller) bool {
-	return (r.Front == "" || r.Front == c.Front) && match(r.User, c.User) && match(r.Application, c.Application) &&
-		match(r.Database, c.Database) && match(r.Class, c.Class) && told(r.comment, r.value, c.Comment) &&
-		told(r.header, r.is, c.Header) && (!r.addresses.IsValid() || r.addresses.Contains(c.Address.Unmap()))
+func (r *rule) matches(caller *Caller) bool {
+	return (r.Front == "" || r.Front == caller.Front) &&
+		matchText(r.User, caller.User) &&
+		matchText(r.Application, caller.Application) &&
+		matchText(r.Database, caller.Database) &&
+		matchText(r.Class, caller.Class) &&
+		r.comment.matches(caller.Comment) &&
+		r.header.matches(caller.Header) &&
+		(!r.addresses.IsValid() || r.addresses.Contains(caller.Address.Unmap()))
 }
 
-func match(pattern, s string) bool {
-	if start, any := strings.CutSuffix(pattern, "*"); any {
-		return strings.HasPrefix(s, start)
-	}
-	return pattern == "" || pattern == s
-}
-
-func told(name, value string, by func(string) string) bool {
-	if name == "" {
+// matches looks the name up. A value that is not there, or is empty, matches no pattern.
+func (p pair) matches(lookup func(name string) string) bool {
+	if p.name == "" {
 		return true
 	}
-	if by == nil {
+	if lookup == nil {
 		return false
 	}
-	v := by(name)
-	return v != "" && match(value, v)
+	value := lookup(p.name)
+	return value != "" && matchText(p.pattern, value)
+}
+
+// matchText tells whether a text is the pattern, or begins with it if that ends in an asterisk. An empty pattern
+// matches all.
+func matchText(pattern, text string) bool {
+	if start, isPrefix := strings.CutSuffix(pattern, "*"); isPrefix {
+		return strings.HasPrefix(text, start)
+	}
+	return pattern == "" || pattern == text
 }
