--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,5 +1,6 @@
-// Package intake makes requests of what fronts have read off their wires: one pipeline for PostgreSQL, Arrow Flight SQL
-// and replayed files. A front parses; what a statement asks for, and of which class and group it is, is told here.
+// Package intake makes requests of what fronts have read off their wires: one pipeline for PostgreSQL, Arrow Flight
+// SQL and replayed files. A front parses its wire; the intake checks the class, group and id, classifies the tenant,
+// and routes by the statement where its label is not to be believed.
 package intake
 
 import (
@@ -25,14 +26,15 @@
 	SQL      string
 	Label    int           // where its comment with the label begins; 0: the label came otherwise
 	Update   bool          // the wire itself says that it writes
-	Caller   tenant.Caller // who asks; looked at only if Sorts
+	Caller   tenant.Caller // who asks; looked at only if ClassifiesTenants
 	Payload  any           // for the backend
 	Backend  core.Backend
 }
 
-// Field names the part of an Ask that is at fault; each wire has its own word for it.
+// Field names the part of an Input that is at fault; each wire has its own word for it.
 type Field uint8
 
+// The parts of an Input that may be at fault.
 const (
 	FieldID Field = iota
 	FieldClass
@@ -40,7 +42,7 @@
 	FieldLabel // the comment that holds all of them
 )
 
-// Problem tells why an Ask is not to be taken. Asking it again brings no other answer.
+// Problem tells why an Input is rejected. The same one is rejected every time.
 type Problem struct {
 	Field Field
 	Why   string
@@ -49,16 +51,17 @@
 // Intake belongs to the core's goroutine.
 type Intake struct {
 	core   *core.Core
-	rules  *tenant.Rules // nil: nobody asks whose requests are
+	rules  *tenant.Rules // nil: tenants are not classified
 	client ClientKind
-	reader *reader // nil: labels are believed
+	reader *statementReader // nil: labels are believed
 }
 
 // ClientKind is what tells the clients of a tenant apart.
 type ClientKind string
 
+// The kinds of clients; the texts are those of the operators' file.
 const (
-	ByKey        ClientKind = "key" // the session's; in classes that have none, where a key names no client, as ByConnection
+	ByKey        ClientKind = "key" // the session's; in classes where a key names no client, as ByConnection
 	ByAddress    ClientKind = "address"
 	ByConnection ClientKind = "connection"
 	ByUser       ClientKind = "user"
@@ -67,41 +70,57 @@
 // New returns an intake for requests of a core.
 func New(c *core.Core) *Intake { return &Intake{core: c} }
 
-// Request makes a request that awaits only its client, or tells what is wrong.
-func (in *Intake) Request(a *Input) (*core.Request, *Problem) {
-	number, class, known := in.core.Class(a.Class)
-	switch {
-	case !known:
+// Request makes a request that lacks only its client, or tells what is wrong.
+func (in *Intake) Request(input *Input) (*core.Request, *Problem) {
+	number, class, known := in.core.Class(input.Class)
+	if !known {
 		return nil, &Problem{FieldClass, "unknown class"}
-	case a.ID == "":
-		return nil, &Problem{FieldID, "missing"}
-	case !a.HasGroup:
-		return nil, &Problem{FieldGroup, "no cluster is named"}
-	case !in.core.HasGroup(a.Group):
-		return nil, &Problem{FieldGroup, "unknown cluster"}
-	case in.core.IsOpen(a.ID): // Against two answers of one name: the client could not tell them apart.
-		return nil, &Problem{FieldID, "a request of this id is open"}
 	}
-	q := &core.Request{
-		Front: a.Front, Name: a.ID, Class: number, Group: a.Group, TimeLeft: a.Wait, LastWrite: a.After,
-		Payload: a.Payload, Backend: a.Backend,
+	if problem := in.check(input); problem != nil {
+		return nil, problem
+	}
+	request := &core.Request{
+		Front:     input.Front,
+		Name:      input.ID,
+		Class:     number,
+		Group:     input.Group,
+		TimeLeft:  input.Wait,
+		LastWrite: input.After,
+		Payload:   input.Payload,
+		Backend:   input.Backend,
 	}
-	if q.TimeLeft == 0 {
-		q.TimeLeft = class.Deadline
+	if request.TimeLeft == 0 {
+		request.TimeLeft = class.Deadline
 	}
 	if class.Read == routing.Write || class.Read == routing.SessionRead {
-		q.Session = a.Key
+		request.Session = input.Key
 	}
 	if in.reader != nil {
-		if problem := in.read(a, class, q); problem != nil {
+		if problem := in.routeByStatement(input, class, request); problem != nil {
 			return nil, problem
 		}
 	}
 	if in.rules != nil {
-		a.Caller.Front, a.Caller.Class = a.Front, a.Class
-		q.Tenant, q.Caller = in.rules.Of(&a.Caller), in.callerOf(a, q)
+		input.Caller.Front, input.Caller.Class = input.Front, input.Class
+		request.Tenant, request.Caller = in.rules.Of(&input.Caller), in.callerOf(input, request)
+	}
+	return request, nil
+}
+
+// check tells what is wrong with the id or the group. Two open requests of one id are not allowed, since the client
+// could not tell their answers apart.
+func (in *Intake) check(input *Input) *Problem {
+	switch {
+	case input.ID == "":
+		return &Problem{FieldID, "missing"}
+	case !input.HasGroup:
+		return &Problem{FieldGroup, "no cluster is named"}
+	case !in.core.HasGroup(input.Group):
+		return &Problem{FieldGroup, "unknown cluster"}
+	case in.core.IsOpen(input.ID):
+		return &Problem{FieldID, "a request of this id is open"}
 	}
-	return q, nil
+	return nil
 }
 
 // ClassifyTenants lets requests be told apart by tenants and clients, from now on by these rules.
@@ -112,16 +131,19 @@
 // ClassifiesTenants tells whether requests are told apart: fronts then say who calls.
 func (in *Intake) ClassifiesTenants() bool { return in.rules != nil }
 
-// callerOf numbers the client of a request. It need not be told apart from others for certain.
-func (in *Intake) callerOf(a *Input, q *core.Request) uint64 {
+// callerOf numbers the client of a request. Two clients may have the same number, if rarely.
+func (in *Intake) callerOf(input *Input, request *core.Request) uint64 {
+	caller := &input.Caller
 	switch {
-	case in.client == ByKey && q.Session != 0:
-		return q.Session
+	case in.client == ByKey && request.Session != 0:
+		return request.Session
 	case in.client == ByUser:
-		return xxh3.HashString(a.Caller.User)
-	case in.client != ByAddress && a.Caller.Connection != 0 || !a.Caller.Address.IsValid():
-		return a.Caller.Connection
+		return xxh3.HashString(caller.User)
+	case in.client != ByAddress && caller.Connection != 0:
+		return caller.Connection
+	case !caller.Address.IsValid():
+		return caller.Connection
 	}
-	address := a.Caller.Address.As16()
+	address := caller.Address.As16()
 	return xxh3.Hash(address[:])
 }
--- a/internal/intake/reader.go
+++ b/internal/intake/reader.go
@@ -1,6 +1,7 @@
 package intake
 
 import (
+	"maps"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -10,121 +11,146 @@
 	"capercove/routing"
 )
 
-// reader reads the statements themselves, where the label is not to be believed.
-type reader struct {
-	config   statement.Config
-	analyser *statement.Analyser
-	shapes   *statement.Fingerprints
-	log      zerolog.Logger
-	every    time.Duration // at most one line in so long
-	logged   time.Duration
-	count    Readings
+// statementReader analyses the statements themselves, where their labels are not to be believed.
+type statementReader struct {
+	config       statement.Config
+	analyser     *statement.Analyser
+	fingerprints *statement.Fingerprints
+	log          zerolog.Logger
+	logInterval  time.Duration // at most one line in so long
+	lastLogged   time.Duration
+	count        Readings
 }
 
-// Readings count what was read.
+// Readings count the statements that were analysed. Operators are shown them under the names of the fields.
 type Readings struct {
-	Read       int64            // statements
+	Read       int64
 	Kinds      map[string]int64 // of them, by kind
 	MayWrite   int64            // labelled as reads, that may write
 	OnlyRead   int64            // labelled as writes, that surely read
-	Forged     int64            // whose comment with the label is not one, but a part of a string or of another comment
+	Forged     int64            // whose comment with the label is a part of a string or of another comment
 	Unreadable int64
 	ToPrimary  int64 // routed otherwise than labelled: as writes
 	ToReplicas int64 // ... as reads
 
-	Shapes, Bytes         int
-	Hits, Misses, Evicted int64
+	Shapes, Bytes         int   // fingerprints in the cache, and what they take up
+	Hits, Misses, Evicted int64 // of the cache
 }
 
-// Statements lets statements be read from now on by these rules, in a cache of so many bytes; with mode off they are not.
-// What is known of shapes stays.
-func (in *Intake) Statements(c statement.Config, bytes int, seed uint64, every time.Duration, log zerolog.Logger) {
-	in.core.EnableStatementRouting(c.Enforced())
-	if !c.On() {
+// Statements lets statements be analysed from now on by these rules, with a cache of so many bytes for their
+// fingerprints and at most one logged disagreement in an interval; with mode off they are not analysed. The cache is
+// kept if there is one.
+func (in *Intake) Statements(
+	config statement.Config, cacheBytes int, seed uint64, logInterval time.Duration, log zerolog.Logger,
+) {
+	in.core.EnableStatementRouting(config.Enforced())
+	if !config.On() {
 		in.reader = nil
 		return
 	}
 	if in.reader == nil {
-		in.reader = &reader{
-			shapes: statement.NewFingerprints(bytes, seed), log: log, every: every,
-			count: Readings{Kinds: map[string]int64{}},
+		in.reader = &statementReader{
+			fingerprints: statement.NewFingerprints(cacheBytes, seed),
+			log:          log,
+			logInterval:  logInterval,
+			count:        Readings{Kinds: map[string]int64{}},
 		}
 	}
-	in.reader.config, in.reader.analyser = c, statement.New(c.Rules())
+	in.reader.config, in.reader.analyser = config, statement.New(config.Rules())
 }
 
-// Readings returns what was read, nil if nothing is.
+// Readings returns a copy of the counters, nil if statements are not analysed.
 func (in *Intake) Readings() *Readings {
 	if in.reader == nil {
 		return nil
 	}
-	c, s := in.reader.count, in.reader.shapes
-	c.Kinds = map[string]int64{}
-	for kind, n := range in.reader.count.Kinds {
-		c.Kinds[kind] = n
-	}
-	c.Shapes, c.Bytes, c.Hits, c.Misses, c.Evicted = s.Len(), s.Bytes(), s.Hits, s.Misses, s.Evicted
-	return &c
+	readings, cache := in.reader.count, in.reader.fingerprints
+	readings.Kinds = maps.Clone(readings.Kinds)
+	readings.Shapes, readings.Bytes = cache.Len(), cache.Bytes()
+	readings.Hits, readings.Misses, readings.Evicted = cache.Hits, cache.Misses, cache.Evicted
+	return &readings
 }
 
-// Top returns the first shapes in an order, nil if statements are not read.
+// Top returns the first fingerprints in an order, at most so many; nil if statements are not analysed.
 func (in *Intake) Top(by statement.Order, most int) []statement.Fingerprint {
 	if in.reader == nil {
 		return nil
 	}
-	return in.reader.shapes.Top(by, most)
+	return in.reader.fingerprints.Top(by, most)
 }
 
-// read looks at the statement of a request and says how it is to be routed.
-func (in *Intake) read(a *Input, class *routing.Class, q *core.Request) *Problem {
-	r := in.reader
-	info := r.analyser.Read(a.SQL)
-	shape := r.shapes.Get(r.analyser.Fingerprint(), &info)
-	shape.Calls++
-	r.count.Read++
-	r.count.Kinds[info.Kind.String()]++
-	if info.Why == statement.Unreadable {
-		r.count.Unreadable++
-	}
-	if a.Label > 0 && !(info.Tail && info.Comment.Start == a.Label) { // Against a label smuggled in by a value.
-		r.count.Forged++
-		if r.config.Enforced() {
+// routeByStatement analyses the statement of a request, and sets the request's route and expected work by it. The
+// class is that of the label.
+func (in *Intake) routeByStatement(input *Input, class *routing.Class, request *core.Request) *Problem {
+	reader := in.reader
+	info, fingerprint := reader.analyse(input.SQL)
+	enforced := reader.config.Enforced()
+	if input.Label > 0 && !endsInLabel(&info, input.Label) {
+		reader.count.Forged++
+		if enforced {
 			return &Problem{FieldLabel, "the comment that tells id and class is a part of something else"}
 		}
 	}
-	mayWrite := info.MayWrite || a.Update
-	q.CostObserver = shape
-	switch labelled := class.Read == routing.Write; {
-	case mayWrite && !labelled:
-		r.count.MayWrite++
-		r.disagrees(in.core.Now(), a.Class, shape, &info)
-		if r.config.Enforced() {
-			r.count.ToPrimary++
-			q.Route, q.Session = core.AsWrite, a.Key
+	request.CostObserver = fingerprint
+	mayWrite := info.MayWrite || input.Update
+	switch labelledWrite := class.Read == routing.Write; {
+	case mayWrite && !labelledWrite:
+		reader.count.MayWrite++
+		reader.noteDisagreement(in.core.Now(), input.Class, fingerprint, &info)
+		if enforced {
+			reader.count.ToPrimary++
+			request.Route, request.Session = core.AsWrite, input.Key
 		}
-	case !mayWrite && labelled:
-		r.count.OnlyRead++
-		r.disagrees(in.core.Now(), a.Class, shape, &info)
-		if r.config.Enforced() && r.config.Writes == "read" {
-			r.count.ToReplicas++
-			q.Route = core.AsRead
+	case !mayWrite && labelledWrite:
+		reader.count.OnlyRead++
+		reader.noteDisagreement(in.core.Now(), input.Class, fingerprint, &info)
+		if enforced && reader.config.Writes == "read" {
+			reader.count.ToReplicas++
+			request.Route = core.AsRead
 		}
 	}
-	if r.config.Enforced() {
-		if typical, _, _, ok := shape.Cost.Estimate(); ok {
-			q.ExpectedWork = typical
+	if enforced {
+		if typical, _, _, ok := fingerprint.Cost.Estimate(); ok {
+			request.ExpectedWork = typical
 		}
 	}
 	return nil
 }
 
-// disagrees notes a label that is not what was read. Each shape is logged once, as far as the pace allows.
-func (r *reader) disagrees(now time.Duration, class string, s *statement.Fingerprint, info *statement.Info) {
-	s.Disagreed++
-	if s.Logged || now-r.logged < r.every {
+// analyse reads a statement and counts it, in total and with its fingerprint.
+func (r *statementReader) analyse(sql string) (statement.Info, *statement.Fingerprint) {
+	info := r.analyser.Read(sql)
+	fingerprint := r.fingerprints.Get(r.analyser.Fingerprint(), &info)
+	fingerprint.Calls++
+	r.count.Read++
+	r.count.Kinds[info.Kind.String()]++
+	if info.Why == statement.Unreadable {
+		r.count.Unreadable++
+	}
+	return info, fingerprint
+}
+
+// endsInLabel tells whether the comment with the label is the one that ends the statement: a client's value could
+// smuggle in a label elsewhere.
+func endsInLabel(info *statement.Info, label int) bool {
+	return info.Tail && info.Comment.Start == label
+}
+
+// noteDisagreement notes a label that is not what the statement does. Each fingerprint is logged once, as far as the
+// interval allows.
+func (r *statementReader) noteDisagreement(
+	now time.Duration, class string, f *statement.Fingerprint, info *statement.Info,
+) {
+	f.Disagreed++
+	if f.Logged || now-r.lastLogged < r.logInterval {
 		return
 	}
-	s.Logged, r.logged = true, now
-	r.log.Warn().Str("class", class).Str("shape", s.Text).Stringer("kind", info.Kind).Stringer("why", info.Why).
-		Bool("enforced", r.config.Enforced()).Msg("statements: the label is not what the statement does")
+	f.Logged, r.lastLogged = true, now
+	r.log.Warn().
+		Str("class", class).
+		Str("shape", f.Text).
+		Stringer("kind", info.Kind).
+		Stringer("why", info.Why).
+		Bool("enforced", r.config.Enforced()).
+		Msg("statements: the label is not what the statement does")
 }
--- a/internal/intake/statement.go
+++ b/internal/intake/statement.go
@@ -6,9 +6,11 @@
 	"capercove/internal/tenant"
 )
 
-// Statement makes a request of a statement of the PostgreSQL wire, whatever brings it: its comment holds what an Ask
-// does. For one that is not to be taken it returns nil, the SQLSTATE and why.
-func (in *Intake) Statement(front, sql string, caller tenant.Caller, backend core.Backend) (q *core.Request, code, why string) {
+// Statement makes a request of a statement of the PostgreSQL wire, whatever brings it: its comment holds what an
+// Input does. For one that is rejected it returns nil, the SQLSTATE and why.
+func (in *Intake) Statement(
+	front, sql string, caller tenant.Caller, backend core.Backend,
+) (request *core.Request, code, why string) {
 	query, err := pg.ParseQuery(sql)
 	if err != nil {
 		return nil, pg.CodeSyntax, err.Error()
@@ -16,16 +18,27 @@
 	if in.rules != nil {
 		caller.Comment = query.Told
 	}
-	q, problem := in.Request(&Input{
-		Front: front, ID: query.ID, Class: query.Class, Group: query.Group,
-		HasGroup: query.HasGroup, Key: query.Key, Wait: query.Wait, After: query.After, SQL: sql, Label: query.Label, Caller: caller,
-		Payload: &query, Backend: backend,
+	request, problem := in.Request(&Input{
+		Front:    front,
+		ID:       query.ID,
+		Class:    query.Class,
+		Group:    query.Group,
+		HasGroup: query.HasGroup,
+		Key:      query.Key,
+		Wait:     query.Wait,
+		After:    query.After,
+		SQL:      sql,
+		Label:    query.Label,
+		Caller:   caller,
+		Payload:  &query,
+		Backend:  backend,
 	})
-	if problem != nil {
-		if problem.Field == FieldLabel {
-			return nil, pg.CodeSyntax, problem.Why
-		}
+	switch {
+	case problem == nil:
+		return request, "", ""
+	case problem.Field == FieldLabel:
+		return nil, pg.CodeSyntax, problem.Why
+	default:
 		return nil, pg.CodeBadValue, problem.Why
 	}
-	return q, "", ""
 }
