--- /dev/null
+++ b/internal/core/clockoffset.go
@@ -0,0 +1,66 @@
+package core
+
+import (
+	"time"
+
+	"capercove/internal/clockoffset"
+	"capercove/routing"
+)
+
+// The core's clock counts from the wall clock at the start, which may have been wrong. The replication positions in
+// answers and load reports, which are times on the databases' clock, show by how much.
+
+// sampleAnswer takes in the replication position that came with an answer. The deduplicated retry of a write may be
+// told the commit of the first attempt; its sample therefore begins when that was sent.
+func (c *Core) sampleAnswer(attempt *Attempt, status routing.Status, evidence routing.Evidence) {
+	request := attempt.Request
+	sample := clockoffset.Sample{
+		Position: evidence.Position,
+		Sent:     request.attempts[0].sentAt,
+		Received: c.clock(),
+	}
+	switch {
+	case status != routing.OK:
+	case request.isWrite && evidence.Role != routing.Replica:
+		sample.Kind = clockoffset.Commit
+	case evidence.Role == routing.Primary:
+		sample.Kind = clockoffset.Primary
+	}
+	c.addClockSample(sample)
+}
+
+// sampleReport takes in the replication position of a load report, which is as of some time ago.
+func (c *Core) sampleReport(took time.Duration, report routing.Evidence) {
+	now := c.clock()
+	c.addClockSample(clockoffset.Sample{Position: report.Position, Sent: now - took, Received: now})
+}
+
+// addClockSample hands the router the estimate of the offset if it has changed, before the outcome that changed it.
+func (c *Core) addClockSample(sample clockoffset.Sample) {
+	changed := c.offset.Add(sample)
+	c.Count.ClockDissent = c.offset.Dissent()
+	if !changed {
+		return
+	}
+	bounds := c.offset.Bounds()
+	c.Count.ClockMoves++
+	c.Count.ClockUnknown = bounds.Latest == clockoffset.Unknown
+	c.Count.ClockAhead = bounds.Earliest.Milliseconds()
+	c.logOffset(bounds)
+	c.pushEvent(routing.Event{Kind: routing.ClockOffset, Clock: bounds})
+}
+
+// logOffset logs the estimate, or that there is none, once in a while.
+func (c *Core) logOffset(bounds clockoffset.Bounds) {
+	now := c.clock()
+	if c.offsetLogged > 0 && now-c.offsetLogged < c.limits.LogEvery {
+		return
+	}
+	c.offsetLogged = now
+	if bounds.Latest == clockoffset.Unknown {
+		c.log.Warn().Msg("the databases' clock is ahead by an unknown time: no replica counts as fresh")
+		return
+	}
+	c.log.Warn().Dur("ahead_at_least_ms", bounds.Earliest).Dur("ahead_at_most_ms", bounds.Latest).
+		Msg("the databases' clock, estimated anew")
+}
--- /dev/null
+++ b/internal/core/members.go
@@ -0,0 +1,153 @@
+package core
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"capercove/routing"
+)
+
+// EndpointLister keeps the endpoint list coming: each call ends with Core.UpdateMembers or Core.ListFailed.
+type EndpointLister interface{ Subscribe() }
+
+// Watcher is notified of every change of a member before anything is sent under it, and once it is forgotten: if the
+// database comes back, it is another Member.
+type Watcher interface {
+	Changed(*Member)
+	Forgotten(*Member)
+}
+
+// Member is a database of the endpoint list.
+type Member struct {
+	routing.Node
+	Name, Addr    string
+	Excluded      bool          // by operators, or blocked; a primary's writes may go on for part of the grace
+	DrainingSince time.Duration // when the list first said that it is draining, or gone for good; 0: it is neither
+}
+
+// Members returns the names of the databases that are not gone, sorted.
+func (c *Core) Members() (names []string) {
+	for _, member := range c.members {
+		if member.State != routing.Gone {
+			names = append(names, member.Name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// HasGroup tells whether any list has named a database of the group. Before the first list, any group may exist.
+func (c *Core) HasGroup(group int) bool {
+	for _, member := range c.members {
+		if member.Group == group {
+			return true
+		}
+	}
+	return len(c.members) == 0
+}
+
+// HasMember tells whether any list has named the database.
+func (c *Core) HasMember(id routing.NodeID) bool { return c.members[id] != nil }
+
+// LoadKnownMembers takes in the list as it was known before the start.
+func (c *Core) LoadKnownMembers(entries []Member) {
+	c.UpdateMembers(entries, true)
+	c.listReceived = false
+}
+
+// UpdateMembers takes in the complete list, or the entries that changed. New entries beyond the bound are left out.
+func (c *Core) UpdateMembers(entries []Member, complete bool) {
+	c.listReceived, c.listChanged = true, true
+	c.Count.Lists++
+	nodes := make([]routing.Node, 0, len(entries))
+	listed := map[routing.NodeID]bool{}
+	for _, entry := range entries {
+		if c.members[entry.ID] == nil && len(c.members) >= c.limits.Members {
+			c.skipEntry(entry)
+			continue
+		}
+		listed[entry.ID] = true
+		nodes = append(nodes, entry.Node)
+		c.updateMember(entry)
+	}
+	kind := routing.ListUpdated
+	if complete {
+		kind = routing.ListComplete
+		c.markUnlistedGone(listed)
+	}
+	c.pushEvent(routing.Event{Kind: kind, Nodes: nodes})
+	if c.blocks.All { // the members that the list has added are blocked, too
+		c.applyBlocks()
+	}
+}
+
+// skipEntry counts an entry that is left out, and logs one once in a while.
+func (c *Core) skipEntry(entry Member) {
+	c.Count.Unlisted++
+	now := c.clock()
+	if c.unlistedLogged > 0 && now-c.unlistedLogged < c.limits.LogEvery {
+		return
+	}
+	c.unlistedLogged = now
+	c.log.Error().Str("database", entry.Name).Int("known", len(c.members)).Int64("so_far", c.Count.Unlisted).
+		Msg("the list names too many databases")
+}
+
+// markUnlistedGone marks the members that a complete list does not name.
+func (c *Core) markUnlistedGone(listed map[routing.NodeID]bool) {
+	for id, member := range c.members {
+		if !listed[id] && member.State != routing.Gone {
+			gone := *member
+			gone.State = routing.Gone
+			c.updateMember(gone)
+		}
+	}
+}
+
+// updateMember takes in an entry of the list. The time since when it is draining, and whether it is excluded, are the
+// core's to know.
+func (c *Core) updateMember(entry Member) {
+	member := c.members[entry.ID]
+	if member == nil {
+		member = &Member{}
+		c.members[entry.ID] = member
+	}
+	drainingSince := member.DrainingSince
+	*member = entry
+	_, member.Excluded = c.excluded[member.ID]
+	member.DrainingSince = 0
+	goneForGood := entry.State == routing.Gone && (drainingSince > 0 || !c.settings.OnlyDrainingBinds)
+	if entry.State == routing.Draining || goneForGood {
+		member.DrainingSince = cmp.Or(drainingSince, c.clock())
+	}
+	c.notifyChanged(member)
+}
+
+// notifyChanged notifies the watchers of a member's change.
+func (c *Core) notifyChanged(member *Member) {
+	for _, watcher := range c.watchers {
+		watcher.Changed(member)
+	}
+}
+
+// forgetGone drops the gone members that the router has forgotten too. It runs after the router's Step, which was
+// told of the list.
+func (c *Core) forgetGone() {
+	c.listChanged = false
+	for id, member := range c.members {
+		if member.State != routing.Gone || c.router.Knows(id) {
+			continue
+		}
+		delete(c.members, id)
+		for _, watcher := range c.watchers {
+			watcher.Forgotten(member)
+		}
+	}
+}
+
+// ListFailed tells that a poll for the list failed or that the watch broke.
+func (c *Core) ListFailed() {
+	c.Count.ListsFailed++
+	c.pushEvent(routing.Event{Kind: routing.ListFailed})
+}
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -6,94 +6,72 @@
 	"capercove/routing"
 )
 
-// Route tells how a request is routed where what it does is not what its class says. Its class's aim, deadline and worth
-// stay, and so does what it is counted as.
+// Route tells how a request is routed where its statement is not what its class says. Its class's latency objective,
+// deadline and weight stay, and so does the class that it is counted under.
 type Route uint8
 
+// The routes of requests.
 const (
-	AsLabelled Route = iota
-	AsWrite          // by the primary only, and never again once it may have run
-	AsRead           // by whoever has all that was committed before it came, and again if need be
-	routes
+	AsLabelled Route = iota // as its class says
+	AsWrite                 // to the primary only, and never retried once it may have run
+	AsRead                  // to any database that has all that was committed before it came, and retried if need be
+	routeCount
 )
 
+// String is the suffix that tells a class on this route apart from the class itself.
 func (r Route) String() string { return [...]string{"", " as a write", " as a read"}[r] }
 
-// CostObserver is told what the attempts of a request take.
-type CostObserver interface {
-	// ObserveCost tells what one took, beside so many others at its database.
-	ObserveCost(took time.Duration, others int)
+// apply returns a class as it is routed on this route.
+func (r Route) apply(class routing.Class) routing.Class {
+	switch r {
+	case AsWrite:
+		class.Read, class.Effect = routing.Write, routing.NonIdempotent
+	case AsRead:
+		class.Read, class.Effect = routing.FreshRead, routing.Idempotent
+	}
+	return class
 }
 
-// EnableStatementRouting lets requests be routed otherwise than their classes say. Off, the router knows the classes alone.
+// EnableStatementRouting lets requests be routed otherwise than their classes say. While it is off, the router knows
+// the classes alone.
 func (c *Core) EnableStatementRouting(on bool) {
-	if on == c.routes {
+	if on == c.statementRouting {
 		return
 	}
-	c.routes = on
-	c.retune()
+	c.statementRouting = on
+	c.pushSettings()
 }
 
-// route is the router's number for the class of a request.
-func (c *Core) route(q *Request) int {
-	if !c.routes {
-		return q.Class
+// routerClass is the router's number for the class of a request, on its route.
+func (c *Core) routerClass(request *Request) int {
+	if !c.statementRouting {
+		return request.Class
 	}
-	return q.Class + int(q.Route)*len(c.settings.Classes)
+	return request.Class + int(request.Route)*len(c.settings.Classes)
 }
 
 // routesAsWrite tells whether a request goes to the primary alone, for what it may change there.
-func (c *Core) routesAsWrite(q *Request) bool {
-	if c.routes && q.Route != AsLabelled {
-		return q.Route == AsWrite
+func (c *Core) routesAsWrite(request *Request) bool {
+	if c.statementRouting && request.Route != AsLabelled {
+		return request.Route == AsWrite
 	}
-	return c.settings.Classes[q.Class].Read == routing.Write
+	return c.settings.Classes[request.Class].Read == routing.Write
 }
 
-// routed are the settings as the router has them: with the routers that are there, and with each class as it is, then each as a
-// write, then each as a read.
-func (c *Core) routed() routing.Settings {
-	s := c.settings.Settings
-	if c.routers > 0 {
-		s.Routers = c.routers
-	}
-	if !c.routes {
-		return s
-	}
-	all := make([]routing.Class, 0, int(routes)*len(s.Classes))
-	for r := AsLabelled; r < routes; r++ {
-		for _, class := range s.Classes {
-			switch r {
-			case AsWrite:
-				class.Read, class.Effect = routing.Write, routing.NonIdempotent
-			case AsRead:
-				class.Read, class.Effect = routing.FreshRead, routing.Idempotent
-			}
-			all = append(all, class)
-		}
-	}
-	s.Classes = all
-	return s
-}
-
-// retune hands the settings as they are to the router and to the door.
-func (c *Core) retune() {
-	s := c.routed()
-	c.Count.Routers = s.Routers
-	c.push(routing.Event{Kind: routing.SettingsChanged, Settings: &s})
-	if c.door != nil {
-		c.ReconfigureAdmission(c.door.config)
-	}
+// CostObserver is notified of what the attempts of a request took.
+type CostObserver interface {
+	// ObserveCost tells what one attempt took, and how many others were in flight at its database when it was sent.
+	ObserveCost(took time.Duration, others int)
 }
 
-// teach tells what an attempt took, if it was answered well.
-func (c *Core) teach(a *Attempt, status routing.Status, took time.Duration) {
-	if n := c.out[a.Member.ID] - 1; n > 0 {
-		c.out[a.Member.ID] = n
-	} else {
-		delete(c.out, a.Member.ID)
+// observeCost notifies the request's observer of what an attempt took, if it was answered well.
+func (c *Core) observeCost(attempt *Attempt, status routing.Status, took time.Duration) {
+	database := attempt.Member.ID
+	c.costObserved[database]--
+	if c.costObserved[database] <= 0 {
+		delete(c.costObserved, database)
 	}
 	if status == routing.OK {
-		a.Request.CostObserver.ObserveCost(took, a.others)
+		attempt.Request.CostObserver.ObserveCost(took, attempt.othersInFlight)
 	}
 }
