--- a/routing/api.go
+++ b/routing/api.go
@@ -1,7 +1,7 @@
 // Package routing decides, for one router of a replicated database cluster, where each request goes: which
 // replica answers a read, where the primary is, when to try again, when to refuse.
 //
-// This file holds the interface only; every decision is in choice.go. A Router is driven by Step alone. It has
+// This file holds the interface only; the decisions are in the others. A Router is driven by Step alone. It has
 // no clock, no goroutine and no I/O, so equal calls give equal actions.
 package routing
 
--- a/routing/operators.go
+++ b/routing/operators.go
@@ -5,9 +5,6 @@
 	"time"
 )
 
-// What the operators change while the router runs, its settings and bans of nodes; what they are shown; and answers
-// that take long to pass on.
-
 // retune takes in settings. An open request keeps its class, and no more attempts than either settings allow.
 func (r *Router) retune(s Settings) {
 	r.set, r.topWorth, r.tightest = s, 0, math.MaxInt64
@@ -64,41 +61,3 @@
 		return asPrimary && r.now-n.toldOff < r.set.DrainGrace/2
 	}
 }
-
-// Unavailable is how many nodes of the list are sent nothing now, by the operators' word, the list's or the router's own.
-func (r *Router) Unavailable() (count int) {
-	for _, n := range r.nodes {
-		if n.State != Gone && (n.down || !r.mayUse(n, false)) {
-			count++
-		}
-	}
-	return count
-}
-
-// Size is how much a node works on at once, as a multiple of what a small one does.
-func (r *Router) Size() float64 { return float64(r.size) }
-
-// HasPrimaries tells whether every group has a primary, as far as is known. One that is banned will do: waiting brings no other.
-func (r *Router) HasPrimaries() bool {
-	for _, g := range r.groups {
-		led := len(g.members) == 0 || r.primary(g) != nil
-		for _, n := range g.members {
-			led = led || n.role == Primary && r.banned(n)
-		}
-		if !led {
-			return false
-		}
-	}
-	return true
-}
-
-// began takes a request whose answer is on its way out of the open ones, and its attempt out of the node's count.
-func (r *Router) began(id RequestID, attempt int) {
-	if q := r.requests[id]; q != nil && !q.done && attempt < len(q.tries) && q.tries[attempt].pending {
-		q.begun = true
-		if t := &q.tries[attempt]; !t.lost {
-			t.lost = true
-			r.book(t.n, -1)
-		}
-	}
-}
--- a/routing/seen.go
+++ b/routing/status.go
@@ -50,3 +50,30 @@
 	}
 	return out
 }
+
+// Unavailable is how many nodes of the list are sent nothing now, by the operators' word, the list's or the router's own.
+func (r *Router) Unavailable() (count int) {
+	for _, n := range r.nodes {
+		if n.State != Gone && (n.down || !r.mayUse(n, false)) {
+			count++
+		}
+	}
+	return count
+}
+
+// Size is how much a node works on at once, as a multiple of what a small one does.
+func (r *Router) Size() float64 { return float64(r.size) }
+
+// HasPrimaries tells whether every group has a primary, as far as is known. One that is banned will do: waiting brings no other.
+func (r *Router) HasPrimaries() bool {
+	for _, g := range r.groups {
+		led := len(g.members) == 0 || r.primary(g) != nil
+		for _, n := range g.members {
+			led = led || n.role == Primary && r.banned(n)
+		}
+		if !led {
+			return false
+		}
+	}
+	return true
+}
