--- a/routing/remotetime.go
+++ b/routing/remotetime.go
@@ -10,8 +10,8 @@
 // with the router's clock, under the estimate of the offset between the two: where that is not exact, data is taken for
 // older and a process for younger than it may be.
 
-// setOffset takes in an estimate. All that was learned is judged anew under it.
-func (r *Router) setOffset(offset clockoffset.Bounds) {
+// applyOffset takes in an estimate. All that was learned is judged anew under it.
+func (r *Router) applyOffset(offset clockoffset.Bounds) {
 	r.offset = offset
 	r.layRings()
 }
@@ -23,16 +23,16 @@
 func (r *Router) earliestNow() time.Duration { return r.now + r.offset.Earliest }
 
 // roleTime is the time of the evidence for a node's role, by the nodes' clock.
-func (r *Router) roleTime(n *node) time.Duration { return n.roleAt.By(r.offset.Earliest) }
+func (r *Router) roleTime(n *nodeRecord) time.Duration { return n.roleAt.By(r.offset.Earliest) }
 
 // plausible tells whether a time of the nodes' clock is not in its future.
 func (r *Router) plausible(remote time.Duration) bool {
 	return remote <= r.latestNow()+clockoffset.Tolerance
 }
 
-// told is the instant that a node named. One in the future of its clock counts as the present: no later evidence must
+// toldInstant is the instant that a node named. One in the future of its clock counts as the present: no later evidence must
 // be held to be older.
-func (r *Router) told(remote time.Duration) clockoffset.Instant {
+func (r *Router) toldInstant(remote time.Duration) clockoffset.Instant {
 	if !r.plausible(remote) {
 		return clockoffset.Instant{Own: r.now}
 	}
--- a/routing/remotetime_test.go
+++ b/routing/remotetime_test.go
@@ -64,7 +64,7 @@
 				t.Errorf("offset %v: %s: %v", offset, name, out)
 			}
 			if c.class == classBounded && c.replica {
-				proof := h.now - 100*ms - c.age + h.r.set.Classes[classBounded].MaxAge // by the own clock
+				proof := h.now - 100*ms - c.age + h.r.settings.Classes[classBounded].MaxAge // by the own clock
 				if out[0].WriteBy > proof || out[0].WriteBy < proof-2*skewed {
 					t.Errorf("offset %v: %s: to be written by %v, the proof ends at %v", offset, name, out[0].WriteBy, proof)
 				}
@@ -113,7 +113,7 @@
 				h.knows(offset)
 			}
 			for id, want := range map[NodeID]float64{1: 1, 2: 0.28, 3: 1} { // a share of 0.2, which grows to 1 in 10 s
-				if got := h.r.warmth(h.r.byID[id]); got > want || got < want-0.01 {
+				if got := h.r.capacityShare(h.r.byID[id]); got > want || got < want-0.01 {
 					t.Errorf("offset %v, known later %v: node %d is at %.3f, want %.3f", offset, before, id, got, want)
 				}
 			}
@@ -206,10 +206,10 @@
 		t.Run(name, func(t *testing.T) {
 			r := New(Settings{Routers: 1, Classes: []Class{{Weight: 1}}, SlowStartTime: time.Minute}, 1)
 			r.now = 2 * time.Hour
-			r.setOffset(clockoffset.Bounds{Latest: offset, Earliest: offset})
+			r.applyOffset(clockoffset.Bounds{Latest: offset, Earliest: offset})
 			start := r.now - time.Second
-			r.entry(Node{ID: 1, State: Ready, Started: start + offset})
-			require.Equal(t, start, r.coldSince(r.byID[1]))
+			r.applyEntry(Node{ID: 1, State: Ready, Started: start + offset})
+			require.Equal(t, start, r.processStart(r.byID[1]))
 		})
 	}
 }
--- a/routing/ring.go
+++ b/routing/ring.go
@@ -9,59 +9,59 @@
 
 // Tuned values. Times are on the router's clock, bounds in requests in flight.
 const (
-	pointsMost = 48 // ring points of a replica whose d is at the cap
+	maxRingPoints = 48 // ring points of a replica whose d is at the cap
 )
 
-type point struct {
+type ringPoint struct {
 	hash uint64
-	n    *node
+	node *nodeRecord
 }
 
 func (r *Router) layRings() {
 	for _, g := range r.groups {
 		changed := len(g.ring) == 0
 		for _, n := range g.members {
-			points := max(1, int(math.Round(pointsMost*n.d/capAll*r.warmth(n))))
-			changed = changed || points != n.points
-			n.points = points
+			points := max(1, int(math.Round(maxRingPoints*n.bound/maxBound*r.capacityShare(n))))
+			changed = changed || points != n.ringPoints
+			n.ringPoints = points
 		}
 		if !changed {
 			continue
 		}
 		g.ring = g.ring[:0]
 		for _, n := range g.members {
-			for j := range n.points {
-				g.ring = append(g.ring, point{mix(uint64(n.ID)*0x9e3779b97f4a7c15 + uint64(j)), n})
+			for j := range n.ringPoints {
+				g.ring = append(g.ring, ringPoint{mix(uint64(n.ID)*0x9e3779b97f4a7c15 + uint64(j)), n})
 			}
 		}
-		slices.SortFunc(g.ring, func(a, b point) int { return cmp.Compare(a.hash, b.hash) })
+		slices.SortFunc(g.ring, func(a, b ringPoint) int { return cmp.Compare(a.hash, b.hash) })
 	}
 }
 
-// walk finds the first fit replica with room, clockwise from the key's place, or else the one least over.
-func (r *Router) walk(g *group, p *node, q *request) (least *node, room bool) {
-	if r.doubt = nil; len(g.ring) == 0 {
+// nextReplica finds the first fit replica with room, clockwise from the key's place, or else the one least over.
+func (r *Router) nextReplica(g *replicaGroup, p *nodeRecord, q *openRequest) (least *nodeRecord, room bool) {
+	if r.probeCandidate = nil; len(g.ring) == 0 {
 		return nil, false
 	}
 	start, _ := slices.BinarySearchFunc(g.ring, mix(cmp.Or(q.Session, uint64(q.id))),
-		func(p point, key uint64) int { return cmp.Compare(p.hash, key) })
-	r.walks++
+		func(p ringPoint, key uint64) int { return cmp.Compare(p.hash, key) })
+	r.ringScans++
 	left, over := len(g.members), 0.0
 	for i := range g.ring {
-		n := g.ring[(start+i)%len(g.ring)].n
-		if n.walked == r.walks {
+		n := g.ring[(start+i)%len(g.ring)].node
+		if n.lastScan == r.ringScans {
 			continue
 		}
-		n.walked = r.walks
-		if n != p && r.usable(n, q, false) {
-			crowd, bound := r.crowd(n), q.room*r.bound(n)
+		n.lastScan = r.ringScans
+		if n != p && r.eligible(n, q, false) {
+			crowd, bound := r.estimatedInFlight(n), q.boundMultiple*r.effectiveBound(n)
 			excess := (crowd + 1) / bound
 			switch fresh := r.fresh(n, q); {
 			case fresh && crowd < bound:
 				return n, true
-			case !fresh && crowd < bound && r.better(n, q):
-				r.doubt = n
-			case fresh && !n.unproven && (least == nil || excess < over):
+			case !fresh && crowd < bound && r.betterProbeCandidate(n, q):
+				r.probeCandidate = n
+			case fresh && !n.halfOpen && (least == nil || excess < over):
 				least, over = n, excess
 			}
 		}
@@ -72,17 +72,17 @@
 	return least, false
 }
 
-// better tells whether a replica with room but without proof is a better try than the one noted: the most
+// betterProbeCandidate tells whether a replica with room but without proof is a better try than the one noted: the most
 // advanced where nodes check, elsewhere the first on the ring whose report is out or may be asked for again,
 // and rather one that was not too far behind when it last spoke.
-func (r *Router) better(n *node, q *request) bool {
-	if r.set.StaleReads == StaleRejected {
-		return r.doubt == nil || n.position > r.doubt.position
+func (r *Router) betterProbeCandidate(n *nodeRecord, q *openRequest) bool {
+	if r.settings.StaleReads == StaleRejected {
+		return r.probeCandidate == nil || n.position > r.probeCandidate.position
 	}
-	lag, last, wait, all := r.lag(n), n.probed, again, time.Duration(r.set.Routers)
-	if !n.probing { // What it said just now will not have changed, all the less the further it was behind.
-		last, wait = max(last, n.provenAt), max(again, lag*all/(all+lagWait))
+	lag, last, wait, all := r.lag(n), n.lastProbe, retrySpacing, time.Duration(r.settings.Routers)
+	if !n.probePending { // What it said just now will not have changed, all the less the further it was behind.
+		last, wait = max(last, n.provenAt), max(retrySpacing, lag*all/(all+lagProbeRouters))
 	}
-	nearer := r.doubt == nil || lag+q.class.MaxAge < r.lag(r.doubt)
-	return nearer && r.set.CanProbe && (r.now-last < wait) == n.probing
+	nearer := r.probeCandidate == nil || lag+q.class.MaxAge < r.lag(r.probeCandidate)
+	return nearer && r.settings.CanProbe && (r.now-last < wait) == n.probePending
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -76,7 +76,7 @@
 
 func (h *harness) arrive(id RequestID, class int) []Action {
 	return h.step(Event{Kind: RequestArrived, Request: id,
-		Arrival: Arrival{Class: class, Session: uint64(id), TimeLeft: h.r.set.Classes[class].Deadline}})
+		Arrival: Arrival{Class: class, Session: uint64(id), TimeLeft: h.r.settings.Classes[class].Deadline}})
 }
 
 func (h *harness) done(id RequestID, attempt int, n NodeID, status Status, note Evidence) []Action {
@@ -87,7 +87,7 @@
 // wait lets time pass in ticks and returns what was done.
 func (h *harness) wait(d time.Duration) (out []Action) {
 	for end := h.now + d; h.now < end; {
-		h.now += tickEvery
+		h.now += tickInterval
 		out = append(out, h.step(Event{Kind: TimerFired})...)
 	}
 	return out
@@ -225,21 +225,21 @@
 		}
 		return sent
 	}
-	if sent := burst(cold(), 50, false); sent == 0 || sent > coldLeast {
-		t.Fatalf("%d sends to a cold node that answers nothing, want 1 to %v", sent, coldLeast)
+	if sent := burst(cold(), 50, false); sent == 0 || sent > minSlowStartSends {
+		t.Fatalf("%d sends to a cold node that answers nothing, want 1 to %v", sent, minSlowStartSends)
 	}
 	if sent := burst(cold(), 50, true); sent < 40 {
 		t.Fatalf("%d sends to a cold node that answers each at once, want 40 and more", sent)
 	}
 	h := cold()
 	answered := burst(h, 8, true)
-	most := int(math.Ceil(0.5 * h.r.set.OverloadMultiple * float64(answered)))
+	most := int(math.Ceil(0.5 * h.r.settings.OverloadMultiple * float64(answered)))
 	if all := answered + burst(h, 50, false); answered != 8 || all != most {
 		t.Fatalf("%d sends in a window with %d answers, want %d with 8", all, answered, most)
 	}
-	h.wait(2 * h.r.set.OverloadWindow) // those held meanwhile are given up
-	if sent := burst(h, 50, false); sent > coldLeast {
-		t.Fatalf("%d sends a window after the last answer, want %v at the most", sent, coldLeast)
+	h.wait(2 * h.r.settings.OverloadWindow) // those held meanwhile are given up
+	if sent := burst(h, 50, false); sent > minSlowStartSends {
+		t.Fatalf("%d sends a window after the last answer, want %v at the most", sent, minSlowStartSends)
 	}
 }
 
@@ -266,7 +266,7 @@
 			t.Fatalf("write %d was sent to a cold primary beside the ten of the same window", id)
 		}
 	}
-	h.wait(2 * h.r.set.OverloadWindow) // those held meanwhile are given up
+	h.wait(2 * h.r.settings.OverloadWindow) // those held meanwhile are given up
 	if !sent(40) {
 		t.Fatal("a write was held though a window has passed")
 	}
@@ -384,24 +384,24 @@
 	n := h.r.byID[2]
 	feed := func(ratio float64, periods int) {
 		for range periods {
-			n.sum, n.samples = ratio*minSamples, minSamples
-			h.r.loop()
+			n.ratioSum, n.samples = ratio*minSamples, minSamples
+			h.r.controlStep()
 		}
 	}
 	feed(0.3, 200)
-	if n.d != capAll || n.delta != 0 {
-		t.Fatalf("d %v with stored change %v, want the cap %v and 0", n.d, n.delta, capAll)
+	if n.bound != maxBound || n.delta != 0 {
+		t.Fatalf("d %v with stored change %v, want the cap %v and 0", n.bound, n.delta, maxBound)
 	}
 	feed(1.5, 1)
-	if n.d >= capAll {
+	if n.bound >= maxBound {
 		t.Fatal("the first slow period left d at the cap: wound up")
 	}
 	feed(2, 100)
-	if floor := floorShare * capAll; n.d != floor || n.delta != 0 {
-		t.Fatalf("d %v with stored change %v, want the floor %v and 0", n.d, n.delta, floor)
+	if floor := minBoundShare * maxBound; n.bound != floor || n.delta != 0 {
+		t.Fatalf("d %v with stored change %v, want the floor %v and 0", n.bound, n.delta, floor)
 	}
-	n.sum, n.samples = 0.1, minSamples-1
-	h.r.loop()
+	n.ratioSum, n.samples = 0.1, minSamples-1
+	h.r.controlStep()
 	if n.samples != minSamples-1 {
 		t.Fatal("too few samples were not carried over")
 	}
@@ -414,13 +414,13 @@
 	owner := func() (of [2000]NodeID) {
 		for i := range of {
 			key := mix(uint64(i + 1))
-			j := slices.IndexFunc(g.ring, func(p point) bool { return p.hash >= key })
-			of[i] = g.ring[max(j, 0)].n.ID
+			j := slices.IndexFunc(g.ring, func(p ringPoint) bool { return p.hash >= key })
+			of[i] = g.ring[max(j, 0)].node.ID
 		}
 		return of
 	}
 	before := owner()
-	h.r.byID[2].d /= 2
+	h.r.byID[2].bound /= 2
 	h.r.layRings()
 	moved := 0
 	for i, id := range owner() {
@@ -523,8 +523,8 @@
 	for i, status := range []Status{ConnectionBroken, OK, ConnectFailed, ConnectionBroken} {
 		h.arrive(RequestID(i+1), classWrite)
 		h.done(RequestID(i+1), 0, 1, status, Evidence{Role: Primary, Position: h.now})
-		if n.down != (i == 3) {
-			t.Fatalf("after %d outcomes down is %v", i+1, n.down)
+		if n.ejected != (i == 3) {
+			t.Fatalf("after %d outcomes down is %v", i+1, n.ejected)
 		}
 		h.wait(100 * ms)
 	}
@@ -541,7 +541,7 @@
 		h.wait(10 * ms)
 		h.refresh()
 	}
-	if !n.down || !n.mute {
+	if !n.ejected || !n.unresponsive {
 		t.Fatal("node 2 answers no request and is still in service")
 	}
 }
@@ -554,7 +554,7 @@
 		h.now += ms
 		h.done(id, 0, 1, TimedOut, Evidence{})
 	}
-	if h.r.byID[1].down {
+	if h.r.byID[1].ejected {
 		t.Fatal("short client time-outs took the primary out of service")
 	}
 }
@@ -568,8 +568,8 @@
 	for id := RequestID(10); id < 200; id++ {
 		h.arrive(id, classBounded)
 	}
-	if in := h.r.byID[1].inFlight; in == 0 || float64(in) > writeRoom*capAll {
-		t.Fatalf("%d spilled reads in flight at the primary, want 1 to %v", in, writeRoom*capAll)
+	if in := h.r.byID[1].inFlight; in == 0 || float64(in) > writeBoundMultiple*maxBound {
+		t.Fatalf("%d spilled reads in flight at the primary, want 1 to %v", in, writeBoundMultiple*maxBound)
 	}
 }
 
@@ -703,7 +703,7 @@
 	}
 	h.list(nodes...)
 	for _, n := range h.r.nodes {
-		n.down = n.ID != 70
+		n.ejected = n.ID != 70
 	}
 	out := h.arrive(7, classAny)
 	h.want("read with one node left", out, Send)
@@ -764,13 +764,13 @@
 		}
 		behind := h.now
 		n := h.r.byID[2]
-		if !n.down {
+		if !n.ejected {
 			t.Fatal("node 2 is unreachable and in service")
 		}
 		h.now += 5 * time.Second
 		h.probed(2, Replica, behind) // it was cut off from its primary, too
-		if n.down || (h.r.warmth(n) < 1) != cold {
-			t.Fatalf("after %v node 2 is down: %v, warmth %v", status, n.down, h.r.warmth(n))
+		if n.ejected || (h.r.capacityShare(n) < 1) != cold {
+			t.Fatalf("after %v node 2 is down: %v, warmth %v", status, n.ejected, h.r.capacityShare(n))
 		}
 	}
 }
@@ -780,7 +780,7 @@
 func TestGoneNodesAreForgotten(t *testing.T) {
 	h := newHarness(t, settings())
 	h.want("a read", h.arrive(1, classAny), Send)
-	busy := h.r.requests[1].tries[0].n.ID
+	busy := h.r.requests[1].attempts[0].node.ID
 	next := NodeID(10)
 	for range 1000 {
 		h.now += time.Minute
@@ -805,7 +805,7 @@
 		t.Fatal("the busy one is remembered for ever")
 	}
 	h.list(Node{ID: next, State: Ready}, Node{ID: busy, State: Ready, Started: h.now})
-	if n := h.r.byID[busy]; n == nil || n.role != RoleUnknown || n.position != 0 || h.r.warmth(n) == 1 {
+	if n := h.r.byID[busy]; n == nil || n.role != RoleUnknown || n.position != 0 || h.r.capacityShare(n) == 1 {
 		t.Fatal("one that comes back is as a new one, and cold as it is listed")
 	}
 }
--- a/routing/scale_test.go
+++ b/routing/scale_test.go
@@ -34,12 +34,12 @@
 		for i := range routers {
 			r := New(s, uint64(i)*7919+1)
 			r.now = start
-			r.list([]Node{{ID: 1, State: Ready, Started: start - ms}}, true)
-			r.rate = perNode / float64(routers)
+			r.applyList([]Node{{ID: 1, State: Ready, Started: start - ms}}, true)
+			r.warmRate = perNode / float64(routers)
 			n := r.byID[1]
 			for range 200 {
-				if r.now += 10 * ms; r.coldRoom(n, &request{class: &s.Classes[classAny]}) {
-					n.cold.Sent(r.now, s.OverloadWindow, 1)
+				if r.now += 10 * ms; r.withinSlowStart(n, &openRequest{class: &s.Classes[classAny]}) {
+					n.slowStart.Sent(r.now, s.OverloadWindow, 1)
 					sent++
 				}
 			}
@@ -63,32 +63,32 @@
 	for i := range s.Routers {
 		r := New(s, uint64(i)*7919+1)
 		r.now = start
-		r.list([]Node{{ID: 1, State: Ready, Started: start - ms}}, true)
-		r.rate = perNode / float64(s.Routers)
+		r.applyList([]Node{{ID: 1, State: Ready, Started: start - ms}}, true)
+		r.warmRate = perNode / float64(s.Routers)
 		routers = append(routers, r)
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	var sends []int // by 10 ms
 	sent, most := 0, 0.0
-	steps := int(s.SlowStartTime * 4 / 5 / tickEvery)
+	steps := int(s.SlowStartTime * 4 / 5 / tickInterval)
 	for step := range steps {
 		sends = append(sends, 0)
 		for _, r := range routers {
-			r.now = start + time.Duration(step)*tickEvery
-			if n := r.byID[1]; rng.Float64() < asked*tickEvery.Seconds() && r.coldRoom(n, &request{class: &s.Classes[classAny]}) {
-				n.cold.Sent(r.now, s.OverloadWindow, 1)
+			r.now = start + time.Duration(step)*tickInterval
+			if n := r.byID[1]; rng.Float64() < asked*tickInterval.Seconds() && r.withinSlowStart(n, &openRequest{class: &s.Classes[classAny]}) {
+				n.slowStart.Sent(r.now, s.OverloadWindow, 1)
 				sends[step]++
 				sent++
 			}
 		}
-		warmth := routers[0].warmth(routers[0].byID[1])
+		warmth := routers[0].capacityShare(routers[0].byID[1])
 		inWindow := 0
-		for _, n := range sends[max(0, step-int(s.OverloadWindow/tickEvery)):] {
+		for _, n := range sends[max(0, step-int(s.OverloadWindow/tickInterval)):] {
 			inWindow += n
 		}
 		most = max(most, float64(inWindow)/(s.OverloadMultiple*warmth*perNode*s.OverloadWindow.Seconds()))
 	}
-	mean := float64(s.SlowStartShare+1) / 2 * perNode * s.OverloadMultiple * float64(steps) * tickEvery.Seconds()
+	mean := float64(s.SlowStartShare+1) / 2 * perNode * s.OverloadMultiple * float64(steps) * tickInterval.Seconds()
 	if used := float64(sent) / mean; used < 0.2 || most > 0.8 {
 		t.Errorf("%.2f of what the node bears is sent, %.2f of it in the worst window", used, most)
 	}
@@ -131,10 +131,10 @@
 						Class: classAny, Group: step / 10 % 4, TimeLeft: time.Second}})
 				}
 				events = append(next, Event{Kind: TimerFired})
-				h.now += tickEvery
+				h.now += tickInterval
 			}
 		}
-		if most := (probeShare + probeAlone/90) * float64(requests); float64(probes) > most || probes < nodes {
+		if most := (probesPerRequest + probesPerRequestAlone/90) * float64(requests); float64(probes) > most || probes < nodes {
 			t.Errorf("dead %v: %d probes for %d requests, most %.0f", dead, probes, requests, most)
 		}
 	}
@@ -181,7 +181,7 @@
 						Report: Evidence{Role: map[bool]Role{true: Primary, false: Replica}[a.Node == 1], Position: h.now - lag}}})
 				}
 			}
-			events, h.now = next, h.now+tickEvery
+			events, h.now = next, h.now+tickInterval
 		}
 		if fresh := lag < 200*ms; asked == 0 || fresh && sent <= 1 || !fresh && sent != 1 {
 			t.Errorf("lag %v: %d probes, sent to node %d", lag, asked, sent)
@@ -234,7 +234,7 @@
 		}
 		h.now += ms
 	}
-	if most := reads*(1+extraShare) + extraMost; float64(sends) > most || refusals == 0 {
+	if most := reads*(1+retryBudgetShare) + maxRetryBudget; float64(sends) > most || refusals == 0 {
 		t.Errorf("%d sends and %d refusals for %d reads at full nodes, want at most %.0f sends", sends, refusals, reads, most)
 	}
 }
@@ -246,14 +246,14 @@
 	s.Routers = 290
 	h := newHarness(t, s)
 	n := h.r.byID[2]
-	h.r.book(n, 1)
+	h.r.addInFlight(n, 1)
 	h.now += 5 * time.Second
 	h.step()
-	h.r.book(n, -1)
+	h.r.addInFlight(n, -1)
 	h.now += 20 * time.Second
 	h.step()
-	if crowd := h.r.crowd(n); crowd > h.r.bound(n) {
-		t.Errorf("crowd %v 20 s after the only request ended, bound %v", crowd, h.r.bound(n))
+	if crowd := h.r.estimatedInFlight(n); crowd > h.r.effectiveBound(n) {
+		t.Errorf("crowd %v 20 s after the only request ended, bound %v", crowd, h.r.effectiveBound(n))
 	}
 }
 
@@ -281,21 +281,21 @@
 	for _, kept := range []bool{true, false} {
 		h := newHarness(t, settings())
 		n := h.r.byID[2]
-		h.r.suspect(n, false)
-		n.died = true
+		h.r.eject(n, false)
+		n.notListening = true
 		before := n.position
-		h.r.probes = 0
+		h.r.probeBudget = 0
 		h.now += 5 * time.Second
 		if kept {
 			before = h.now - 20*ms
 		}
 		h.probed(2, Replica, before)
-		if n.down || (n.coldAt == 0) != kept {
-			t.Errorf("kept up %v: down %v, cold since %v", kept, n.down, n.coldAt)
+		if n.ejected || (n.restartedAt == 0) != kept {
+			t.Errorf("kept up %v: down %v, cold since %v", kept, n.ejected, n.restartedAt)
 		}
-		h.r.suspect(n, false)
-		h.r.probes = 0
-		if h.wait(5 * time.Second); n.down {
+		h.r.eject(n, false)
+		h.r.probeBudget = 0
+		if h.wait(5 * time.Second); n.ejected {
 			t.Error("neither probed nor tried for 5 s")
 		}
 	}
@@ -370,7 +370,7 @@
 			answers[start] = append(answers[start], -i-1)
 		}
 		calls, last, free := 0, start, start // free: when the service has done all calls so far
-		for now := start; now < start+time.Minute; now += tickEvery {
+		for now := start; now < start+time.Minute; now += tickInterval {
 			events := make([]Event, routers)
 			for i := range events {
 				events[i] = Event{Kind: TimerFired}
@@ -393,8 +393,8 @@
 					if free > now+patience {
 						at, what = now+patience, -i-1
 					}
-					at = (at + tickEvery - 1) / tickEvery * tickEvery
-					answers[max(at, now+tickEvery)] = append(answers[max(at, now+tickEvery)], what)
+					at = (at + tickInterval - 1) / tickInterval * tickInterval
+					answers[max(at, now+tickInterval)] = append(answers[max(at, now+tickInterval)], what)
 				}
 			}
 		}
@@ -424,12 +424,12 @@
 		}
 		first, due := map[int]time.Duration{}, map[int]time.Duration{} // when each asked first, and has its answer
 		calls, free := 0, start
-		for now := start; len(due) < routers; now += tickEvery {
+		for now := start; len(due) < routers; now += tickInterval {
 			if now > start+time.Minute {
 				t.Fatalf("%d routers: %d have the list", routers, len(due))
 			}
 			for i, h := range all {
-				for _, a := range h.wait(tickEvery) {
+				for _, a := range h.wait(tickInterval) {
 					if a.Kind != Subscribe {
 						continue
 					}
@@ -446,9 +446,9 @@
 				}
 			}
 		}
-		over := min(max(pauseFirst, time.Duration(routers)*askEach), s.ListBindsAfter/3) / 2
+		over := min(max(minBackoff, time.Duration(routers)*subscribeSpreadPerRouter), s.ListBindsAfter/3) / 2
 		for i := range routers {
-			if first[i] > start+over+again+tickEvery {
+			if first[i] > start+over+retrySpacing+tickInterval {
 				t.Errorf("%d routers: one asks first after %v", routers, first[i]-start)
 			}
 			if most := start + over + time.Duration(routers)*work + time.Second; due[i] > most {
@@ -474,15 +474,15 @@
 			for range 6 {
 				h.want("unanswered", h.wait(2*time.Second))
 				h.step(Event{Kind: ListFailed})
-				h.want("while resting", h.wait(c.over-again))
-				h.want("after the rest", h.wait(c.over+3*again), Subscribe)
+				h.want("while resting", h.wait(c.over-retrySpacing))
+				h.want("after the rest", h.wait(c.over+3*retrySpacing), Subscribe)
 			}
 			h.list(Node{ID: 1, State: Ready})
 			for range 6 { // each is turned away in the moment in which it is made
 				h.step(Event{Kind: ListFailed})
 				var out []Action
-				for failed := h.now; len(out) == 0; out = h.wait(tickEvery) {
-					if h.now > failed+c.over/2+2*again {
+				for failed := h.now; len(out) == 0; out = h.wait(tickInterval) {
+					if h.now > failed+c.over/2+2*retrySpacing {
 						t.Fatalf("%d routers: turned away at once, and not made again in %v", c.routers, c.over/2)
 					}
 				}
@@ -533,12 +533,12 @@
 		}
 		return n
 	}
-	if n := wakes(); n > int(time.Second/again)+1 {
+	if n := wakes(); n > int(time.Second/retrySpacing)+1 {
 		t.Errorf("%d wakes in an idle second", n)
 	}
 	h.r.byID[1].role = Replica // nobody leads
 	step(Event{Kind: RequestArrived, Request: 7, Arrival: Arrival{Class: classWrite, TimeLeft: time.Minute}})
-	if n := wakes(); n < int(time.Second/tickEvery)-1 {
+	if n := wakes(); n < int(time.Second/tickInterval)-1 {
 		t.Errorf("%d wakes in a second with a request open", n)
 	}
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -222,7 +222,7 @@
 		f.due[router] = f.now + a.Delay
 	case Probe:
 		d := f.nodes[a.Node]
-		f.later(f.now+tickEvery, router, Event{Kind: ProbeDone, Outcome: Outcome{Node: a.Node, Report: f.evidence(d)}}, d)
+		f.later(f.now+tickInterval, router, Event{Kind: ProbeDone, Outcome: Outcome{Node: a.Node, Report: f.evidence(d)}}, d)
 	case Send:
 		d := f.nodes[a.Node]
 		at, status := f.take(d, f.work[a.Request])
@@ -238,7 +238,7 @@
 	for _, m := range f.mix {
 		unit += m.share * m.work
 	}
-	mean := f.load * slowNodes * slowCores / slowMeanWork.Seconds() * tickEvery.Seconds()
+	mean := f.load * slowNodes * slowCores / slowMeanWork.Seconds() * tickInterval.Seconds()
 	for range f.poisson(mean) {
 		m, left := f.mix[0], f.rng.Float64()
 		for _, m = range f.mix {
@@ -310,7 +310,7 @@
 // play runs the fleet. It returns the most that a cold database was sent in a window, as a share of what it bears, and
 // what they were sent in all, as a share of what the multiple allows.
 func (f *slowFleet) play() (worst, used float64) {
-	for end := start + slowWarmUp + slowCold; f.now < end; f.now += tickEvery {
+	for end := start + slowWarmUp + slowCold; f.now < end; f.now += tickInterval {
 		since := f.now - start - slowWarmUp
 		if since == 0 || f.every > 0 && since > 0 && since%f.every == 0 {
 			f.start(since == 0)
@@ -329,7 +329,7 @@
 		}
 		for _, id := range f.restart {
 			if d := f.nodes[id]; d.started > 0 {
-				d.all += slowMultiple * f.warmth(d, f.now) * slowCores / slowMeanWork.Seconds() * tickEvery.Seconds()
+				d.all += slowMultiple * f.warmth(d, f.now) * slowCores / slowMeanWork.Seconds() * tickInterval.Seconds()
 			}
 		}
 	}
--- a/routing/status.go
+++ b/routing/status.go
@@ -33,15 +33,15 @@
 		if n.State == Gone {
 			continue
 		}
-		s := NodeStatus{ID: n.ID, Cold: r.warmth(n) < 1, Primary: n.role == Primary && r.roleTime(n) > listedAt, Position: n.position,
-			LastHeard: max(n.answered, n.provenAt)}
+		s := NodeStatus{ID: n.ID, Cold: r.capacityShare(n) < 1, Primary: n.role == Primary && r.roleTime(n) > listEvidenceAt, Position: n.position,
+			LastHeard: max(n.lastAnswer, n.provenAt)}
 		s.Behind = s.LastHeard + r.offset.Latest - s.Position
 		switch {
-		case n.down && n.mute:
+		case n.ejected && n.unresponsive:
 			s.Health = Unresponsive
-		case n.down && n.died:
+		case n.ejected && n.notListening:
 			s.Health = NotListening
-		case n.down:
+		case n.ejected:
 			s.Health = Failing
 		case s.LastHeard > 0:
 			s.Health = Healthy
@@ -54,7 +54,7 @@
 // Unavailable is how many nodes of the list are sent nothing now, by the operators' word, the list's or the router's own.
 func (r *Router) Unavailable() (count int) {
 	for _, n := range r.nodes {
-		if n.State != Gone && (n.down || !r.mayUse(n, false)) {
+		if n.State != Gone && (n.ejected || !r.mayReceive(n, false)) {
 			count++
 		}
 	}
@@ -69,7 +69,7 @@
 	for _, g := range r.groups {
 		led := len(g.members) == 0 || r.primary(g) != nil
 		for _, n := range g.members {
-			led = led || n.role == Primary && r.banned(n)
+			led = led || n.role == Primary && r.excluded(n)
 		}
 		if !led {
 			return false
