--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -9,12 +9,16 @@
 
 // A host tells the router what happened, in batches, and does what it is told.
 func Example() {
-	router := routing.New(routing.Settings{Routers: 1, MaxAttempts: 3, CanProbe: true, DrainGrace: time.Second,
-		Classes: []routing.Class{{Read: routing.AnyRead, LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, Weight: 1}}}, 1)
+	router := routing.New(routing.Settings{
+		Routers: 1, MaxAttempts: 3, CanProbe: true, DrainGrace: time.Second,
+		Classes: []routing.Class{{Read: routing.AnyRead, LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, Weight: 1}},
+	}, 1)
 	now := time.Hour // the host's clock
 	router.Step(now, []routing.Event{{Kind: routing.ListComplete, Nodes: []routing.Node{{ID: 1, State: routing.Ready}}}}, nil)
-	actions := router.Step(now, []routing.Event{{Kind: routing.RequestArrived, Request: 7,
-		Arrival: routing.Arrival{Session: 42, TimeLeft: time.Second}}}, nil)
+	actions := router.Step(now, []routing.Event{{
+		Kind: routing.RequestArrived, Request: 7,
+		Arrival: routing.Arrival{Session: 42, TimeLeft: time.Second},
+	}}, nil)
 	for _, a := range actions {
 		if a.Kind == routing.Send {
 			fmt.Printf("send request %d to node %d\n", a.Request, a.Node)
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -105,8 +105,10 @@
 		if e.Role == Primary && e.Position >= w.replica[id] {
 			delete(w.replica, id)
 		}
-		events = append(events, Event{Kind: ProbeDone, Outcome: Outcome{Node: id,
-			Status: OK, Report: e}})
+		events = append(events, Event{Kind: ProbeDone, Outcome: Outcome{
+			Node:   id,
+			Status: OK, Report: e,
+		}})
 	}
 	w.probes = w.probes[:0]
 	var open []RequestID
@@ -118,8 +120,10 @@
 			if !try.pending || !due && w.rng.IntN(5) > 0 {
 				continue
 			}
-			o := Outcome{Node: try.node, Attempt: i, Duration: w.now - try.at, Note: w.evidence(try.node),
-				Status: Status(w.rng.IntN(int(NodeRejected) + 1))}
+			o := Outcome{
+				Node: try.node, Attempt: i, Duration: w.now - try.at, Note: w.evidence(try.node),
+				Status: Status(w.rng.IntN(int(NodeRejected) + 1)),
+			}
 			if due {
 				o.Status = TimedOut
 			}
@@ -151,8 +155,10 @@
 	for range w.rng.IntN(3) {
 		w.next++
 		class := w.rng.IntN(len(w.s.Classes))
-		a := Arrival{Class: class, Group: w.rng.IntN(2), Session: uint64(w.rng.IntN(20)),
-			TimeLeft: time.Duration(50+w.rng.IntN(1500)) * ms}
+		a := Arrival{
+			Class: class, Group: w.rng.IntN(2), Session: uint64(w.rng.IntN(20)),
+			TimeLeft: time.Duration(50+w.rng.IntN(1500)) * ms,
+		}
 		q := &tracked{class: w.s.Classes[class], deadline: w.now + a.TimeLeft}
 		if q.class.Read == SessionRead && w.rng.IntN(2) == 0 {
 			a.LastWrite = w.now - time.Duration(w.rng.Int64N(int64(time.Second)))
@@ -241,9 +247,11 @@
 		if rng.IntN(2) == 0 {
 			s.Quotas = []float64{5}
 		}
-		w := &world{t: t, s: s, rng: rng, now: start, requests: map[RequestID]*tracked{},
+		w := &world{
+			t: t, s: s, rng: rng, now: start, requests: map[RequestID]*tracked{},
 			position: map[NodeID]time.Duration{}, replica: map[NodeID]time.Duration{},
-			toldOff: map[NodeID]time.Duration{}}
+			toldOff: map[NodeID]time.Duration{},
+		}
 		r, twin := New(s, seed), New(s, seed)
 		nodes := w.nodes()
 		w.told(nodes)
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -20,7 +20,8 @@
 )
 
 func settings() Settings {
-	return Settings{Routers: 1, MaxAttempts: 6, MaxRetryAfter: time.Second, CanCancel: true,
+	return Settings{
+		Routers: 1, MaxAttempts: 6, MaxRetryAfter: time.Second, CanCancel: true,
 		CanProbe: true, CanHedge: true, DrainGrace: time.Second, SlowStartShare: 0.2,
 		SlowStartTime: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second, OverQuota: 0.1,
 		Classes: []Class{
@@ -29,9 +30,12 @@
 			classSession: {Read: SessionRead, LatencyObjective: 200 * ms, Deadline: time.Second, Weight: 1},
 			classFresh:   {Read: FreshRead, LatencyObjective: 200 * ms, Deadline: time.Second, Weight: 1},
 			classWrite:   {Read: Write, Effect: NonIdempotent, LatencyObjective: 200 * ms, Deadline: 2 * time.Second, Weight: 2},
-			classKeyed: {Read: Write, Effect: Deduplicated, DedupGroup: DedupReplicaGroup, DedupWindow: 500 * ms, LatencyObjective: 200 * ms,
-				Deadline: 2 * time.Second, Weight: 2},
-		}}
+			classKeyed: {
+				Read: Write, Effect: Deduplicated, DedupGroup: DedupReplicaGroup, DedupWindow: 500 * ms, LatencyObjective: 200 * ms,
+				Deadline: 2 * time.Second, Weight: 2,
+			},
+		},
+	}
 }
 
 // harness drives a router by hand.
@@ -75,13 +79,17 @@
 }
 
 func (h *harness) arrive(id RequestID, class int) []Action {
-	return h.step(Event{Kind: RequestArrived, Request: id,
-		Arrival: Arrival{Class: class, Session: uint64(id), TimeLeft: h.r.settings.Classes[class].Deadline}})
+	return h.step(Event{
+		Kind: RequestArrived, Request: id,
+		Arrival: Arrival{Class: class, Session: uint64(id), TimeLeft: h.r.settings.Classes[class].Deadline},
+	})
 }
 
 func (h *harness) done(id RequestID, attempt int, n NodeID, status Status, note Evidence) []Action {
-	return h.step(Event{Kind: AttemptDone, Request: id, Outcome: Outcome{Node: n, Attempt: attempt, Status: status,
-		Final: status == OK, Note: note}})
+	return h.step(Event{Kind: AttemptDone, Request: id, Outcome: Outcome{
+		Node: n, Attempt: attempt, Status: status,
+		Final: status == OK, Note: note,
+	}})
 }
 
 // wait lets time pass in ticks and returns what was done.
@@ -489,8 +497,10 @@
 			}
 			out = len(open)
 			for _, id := range open {
-				h.step(Event{Kind: AttemptDone, Request: id, Outcome: Outcome{Node: at[id], Status: OK, Final: true,
-					Duration: 150 * ms, Report: Evidence{Role: Replica, Position: h.now, ReportsQueue: tells, QueueLength: waiting}}})
+				h.step(Event{Kind: AttemptDone, Request: id, Outcome: Outcome{
+					Node: at[id], Status: OK, Final: true,
+					Duration: 150 * ms, Report: Evidence{Role: Replica, Position: h.now, ReportsQueue: tells, QueueLength: waiting},
+				}})
 			}
 			open = nil
 			h.now += 20 * ms
@@ -597,8 +607,10 @@
 		out = h.r.Step(h.now, events, out[:0])
 		for _, a := range out {
 			if a.Kind == Send {
-				events[0] = Event{Kind: AttemptDone, Request: id, Outcome: Outcome{Node: a.Node, Final: true,
-					Duration: ms, Note: Evidence{Role: Replica, Position: h.now}}}
+				events[0] = Event{Kind: AttemptDone, Request: id, Outcome: Outcome{
+					Node: a.Node, Final: true,
+					Duration: ms, Note: Evidence{Role: Replica, Position: h.now},
+				}}
 			}
 		}
 		out = h.r.Step(h.now, events, out[:0])
@@ -613,8 +625,10 @@
 	for id := RequestID(10); id < 40; id++ {
 		h.now += 20 * ms
 		h.arrive(id, classFresh)
-		h.step(Event{Kind: AttemptDone, Request: id, Outcome: Outcome{Node: 1, Duration: 10 * ms, Final: true,
-			Note: Evidence{Role: Primary, Position: h.now}}})
+		h.step(Event{Kind: AttemptDone, Request: id, Outcome: Outcome{
+			Node: 1, Duration: 10 * ms, Final: true,
+			Note: Evidence{Role: Primary, Position: h.now},
+		}})
 		h.step(Event{Kind: TimerFired})
 	}
 	if in := h.r.byID[1].inFlight; in != 0 {
--- a/routing/scale_test.go
+++ b/routing/scale_test.go
@@ -118,17 +118,22 @@
 						if dead {
 							status = TimedOut
 						}
-						next = append(next, Event{Kind: ProbeDone, Outcome: Outcome{Node: a.Node, Status: status,
-							Report: Evidence{Role: Replica, Position: h.now}}})
+						next = append(next, Event{Kind: ProbeDone, Outcome: Outcome{
+							Node: a.Node, Status: status,
+							Report: Evidence{Role: Replica, Position: h.now},
+						}})
 					case Send:
-						next = append(next, Event{Kind: AttemptDone, Request: a.Request, Outcome: Outcome{Node: a.Node,
-							Status: OK, Duration: 10 * ms, Final: true, Note: Evidence{Role: Replica, Position: h.now}}})
+						next = append(next, Event{Kind: AttemptDone, Request: a.Request, Outcome: Outcome{
+							Node:   a.Node,
+							Status: OK, Duration: 10 * ms, Final: true, Note: Evidence{Role: Replica, Position: h.now},
+						}})
 					}
 				}
 				if step%10 == 0 {
 					requests++
 					next = append(next, Event{Kind: RequestArrived, Request: RequestID(step + 1), Arrival: Arrival{
-						Class: classAny, Group: step / 10 % 4, TimeLeft: time.Second}})
+						Class: classAny, Group: step / 10 % 4, TimeLeft: time.Second,
+					}})
 				}
 				events = append(next, Event{Kind: TimerFired})
 				h.now += tickInterval
@@ -166,8 +171,10 @@
 	for _, lag := range []time.Duration{50 * ms, time.Second} {
 		h := newHarness(t, settings())
 		h.now += 2 * time.Second
-		events := []Event{{Kind: RequestArrived, Request: 7, Arrival: Arrival{Class: classBounded, Session: 7,
-			TimeLeft: time.Second}}}
+		events := []Event{{Kind: RequestArrived, Request: 7, Arrival: Arrival{
+			Class: classBounded, Session: 7,
+			TimeLeft: time.Second,
+		}}}
 		asked, sent := 0, NodeID(0)
 		for range 20 {
 			var next []Event
@@ -177,8 +184,10 @@
 					sent = a.Node
 				case Probe:
 					asked++
-					next = append(next, Event{Kind: ProbeDone, Outcome: Outcome{Node: a.Node,
-						Report: Evidence{Role: map[bool]Role{true: Primary, false: Replica}[a.Node == 1], Position: h.now - lag}}})
+					next = append(next, Event{Kind: ProbeDone, Outcome: Outcome{
+						Node:   a.Node,
+						Report: Evidence{Role: map[bool]Role{true: Primary, false: Replica}[a.Node == 1], Position: h.now - lag},
+					}})
 				}
 			}
 			events, h.now = next, h.now+tickInterval
@@ -200,8 +209,10 @@
 	h.step(Event{Kind: ListUpdated, Nodes: []Node{{ID: 9, State: Ready, Group: 1}}},
 		Event{Kind: ListUpdated, Nodes: []Node{{ID: 9, State: Gone, Group: 1}}})
 	for id := range RequestID(4) { // in turn, so that a walk of group 0 precedes each of group 1
-		out := h.step(Event{Kind: RequestArrived, Request: id + 1, Arrival: Arrival{Class: classBounded,
-			Group: int(id % 2), TimeLeft: time.Second}})
+		out := h.step(Event{Kind: RequestArrived, Request: id + 1, Arrival: Arrival{
+			Class: classBounded,
+			Group: int(id % 2), TimeLeft: time.Second,
+		}})
 		for _, a := range out {
 			if a.Kind == Send && (a.Request == 2 || a.Request == 4) {
 				t.Fatalf("a read of the empty group was sent to node %d", a.Node)
@@ -264,8 +275,10 @@
 	h.probed(2, Replica, h.now-time.Second)
 	h.probed(3, Replica, h.now-time.Second)
 	probes := 0
-	for _, a := range h.r.Step(h.now, []Event{{Kind: RequestArrived, Request: 7, Arrival: Arrival{Class: classBounded,
-		TimeLeft: time.Second}}}, nil) {
+	for _, a := range h.r.Step(h.now, []Event{{Kind: RequestArrived, Request: 7, Arrival: Arrival{
+		Class:    classBounded,
+		TimeLeft: time.Second,
+	}}}, nil) {
 		if a.Kind == Probe {
 			probes++
 		}
@@ -318,7 +331,8 @@
 			h.now += 5 * time.Second
 			h.r.nextTick = h.now + time.Second // no other probes
 			for _, a := range h.r.Step(h.now, []Event{{Kind: RequestArrived, Request: 7, Arrival: Arrival{
-				Class: classBounded, Session: session + 1, TimeLeft: time.Second}}}, nil) {
+				Class: classBounded, Session: session + 1, TimeLeft: time.Second,
+			}}}, nil) {
 				if a.Kind == Probe && a.Node == behind {
 					t.Errorf("session %d: node %d is asked, 2 s behind when it last spoke", session, behind)
 				}
@@ -345,7 +359,8 @@
 		h.r.nextTick = h.now + time.Second // no other probes
 		asked := false
 		for _, a := range h.r.Step(h.now, []Event{{Kind: RequestArrived, Request: 7, Arrival: Arrival{
-			Class: classBounded, TimeLeft: time.Second}}}, nil) {
+			Class: classBounded, TimeLeft: time.Second,
+		}}}, nil) {
 			asked = asked || a.Kind == Probe
 		}
 		if asked != c.asks {
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -123,9 +123,11 @@
 	s.Routers, s.CanHedge, s.SlowStartShare, s.SlowStartTime, s.OverloadMultiple = c.told, false, c.coldShare, slowColdTime, slowMultiple
 	s.Classes[classAny].LatencyObjective, s.Classes[classAny].Deadline = 5*time.Second, 10*time.Second // reports
 	s.OverloadWindow = c.window
-	f := &slowFleet{slowStart: c, settings: s, rng: rand.New(rand.NewPCG(c.seed, 11)), now: start,
+	f := &slowFleet{
+		slowStart: c, settings: s, rng: rand.New(rand.NewPCG(c.seed, 11)), now: start,
 		nodes: map[NodeID]*database{}, work: map[RequestID]float64{}, tries: map[RequestID]int{},
-		events: make([][]Event, c.routers), due: make([]time.Duration, c.routers)}
+		events: make([][]Event, c.routers), due: make([]time.Duration, c.routers),
+	}
 	for id := NodeID(1); id <= slowNodes; id++ {
 		f.nodes[id] = &database{id: id}
 	}
@@ -226,8 +228,10 @@
 	case Send:
 		d := f.nodes[a.Node]
 		at, status := f.take(d, f.work[a.Request])
-		f.later(at, router, Event{Kind: AttemptDone, Request: a.Request, Outcome: Outcome{Node: a.Node,
-			Attempt: f.tries[a.Request], Status: status, Duration: at - f.now, Final: status == OK}}, d)
+		f.later(at, router, Event{Kind: AttemptDone, Request: a.Request, Outcome: Outcome{
+			Node:    a.Node,
+			Attempt: f.tries[a.Request], Status: status, Duration: at - f.now, Final: status == OK,
+		}}, d)
 		f.tries[a.Request]++
 	}
 }
@@ -250,7 +254,8 @@
 		f.work[f.next] = m.work / unit * f.rng.ExpFloat64()
 		router := f.router()
 		f.events[router] = append(f.events[router], Event{Kind: RequestArrived, Request: f.next, Arrival: Arrival{
-			Class: m.class, Session: uint64(f.next), TimeLeft: f.settings.Classes[m.class].Deadline}})
+			Class: m.class, Session: uint64(f.next), TimeLeft: f.settings.Classes[m.class].Deadline,
+		}})
 		f.due[router] = f.now
 	}
 }
