--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -6,142 +6,199 @@
 	"capercove/internal/clockoffset"
 )
 
-// Tuned values. Times are on the router's clock, bounds in requests in flight.
 const (
-	lostMultiple     = 8    // times the usual latency, and the aim: what later ones overtook is lost
-	retryBudgetShare = 0.1  // second copies and retries allowed for each first try
-	maxRetryBudget   = 20.0 // saved up
+	// lostMultiple is how many times the usual latency an attempt is pending, and for longer than its objective,
+	// before it is taken for lost if later ones were answered. It is a guard.
+	lostMultiple = 8
+	// retryBudgetShare is the number of hedged requests, and of retries after an overload, that each first attempt
+	// pays for; maxRetryBudget is what may be saved up. They are guards against retry storms.
+	retryBudgetShare = 0.1
+	maxRetryBudget   = 20.0
+	// retrySpacing is the least time between two attempts of one request at the same node.
+	retrySpacing = 50 * ms
 )
 
+// attemptRecord is one attempt of a request.
 type attemptRecord struct {
-	node            *nodeRecord
-	sentAt, endedAt time.Duration
-	loadAtSend      float64 // crowd there at the send
-	pending, lost   bool
+	node       *nodeRecord
+	sentAt     time.Duration
+	endedAt    time.Duration
+	loadAtSend float64 // the estimated in-flight requests of the node at the send
+	pending    bool
+	lost       bool // it no longer counts as in flight
 }
 
-// attemptDone books an outcome. It returns the request if it is still to be placed.
-func (r *Router) attemptDone(id RequestID, o *Outcome) *openRequest {
-	if n := r.byID[o.Node]; n != nil {
-		r.learn(n, o.Note, clockoffset.Instant{Own: r.now})
-		r.learn(n, o.Report, r.toldInstant(o.Report.Position))
-	}
-	q := r.requests[id]
-	if q == nil || o.Attempt >= len(q.attempts) || !q.attempts[o.Attempt].pending {
-		return nil
+// mayAttempt keeps the rule on repeats, and the number of attempts within its bound.
+func (r *Router) mayAttempt(request *openRequest, node *nodeRecord) bool {
+	if request.done || len(request.attempts) >= request.maxAttempts || request.pending > 0 && !r.settings.CanHedge {
+		return false
 	}
-	t := &q.attempts[o.Attempt]
-	n := t.node
-	t.pending, t.endedAt = false, r.now
-	if o.Status != ConnectFailed && o.Status != ConnectRefused && o.Status != NotSent {
-		q.holdUntil = q.deadline
+	class := request.class
+	if !request.mayHaveRun || class.Effect == Idempotent {
+		return true
 	}
-	q.pending--
-	if !t.lost {
-		r.addInFlight(n, -1)
+	return class.Effect == Deduplicated &&
+		r.now-request.firstSentAt < class.DedupWindow &&
+		(class.DedupGroup != DedupZone || node.Zone == request.dedupNode.Zone)
+}
+
+// eligible tells whether the request may go to the node as far as rules, health and earlier attempts go.
+func (r *Router) eligible(node *nodeRecord, request *openRequest, asPrimary bool) bool {
+	if node.ejected || !r.mayReceive(node, asPrimary) {
+		return false
 	}
-	if o.Status != NotSent && o.Status != Cancelled && !(t.lost && o.Status == TimedOut) {
-		r.recordOutcome(n, q, o)
+	if !r.mayAttempt(request, node) || !r.withinSlowStart(node, request) {
+		return false
 	}
-	if q.class.Read == Write {
-		commit := clockoffset.Instant{Remote: o.Note.Position}
-		if commit.Remote == 0 {
-			commit.Own = r.now
+	for i := range request.attempts {
+		attempt := &request.attempts[i]
+		if attempt.node == node && (attempt.pending || r.now-attempt.endedAt < retrySpacing) {
+			return false
 		}
-		r.writes.Ended(q.Session, !o.Status.NeverRan(), commit)
 	}
-	if q.done || o.Final {
-		r.finish(q)
+	return true
+}
+
+// send makes an attempt at the node.
+func (r *Router) send(request *openRequest, node *nodeRecord) {
+	node.slowStart.Sent(r.now, r.settings.OverloadWindow, r.slowStartWork(request))
+	if !request.mayHaveRun {
+		request.mayHaveRun, request.firstSentAt, request.dedupNode = true, r.now, node
+	}
+	request.attempts = append(request.attempts, attemptRecord{
+		node:       node,
+		sentAt:     r.now,
+		loadAtSend: r.estimatedInFlight(node),
+		pending:    true,
+	})
+	request.pending++
+	r.addInFlight(node, 1)
+	if request.class.Read == Write {
+		r.writes.Sent(request.Session)
+	}
+	r.emit(Action{Kind: Send, Request: request.id, Node: node.ID, WriteBy: r.freshUntil(node, request)})
+}
+
+// attemptDone takes in the outcome of an attempt. It returns the request if it is to be placed again.
+func (r *Router) attemptDone(id RequestID, outcome *Outcome) *openRequest {
+	r.learnFromOutcome(outcome)
+	request := r.requests[id]
+	if request == nil || outcome.Attempt >= len(request.attempts) {
 		return nil
 	}
-	if o.Status.NeverRan() && q.pending == 0 && q.dedupNode == n && q.firstSentAt == t.sentAt {
-		q.mayHaveRun, q.dedupNode = false, nil
+	attempt := &request.attempts[outcome.Attempt]
+	if !attempt.pending {
+		return nil
 	}
-	if q.pending > 0 {
+	r.endAttempt(request, attempt, outcome)
+	if request.done || outcome.Final {
+		r.finish(request)
 		return nil
 	}
-	full := o.Status == NodeOverloaded && q.class.Read != Write // Where one is full, all may be: no storm.
-	if full && r.retryBudget < 1 || q.mayHaveRun && q.class.Effect == NonIdempotent || r.now >= q.deadline {
-		r.rejectOrFail(q)
+	if request.pending > 0 {
 		return nil
 	}
-	if full {
-		r.retryBudget--
+	first := request.dedupNode == attempt.node && request.firstSentAt == attempt.sentAt
+	if outcome.Status.NeverRan() && first {
+		request.mayHaveRun, request.dedupNode = false, nil
+	}
+	if !r.mayRetry(request, outcome.Status) {
+		r.rejectOrFail(request)
+		return nil
 	}
-	return q
+	return request
 }
 
-func (r *Router) send(q *openRequest, n *nodeRecord) {
-	n.slowStart.Sent(r.now, r.settings.OverloadWindow, r.slowStartWork(q))
-	if !q.mayHaveRun {
-		q.mayHaveRun, q.firstSentAt, q.dedupNode = true, r.now, n
-	}
-	q.attempts = append(q.attempts, attemptRecord{node: n, sentAt: r.now, pending: true, loadAtSend: r.estimatedInFlight(n)})
-	r.addInFlight(n, 1)
-	if q.pending++; q.class.Read == Write {
-		r.writes.Sent(q.Session)
-	}
-	var by time.Duration // Proof of freshness may run out while a connection is opened.
-	if q.class.Read == BoundedRead && n.role != Primary && r.settings.StaleReads == StaleAnswered {
-		by = n.position + q.class.MaxAge - r.offset.Latest
+// endAttempt books the end of an attempt at its node and in its session.
+func (r *Router) endAttempt(request *openRequest, attempt *attemptRecord, outcome *Outcome) {
+	status := outcome.Status
+	attempt.pending, attempt.endedAt = false, r.now
+	request.pending--
+	if status != ConnectFailed && status != ConnectRefused && status != NotSent {
+		request.holdUntil = request.deadline
+	}
+	if !attempt.lost {
+		r.addInFlight(attempt.node, -1)
+	}
+	if status != NotSent && status != Cancelled && (!attempt.lost || status != TimedOut) {
+		r.recordOutcome(request, attempt, outcome)
+	}
+	if request.class.Read == Write {
+		commit := clockoffset.Instant{Remote: outcome.Note.Position}
+		if commit.Remote == 0 {
+			commit.Own = r.now
+		}
+		r.writes.Ended(request.Session, !status.NeverRan(), commit)
 	}
-	r.emit(Action{Kind: Send, Request: q.id, Node: n.ID, WriteBy: by})
 }
 
-// mayAttempt keeps the rule on repeats and the attempts within their cap.
-func (r *Router) mayAttempt(q *openRequest, n *nodeRecord) bool {
-	if q.done || len(q.attempts) >= q.maxAttempts || q.pending > 0 && !r.settings.CanHedge {
+// mayRetry tells whether a request without a pending attempt may be placed again, and pays for a retry of a read
+// after an overload: where one node is overloaded, all may be, and retries would be a storm.
+func (r *Router) mayRetry(request *openRequest, status Status) bool {
+	overloaded := status == NodeOverloaded && request.class.Read != Write
+	if overloaded && r.retryBudget < 1 {
 		return false
 	}
-	if !q.mayHaveRun || q.class.Effect == Idempotent {
-		return true
+	if request.mayHaveRun && request.class.Effect == NonIdempotent || r.now >= request.deadline {
+		return false
 	}
-	return q.class.Effect == Deduplicated && r.now-q.firstSentAt < q.class.DedupWindow &&
-		(q.class.DedupGroup != DedupZone || n.Zone == q.dedupNode.Zone)
+	if overloaded {
+		r.retryBudget--
+	}
+	return true
 }
 
-// eligible tells whether the request may go to the node as far as rules, health and earlier attempts go.
-func (r *Router) eligible(n *nodeRecord, q *openRequest, asPrimary bool) bool {
-	if n.ejected || !r.mayReceive(n, asPrimary) || !r.mayAttempt(q, n) || !r.withinSlowStart(n, q) {
-		return false
+// checkOverdue looks after a request whose last attempt is pending: its node may be unresponsive or the attempt lost,
+// and a read may be hedged.
+func (r *Router) checkOverdue(request *openRequest) {
+	attempt := &request.attempts[len(request.attempts)-1]
+	waited, objective := r.now-attempt.sentAt, r.latencyObjective(request)
+	r.ejectIfSilent(attempt.node, waited, objective)
+	r.detectLoss(attempt, waited, objective)
+	if attempt.node.ejected || attempt.lost {
+		r.hedge(request)
 	}
-	for _, t := range q.attempts {
-		if t.node == n && (t.pending || r.now-t.endedAt < retrySpacing) {
-			return false
-		}
+}
+
+// detectLoss marks an attempt as lost on the way if it is pending for many times the usual latency while ones sent
+// well after it are answered. It leaves the node's count, so that lost writes do not stop others. A rare and very
+// costly read is taken for lost too.
+func (r *Router) detectLoss(attempt *attemptRecord, waited, objective time.Duration) {
+	usual := time.Duration(attempt.node.latency)
+	overtaken := attempt.node.latestAnsweredSend > attempt.sentAt+usual
+	if !attempt.lost && waited > max(lostMultiple*usual, objective) && overtaken {
+		r.stopCounting(attempt)
 	}
-	return true
 }
 
-func (r *Router) checkOverdue(q *openRequest) {
-	t := &q.attempts[len(q.attempts)-1]
-	n, waited, aim, usual := t.node, r.now-t.sentAt, r.latencyObjective(q), time.Duration(t.node.latency)
-	quiet := max(minSilence, silenceMultiple*usual, aim)
-	if waited > quiet && r.now-n.lastAnswer > quiet && !n.ejected {
-		r.eject(n, true)
-	}
-	// An attempt out for many times the usual while ones sent well after it are answered was lost on the way.
-	// It leaves the count, so that lost writes do not stop others. A rare very costly read gets a copy too.
-	if !t.lost && waited > max(lostMultiple*usual, aim) && n.latestAnsweredSend > t.sentAt+usual {
-		t.lost = true
-		r.addInFlight(n, -1)
-	}
-	if q.class.Read == Write || q.pending > 1 || r.retryBudget < 1 || !n.ejected && !t.lost {
+// stopCounting takes an attempt out of its node's count of requests in flight before it has ended.
+func (r *Router) stopCounting(attempt *attemptRecord) {
+	if attempt.lost {
+		return
+	}
+	attempt.lost = true
+	r.addInFlight(attempt.node, -1)
+}
+
+// hedge makes a second attempt of a read at another replica with room, if the budget allows it.
+func (r *Router) hedge(request *openRequest) {
+	if request.class.Read == Write || request.pending > 1 || r.retryBudget < 1 {
 		return
 	}
-	if m, room := r.nextReplica(q.group, r.primary(q.group), q); room {
+	found := r.nextReplica(request.group, r.primary(request.group), request)
+	if found.hasRoom {
 		r.retryBudget--
-		r.send(q, m)
+		r.send(request, found.replica)
 	}
 }
 
-// answerStarted takes a request whose answer is on its way out of the open ones, and its attempt out of the node's count.
+// answerStarted takes a request whose answer is being passed on out of the open ones, and its attempt out of the
+// node's count.
 func (r *Router) answerStarted(id RequestID, attempt int) {
-	if q := r.requests[id]; q != nil && !q.done && attempt < len(q.attempts) && q.attempts[attempt].pending {
-		q.answering = true
-		if t := &q.attempts[attempt]; !t.lost {
-			t.lost = true
-			r.addInFlight(t.node, -1)
-		}
+	request := r.requests[id]
+	if request == nil || request.done || attempt >= len(request.attempts) || !request.attempts[attempt].pending {
+		return
 	}
+	request.answering = true
+	r.stopCounting(&request.attempts[attempt])
 }
--- a/routing/control.go
+++ b/routing/control.go
@@ -1,54 +1,82 @@
 package routing
 
-// Tuned values. Times are on the router's clock, bounds in requests in flight.
+// The control loop is the design's: its constants are fractions of the latency objective and of the cap, so that
+// they hold at any site. Twice and half the gain change the score at a second site by under 0.01.
 const (
-	controlPeriod    = 500 * ms // P of the design's loop
+	controlPeriod    = 500 * ms // P of the design
 	proportionalGain = 0.1      // K_P, as a share of the cap
 	integralGain     = 0.3      // K_I
-	minError         = -2.0     // one hung period moves a bound no further than this error
-	minSamples       = 6        // fewer reads than this are carried over to the next period
-	maxBound         = 4.0      // cap of d, the reads that all routers may have out at a node of size 1
-	minBoundShare    = 1.0 / 6  // floor of d, as a share of the cap
+	// minError limits how far one period in which a node hung moves its bound.
+	minError = -2.0
+	// minSamples is the least number of reads of which a mean is taken; fewer are carried over to the next period.
+	minSamples = 6
+	// maxBound is the cap of a bound: the reads that all routers together may have in flight at a node of size 1. It
+	// is measured with nodes of three cores; internal/capacity scales it to others.
+	maxBound = 4.0
+	// minBoundShare is the floor of a bound, as a share of the cap: a node without requests would never be measured
+	// again.
+	minBoundShare = 1.0 / 6
+	// warmRateSmoothing is the weight of one period in the running mean of completions.
+	warmRateSmoothing = 3 * smoothing
 )
 
-// controlStep runs the design's PI step for every node: e is 1 less the mean of latency over aim. Reads in flight
-// beyond their aim are samples too, so that a hung node does not look idle. The velocity form integrates
-// twice, so at a limit the stored change is the one that took effect.
+// controlStep runs one period of the control loops, one for each node.
 func (r *Router) controlStep() {
-	for _, q := range r.open {
-		for _, t := range q.attempts {
-			if waited := r.now - t.sentAt; t.pending && !t.lost && !q.done && waited > r.latencyObjective(q) {
-				t.node.ratioSum += float64(waited) / float64(r.latencyObjective(q))
-				t.node.samples++
+	r.sampleOverdue()
+	r.updateWarmRate()
+	for _, node := range r.nodes {
+		if node.samples >= minSamples {
+			node.adjustBound()
+		}
+	}
+}
+
+// sampleOverdue counts attempts that are pending beyond their objective as samples, so that a hung node does not look
+// idle.
+func (r *Router) sampleOverdue() {
+	for _, request := range r.open {
+		for _, attempt := range request.attempts {
+			waited := r.now - attempt.sentAt
+			if attempt.pending && !attempt.lost && !request.done && waited > r.latencyObjective(request) {
+				attempt.node.ratioSum += float64(waited) / float64(r.latencyObjective(request))
+				attempt.node.samples++
 			}
 		}
 	}
+}
+
+// updateWarmRate takes the period's completions into the running mean for each warm node.
+func (r *Router) updateWarmRate() {
 	completed, warm := 0.0, 0
-	for _, n := range r.nodes {
-		if r.capacityShare(n) == 1 && n.State == Ready && !n.ejected {
-			completed, warm = completed+n.completed, warm+1
-		}
-		n.completed = 0
-		if n.samples < minSamples {
-			continue
+	for _, node := range r.nodes {
+		if r.capacityShare(node) == 1 && node.State == Ready && !node.ejected {
+			completed += node.completed
+			warm++
 		}
-		e := max(minError, 1-n.ratioSum/float64(n.samples))
-		n.delta += proportionalGain * maxBound * ((integralGain+1)*e - n.lastError)
-		d := min(maxBound, max(minBoundShare*maxBound, n.bound+n.delta))
-		n.delta, n.bound, n.lastError = d-n.bound, d, e
-		n.ratioSum, n.samples = 0, 0
+		node.completed = 0
 	}
 	if warm > 0 {
-		r.warmRate += 3 * smoothing * (completed/float64(warm)/controlPeriod.Seconds() - r.warmRate)
+		perNode := completed / float64(warm) / controlPeriod.Seconds()
+		r.warmRate += warmRateSmoothing * (perNode - r.warmRate)
 	}
-	r.layRings()
-	r.writes.Forget(r.now-writeRetention, r.offset.Earliest)
 }
 
-// effectiveBound is the loop's d for a node, less while it is cold or has yet to prove itself.
-func (r *Router) effectiveBound(n *nodeRecord) float64 {
-	if n.halfOpen {
-		return min(1, n.bound)
+// adjustBound runs the PI step. The error is 1 less the mean of latency over objective. The velocity form integrates
+// twice, so at a limit the stored change is the one that took effect.
+func (n *nodeRecord) adjustBound() {
+	controlError := max(minError, 1-n.ratioSum/float64(n.samples))
+	n.delta += proportionalGain * maxBound * ((integralGain+1)*controlError - n.lastError)
+	bound := min(maxBound, max(minBoundShare*maxBound, n.bound+n.delta))
+	n.delta = bound - n.bound
+	n.bound = bound
+	n.lastError = controlError
+	n.ratioSum, n.samples = 0, 0
+}
+
+// effectiveBound is the node's bound, less while it is warming up or has yet to prove itself.
+func (r *Router) effectiveBound(node *nodeRecord) float64 {
+	if node.halfOpen {
+		return min(1, node.bound)
 	}
-	return n.bound * r.capacityShare(n)
+	return node.bound * r.capacityShare(node)
 }
--- a/routing/evidence.go
+++ b/routing/evidence.go
@@ -2,54 +2,60 @@
 
 import "capercove/internal/clockoffset"
 
-// Tuned values. Times are on the router's clock, bounds in requests in flight.
-const (
-	smoothing = 0.1 // weight of a new sample in the running means
-)
+// smoothing is the weight of a new sample in the running means: some ten samples count. It is part of the design.
+const smoothing = 0.1
 
-// learn takes in what a node said of itself. Positions never go back; the newest word on the role wins.
-func (r *Router) learn(n *nodeRecord, e Evidence, at clockoffset.Instant) {
-	if e.Position > 0 {
-		if r.plausible(e.Position) { // Else it is spoilt, or the clocks differ and that is yet to be found.
-			n.position = max(n.position, e.Position)
+// learn takes in what a node reported of itself at an instant. Positions never go back; the newest evidence of the
+// role counts. A position in the future is spoilt, or the clocks differ by more than has been found yet.
+func (r *Router) learn(node *nodeRecord, evidence Evidence, at clockoffset.Instant) {
+	if evidence.Position > 0 {
+		if r.plausible(evidence.Position) {
+			node.position = max(node.position, evidence.Position)
 		}
-		n.provenAt = r.now
+		node.provenAt = r.now
 	}
-	if e.Role != RoleUnknown && at.By(r.offset.Earliest) >= r.roleTime(n) {
-		n.role, n.roleAt = e.Role, at
+	if evidence.Role != RoleUnknown && at.By(r.offset.Earliest) >= r.roleTime(node) {
+		node.role, node.roleAt = evidence.Role, at
 	}
-	if e.ReportsQueue && r.capacityShare(n) == 1 {
-		r.size = r.size.Told(r.estimatedInFlight(n), e.QueueLength)
+	if evidence.ReportsQueue && r.capacityShare(node) == 1 {
+		r.size = r.size.Told(r.estimatedInFlight(node), evidence.QueueLength)
 	}
 }
 
-// recordOutcome books what an outcome tells of its node: health, latency, the loop's sample.
-func (r *Router) recordOutcome(n *nodeRecord, q *openRequest, o *Outcome) {
-	switch o.Status {
-	case ConnectFailed, ConnectRefused, ConnectionBroken, NodeError: // Sound nodes err, and reset connections.
-		n.notListening = n.notListening || o.Status == ConnectRefused
-		if n.failures++; n.failures >= 3 || n.failures == 2 && o.Status != NodeError {
-			r.eject(n, o.Status == NodeError)
-		}
-	case TimedOut: // Health is for the watch on silence: a client's short time-out says little of the node.
-	default:
-		n.lastHeard, n.lastAnswer, n.failures, n.unresponsive, n.backoff = r.now, r.now, 0, false, 0
-		r.readmit(n)
+// learnFromOutcome takes in what a node reported with the outcome of an attempt.
+func (r *Router) learnFromOutcome(outcome *Outcome) {
+	node := r.byID[outcome.Node]
+	if node == nil {
+		return
 	}
-	if o.Status == OK {
-		n.halfOpen = false
-		work := r.work.Of(q.Class)
-		n.completed += work
-		n.slowStart.Answered(r.now, work)
-		n.latestAnsweredSend = max(n.latestAnsweredSend, q.attempts[o.Attempt].sentAt)
+	r.learn(node, outcome.Note, clockoffset.Instant{Own: r.now})
+	r.learn(node, outcome.Report, r.reportedInstant(outcome.Report.Position))
+}
+
+// recordOutcome books what the end of an attempt tells of its node: health, completed work and latency.
+func (r *Router) recordOutcome(request *openRequest, attempt *attemptRecord, outcome *Outcome) {
+	node := attempt.node
+	r.recordHealth(node, outcome.Status)
+	if outcome.Status == OK {
+		node.halfOpen = false
+		work := r.work.Of(request.Class)
+		node.completed += work
+		node.slowStart.Answered(r.now, work)
+		node.latestAnsweredSend = max(node.latestAnsweredSend, attempt.sentAt)
 	}
-	if o.Status == OK || o.Status == TimedOut {
-		if r.capacityShare(n) == 1 {
-			r.work.Answered(q.Class, o.Duration)
-		}
-		n.latency += smoothing * (float64(o.Duration) - n.latency)
-		n.meanLoad += smoothing * (q.attempts[o.Attempt].loadAtSend - n.meanLoad)
-		n.ratioSum += float64(o.Duration) / float64(r.latencyObjective(q))
-		n.samples++
+	if outcome.Status == OK || outcome.Status == TimedOut {
+		r.recordLatency(request, attempt, outcome)
+	}
+}
+
+// recordLatency books how long an attempt took. One that timed out took that long at the least.
+func (r *Router) recordLatency(request *openRequest, attempt *attemptRecord, outcome *Outcome) {
+	node, took := attempt.node, outcome.Duration
+	if r.capacityShare(node) == 1 {
+		r.work.Answered(request.Class, took)
 	}
+	node.latency += smoothing * (float64(took) - node.latency)
+	node.meanLoad += smoothing * (attempt.loadAtSend - node.meanLoad)
+	node.ratioSum += float64(took) / float64(r.latencyObjective(request))
+	node.samples++
 }
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -2,22 +2,33 @@
 
 import "time"
 
-// fresh tells whether the node's proven position is recent enough for the read. Where nodes check, one is
-// taken to follow as closely as when it last spoke, be that long ago: a wrong guess costs one attempt.
-func (r *Router) fresh(n *nodeRecord, q *openRequest) bool {
-	position := n.position
-	if r.settings.StaleReads == StaleRejected && q.class.Read != FreshRead {
-		position += r.now - n.provenAt
+// fresh tells whether the node's proven position is recent enough for the read. Where nodes check, one is taken to
+// follow as closely as when it last reported, be that long ago: a wrong guess costs one attempt.
+func (r *Router) fresh(node *nodeRecord, request *openRequest) bool {
+	position := node.position
+	if r.settings.StaleReads == StaleRejected && request.class.Read != FreshRead {
+		position += r.now - node.provenAt
 	}
-	switch q.class.Read {
+	switch request.class.Read {
 	case AnyRead:
 		return true
 	case BoundedRead:
-		return r.latestNow()-position <= q.class.MaxAge
+		return r.latestNow()-position <= request.class.MaxAge
 	default:
-		return position >= q.minPosition.By(r.offset.Latest)
+		return position >= request.minPosition.By(r.offset.Latest)
 	}
 }
 
-// lag is how far a node was behind when it last spoke.
-func (r *Router) lag(n *nodeRecord) time.Duration { return n.provenAt + r.offset.Earliest - n.position }
+// lag is how far a node was behind when it last reported.
+func (r *Router) lag(node *nodeRecord) time.Duration {
+	return node.provenAt + r.offset.Earliest - node.position
+}
+
+// freshUntil is the time of the router's clock after which a read must not be written to the node any more, as the
+// proof of freshness may run out while a connection is opened; 0: none.
+func (r *Router) freshUntil(node *nodeRecord, request *openRequest) time.Duration {
+	if request.class.Read != BoundedRead || node.role == Primary || r.settings.StaleReads != StaleAnswered {
+		return 0
+	}
+	return node.position + request.class.MaxAge - r.offset.Latest
+}
--- a/routing/nodes.go
+++ b/routing/nodes.go
@@ -9,152 +9,182 @@
 	"capercove/internal/clockoffset"
 )
 
-// Tuned values. Times are on the router's clock, bounds in requests in flight.
 const (
-	subscribeSpreadPerRouter = 100 * ms         // times the routers: they spread their list calls after a failure over so long
-	goneRetention            = 10 * time.Minute // and so is a node that is gone and says nothing
+	// goneRetention is how long a node that is gone and says nothing is remembered. It is a guard, far beyond any
+	// restart: a node that comes back within it is known by what it said.
+	goneRetention = 10 * time.Minute
+	// listEvidenceAt is the time that the list's hints of roles are taken to be from: before all evidence.
+	listEvidenceAt time.Duration = 1
 )
 
-// listEvidenceAt is when the list's word on roles is taken to be from: before all evidence.
-const listEvidenceAt time.Duration = 1
-
 // nodeRecord is what this router knows of one data node.
 type nodeRecord struct {
 	Node
-	group              *replicaGroup
-	lastScan           uint64        // last walk of the ring that looked at it
-	drainingSince      time.Duration // when it was first listed as draining or gone; 0: it is ready
-	listedDraining     bool          // it has been listed as draining
-	restartedAt        time.Duration // when this router found that it had restarted; 0: never
-	startedAt          time.Duration // its last start as listed, by the nodes' clock; 0: long ago
-	position, provenAt time.Duration // last proven position, which never goes back; when that was learned
-	role               Role
-	roleAt             clockoffset.Instant // time of the evidence for role
-
-	inFlight                            int
-	meanInFlight                        float64       // of inFlight, over presumeOver
-	meanInFlightAt                      time.Duration // up to here
-	failures                            int           // failures since its last answer
-	completed                           float64       // work completed in this loop period, in requests of mean work
-	ejected, unresponsive, notListening bool          // only probes are sent; these do not help; no process there
-	ejectedAt, readmitAt, backoff       time.Duration // for a mute one: when it is given one request, the next pause
-	halfOpen, probePending              bool          // back from being down and yet to answer a request; a probe is out
-	lastHeard, lastAnswer               time.Duration // last answer or probe; last answer to a request
-	latestAnsweredSend                  time.Duration // latest send of a request that was answered
-	lastProbe                           time.Duration
-	slowStart                           capacity.Cold // what it was sent and has answered while cold
-	latency                             float64       // running mean of its answers, in ns
-	meanLoad                            float64       // running mean of crowd at the sends of those answers
-
-	bound, delta, lastError float64 // the loop: bound, last change, last error
-	ratioSum                float64 // latency over aim, of this period's samples
-	samples, ringPoints     int     // in this period; on the ring
+	group    *replicaGroup
+	lastScan uint64 // the last search of the ring that looked at it
+
+	drainingSince  time.Duration // when it was first listed as draining or gone; 0: it is ready
+	listedDraining bool          // it has been listed as draining
+	restartedAt    time.Duration // when this router found that it had restarted; 0: never
+	startedAt      time.Duration // its last start as listed, by the nodes' clock; 0: long ago
+
+	position time.Duration // the last proven one, by the nodes' clock; it never goes back
+	provenAt time.Duration // when that was learned
+	role     Role
+	roleAt   clockoffset.Instant // time of the evidence for role
+
+	inFlight       int
+	meanInFlight   float64       // running mean of inFlight
+	meanInFlightAt time.Duration // up to here
+	slowStart      capacity.Cold // what it was sent and has answered while warming up
+	latency        float64       // running mean of its answers, in ns
+	meanLoad       float64       // running mean of the estimated in-flight requests at the sends of those answers
+	completed      float64       // work completed in this control period, in requests of mean work
+
+	ejected      bool          // only probes are sent
+	unresponsive bool          // it left requests unanswered: a probe that is answered does not readmit it
+	notListening bool          // no process is there
+	halfOpen     bool          // it was readmitted and has yet to answer a request
+	ejectedAt    time.Duration // the last time
+	readmitAt    time.Duration // when it is given one request
+	backoff      time.Duration // the present pause between such requests
+	failures     int           // since its last answer
+
+	probePending       bool
+	lastProbe          time.Duration
+	lastHeard          time.Duration // last answer or probe
+	lastAnswer         time.Duration // last answer to a request
+	latestAnsweredSend time.Duration // the latest send of a request that was answered
+
+	bound     float64 // of the requests in flight, set by the control loop
+	delta     float64 // last change of the bound
+	lastError float64 // last error of the control loop
+	ratioSum  float64 // latency over objective, of this control period's samples
+	samples   int     // in this control period
+
+	ringPoints int
 }
 
 // replicaGroup is a primary and its replicas.
 type replicaGroup struct {
 	number         int
-	primaryUnknown bool          // no primary is known, as of the last watch
+	primaryUnknown bool          // no primary was known at the last health check
 	members        []*nodeRecord // by ID
 	ring           []ringPoint
 }
 
-// subscribeSpread is the time over which routers spread their next calls for the list after one that waited in
-// vain, when as much has passed without any: a service that answers in turn would never get through with
-// those that gave up. After another loss half of it does: nobody waits, or being turned away cost nothing.
-func (r *Router) subscribeSpread() time.Duration {
-	return min(max(minBackoff, time.Duration(r.settings.Routers)*subscribeSpreadPerRouter), cmp.Or(r.settings.ListBindsAfter/3, maxBackoff))
+// applyList takes in entries of the endpoint list. A complete list lacks the nodes that are gone.
+func (r *Router) applyList(entries []Node, complete bool) {
+	r.subscribedAt = 0
+	if complete {
+		r.markMissingGone(entries)
+	}
+	for _, entry := range entries {
+		r.applyEntry(entry)
+	}
+	r.forgetGone()
+	r.rebuildGroups()
 }
 
-func (r *Router) applyList(entries []Node, full bool) {
-	r.subscribedAt = 0
-	if full {
-		for _, n := range r.nodes {
-			if !slices.ContainsFunc(entries, func(e Node) bool { return e.ID == n.ID }) {
-				gone := n.Node
-				gone.State = Gone
-				r.applyEntry(gone)
-			}
+// markMissingGone lists all nodes as gone that the entries lack.
+func (r *Router) markMissingGone(entries []Node) {
+	for _, node := range r.nodes {
+		if !slices.ContainsFunc(entries, func(entry Node) bool { return entry.ID == node.ID }) {
+			gone := node.Node
+			gone.State = Gone
+			r.applyEntry(gone)
 		}
 	}
-	for _, e := range entries {
-		r.applyEntry(e)
-	}
-	r.nodes = slices.DeleteFunc(r.nodes, func(n *nodeRecord) bool { // Against ever more of them.
-		past := n.State == Gone && n.inFlight == 0 && !n.probePending && r.now-max(n.drainingSince, n.lastHeard) > goneRetention
+}
+
+// forgetGone drops the nodes that are long gone, so that their number is bounded.
+func (r *Router) forgetGone() {
+	r.nodes = slices.DeleteFunc(r.nodes, func(node *nodeRecord) bool {
+		idle := node.inFlight == 0 && !node.probePending
+		past := node.State == Gone && idle && r.now-max(node.drainingSince, node.lastHeard) > goneRetention
 		if past {
-			delete(r.byID, n.ID)
+			delete(r.byID, node.ID)
 		}
 		return past
 	})
-	r.rebuildGroups()
 }
 
-func (r *Router) applyEntry(e Node) {
-	n := r.byID[e.ID]
-	if n == nil { // Also for one first listed as gone: the drain rule counts from that news.
-		n = &nodeRecord{Node: e, bound: maxBound / 2, lastHeard: r.now}
-		r.byID[e.ID] = n
-		r.nodes = append(r.nodes, n)
-		slices.SortFunc(r.nodes, func(a, b *nodeRecord) int { return cmp.Compare(a.ID, b.ID) })
-	} else if e.Started > n.Started { // It restarted: what was known of its process is void.
-		n.role, n.roleAt = Replica, n.roleAt.Later(r.toldInstant(e.Started))
-		n.ejected, n.failures, n.halfOpen = false, 0, true
+// applyEntry takes in one entry of the endpoint list. A node first listed as gone is recorded too: the drain rule
+// counts from the first such entry.
+func (r *Router) applyEntry(entry Node) {
+	node := r.byID[entry.ID]
+	if node == nil {
+		node = r.addNode(entry)
+	} else if entry.Started > node.Started { // It restarted: what was known of its process is void.
+		node.role, node.roleAt = Replica, node.roleAt.Later(r.reportedInstant(entry.Started))
+		node.ejected, node.failures, node.halfOpen = false, 0, true
 	}
-	n.startedAt = max(n.startedAt, e.Started)
-	n.Node = e
+	node.startedAt = max(node.startedAt, entry.Started)
+	node.Node = entry
 	switch {
-	case e.State == Ready:
-		n.drainingSince, n.listedDraining = 0, false
-	case n.drainingSince == 0:
-		n.drainingSince = r.now
+	case entry.State == Ready:
+		node.drainingSince, node.listedDraining = 0, false
+	case node.drainingSince == 0:
+		node.drainingSince = r.now
 	}
-	n.listedDraining = n.listedDraining || e.State == Draining
-	// The list's word counts only for a node that has not spoken for itself: a list far behind would call a
-	// deposed primary back, and reads there would be stale.
-	if e.Primary && r.settings.ListHintsRole && n.role == RoleUnknown {
-		n.role, n.roleAt = Primary, clockoffset.Instant{Remote: listEvidenceAt}
+	node.listedDraining = node.listedDraining || entry.State == Draining
+	// The hint counts only for a node that has not reported its own role: a list far behind would call a deposed
+	// primary back, and reads there would be stale.
+	if entry.Primary && r.settings.ListHintsRole && node.role == RoleUnknown {
+		node.role, node.roleAt = Primary, clockoffset.Instant{Remote: listEvidenceAt}
 	}
 }
 
-// rebuildGroups sorts the nodes into groups and lays the rings: points in proportion to d, each at a place of its
-// own, so that a changed bound moves only that replica's points.
+// addNode records a node that was not known.
+func (r *Router) addNode(entry Node) *nodeRecord {
+	node := &nodeRecord{Node: entry, bound: maxBound / 2, lastHeard: r.now}
+	r.byID[entry.ID] = node
+	r.nodes = append(r.nodes, node)
+	slices.SortFunc(r.nodes, func(a, b *nodeRecord) int { return cmp.Compare(a.ID, b.ID) })
+	return node
+}
+
+// rebuildGroups sorts the nodes into groups and lays the rings anew.
 func (r *Router) rebuildGroups() {
-	for _, g := range r.groups {
-		g.members, g.ring = g.members[:0], g.ring[:0]
+	for _, group := range r.groups {
+		group.members, group.ring = group.members[:0], group.ring[:0]
 	}
-	for _, n := range r.nodes {
-		g := r.groupOf(n.Group)
-		if g == nil {
-			g = &replicaGroup{number: n.Group}
-			r.groups = append(r.groups, g)
+	for _, node := range r.nodes {
+		group := r.groupOf(node.Group)
+		if group == nil {
+			group = &replicaGroup{number: node.Group}
+			r.groups = append(r.groups, group)
 			slices.SortFunc(r.groups, func(a, b *replicaGroup) int { return cmp.Compare(a.number, b.number) })
 		}
-		n.group = g
-		if n.State != Gone || r.settings.OnlyDrainingBinds {
-			g.members = append(g.members, n)
+		node.group = group
+		if node.State != Gone || r.settings.OnlyDrainingBinds {
+			group.members = append(group.members, node)
 		}
 	}
 	r.layRings()
 }
 
+// groupOf returns the group of that number, nil if there is none.
 func (r *Router) groupOf(number int) *replicaGroup {
-	if i := slices.IndexFunc(r.groups, func(g *replicaGroup) bool { return g.number == number }); i >= 0 {
-		return r.groups[i]
+	for _, group := range r.groups {
+		if group.number == number {
+			return group
+		}
 	}
 	return nil
 }
 
-// primary returns the member with the newest evidence of being the primary, nil if none may be sent to.
-func (r *Router) primary(g *replicaGroup) *nodeRecord {
-	var p *nodeRecord
-	for _, n := range g.members {
-		if n.role == Primary && (p == nil || r.roleTime(n) > r.roleTime(p)) {
-			p = n
+// primary returns the member with the newest evidence of being the primary, nil if it may not be sent to or none is
+// known.
+func (r *Router) primary(group *replicaGroup) *nodeRecord {
+	var newest *nodeRecord
+	for _, member := range group.members {
+		if member.role == Primary && (newest == nil || r.roleTime(member) > r.roleTime(newest)) {
+			newest = member
 		}
 	}
-	if p == nil || p.ejected || !r.mayReceive(p, true) {
+	if newest == nil || newest.ejected || !r.mayReceive(newest, true) {
 		return nil
 	}
-	return p
+	return newest
 }
--- a/routing/operators.go
+++ b/routing/operators.go
@@ -5,59 +5,68 @@
 	"time"
 )
 
-// applySettings takes in settings. An open request keeps its class, and no more attempts than either settings allow.
-func (r *Router) applySettings(s Settings) {
-	r.settings, r.topWeight, r.tightestMaxAge = s, 0, math.MaxInt64
-	var aims []time.Duration
-	for _, c := range s.Classes {
-		aims = append(aims, c.LatencyObjective)
-		r.topWeight = max(r.topWeight, c.Weight)
-		if c.Read == BoundedRead {
-			r.tightestMaxAge = min(r.tightestMaxAge, c.MaxAge)
+// graceShare is the part of the drain grace for which a draining or excluded primary takes what only it can take. The
+// rest is for what is in flight.
+const graceShare = 2
+
+// applySettings takes in settings. An open request keeps its class, and makes no more attempts than either settings
+// allow.
+func (r *Router) applySettings(settings Settings) {
+	r.settings, r.topWeight, r.tightestMaxAge = settings, 0, math.MaxInt64
+	var objectives []time.Duration
+	for i := range settings.Classes {
+		class := &settings.Classes[i]
+		objectives = append(objectives, class.LatencyObjective)
+		r.topWeight = max(r.topWeight, class.Weight)
+		if class.Read == BoundedRead {
+			r.tightestMaxAge = min(r.tightestMaxAge, class.MaxAge)
 		}
 	}
-	for _, q := range r.open {
-		q.maxAttempts = min(q.maxAttempts, s.MaxAttempts)
+	for _, request := range r.open {
+		request.maxAttempts = min(request.maxAttempts, settings.MaxAttempts)
 	}
-	r.work.Set(aims)
-	r.quotas.Set(s.Quotas, s.Routers)
+	r.work.Set(objectives)
+	r.quotas.Set(settings.Quotas, settings.Routers)
 }
 
-// applyExclusions takes in the bans, which outlast what the list says. While banned, a node is restarted: back from it, it is
-// taken for cold, as the list may be late, and is asked at once where it stands.
-func (r *Router) applyExclusions(bans map[NodeID]time.Duration) {
-	old := r.exclusions
-	r.exclusions = bans
-	for id, at := range old {
-		n := r.byID[id]
-		if _, still := bans[id]; still || n == nil {
+// applyExclusions takes in the operators' exclusions, which outlast what the list says. A node is restarted while it
+// is excluded: once readmitted it starts slowly, as the list may be late, and is probed at once.
+func (r *Router) applyExclusions(exclusions map[NodeID]time.Duration) {
+	before := r.exclusions
+	r.exclusions = exclusions
+	for id, since := range before {
+		node := r.byID[id]
+		if _, still := exclusions[id]; still || node == nil {
 			continue
 		}
-		n.ejected, n.unresponsive, n.notListening, n.failures, n.backoff, n.halfOpen = false, false, false, 0, 0, true
-		if r.now-at > restartThreshold {
-			n.restartedAt = r.now
+		node.ejected, node.unresponsive, node.notListening = false, false, false
+		node.failures, node.backoff = 0, 0
+		node.halfOpen = true
+		if r.now-since > restartThreshold {
+			node.restartedAt = r.now
 		}
-		r.probe(n)
+		r.probe(node)
 	}
 }
 
-func (r *Router) excluded(n *nodeRecord) bool {
-	_, banned := r.exclusions[n.ID]
-	return banned
+// excluded tells whether the operators exclude a node.
+func (r *Router) excluded(node *nodeRecord) bool {
+	_, excluded := r.exclusions[node.ID]
+	return excluded
 }
 
-// mayReceive keeps the drain rule, which binds for banned nodes too. A primary that drains or is banned takes what only
-// it can take for half the grace.
-func (r *Router) mayReceive(n *nodeRecord, asPrimary bool) bool {
-	if at, banned := r.exclusions[n.ID]; banned && !(asPrimary && r.now-at < r.settings.DrainGrace/2) {
+// mayReceive keeps the drain rule, which binds for excluded nodes too.
+func (r *Router) mayReceive(node *nodeRecord, asPrimary bool) bool {
+	grace := r.settings.DrainGrace / graceShare
+	if since, excluded := r.exclusions[node.ID]; excluded && (!asPrimary || r.now-since >= grace) {
 		return false
 	}
 	switch {
-	case n.drainingSince == 0:
+	case node.drainingSince == 0:
 		return true
-	case n.State == Gone:
-		return r.settings.OnlyDrainingBinds && !n.listedDraining
+	case node.State == Gone:
+		return r.settings.OnlyDrainingBinds && !node.listedDraining
 	default:
-		return asPrimary && r.now-n.drainingSince < r.settings.DrainGrace/2
+		return asPrimary && r.now-node.drainingSince < grace
 	}
 }
--- a/routing/probes.go
+++ b/routing/probes.go
@@ -1,66 +1,130 @@
 package routing
 
-// Tuned values. Times are on the router's clock, bounds in requests in flight.
+import "time"
+
 const (
-	probeInterval         = 1000 * ms // for replicas unheard from or off the ring
-	fastProbeInterval     = 100 * ms  // while a group's primary is unknown or a node is down
-	lagProbeRouters       = 12        // a replica is asked again after its lag, times the routers over so many more
-	maxProbesPerRead      = 4         // probes for one read
-	probesPerRequest      = 0.1       // probes that each request pays for, beside those that reads ask for
-	probesPerRequestAlone = 0.3       // ... and this over the routers more: each must ask for itself
+	// probeInterval is for nodes that nothing was heard of, the design's; fastProbeInterval is for ejected nodes and
+	// for groups whose primary is unknown.
+	probeInterval     = 1000 * ms
+	fastProbeInterval = 100 * ms
+	// probesPerRequest is what each request pays for, beside the probes that reads ask for. It is a share of the
+	// traffic, so that many routers do not probe more than they send.
+	probesPerRequest = 0.1
+	// probesPerRequestAlone, over the routers, is paid in addition: with few routers each must find out more itself.
+	probesPerRequestAlone = 0.3
+	// maxProbesPerRead bounds what a read asks for where no replica is proven to be fresh.
+	maxProbesPerRead = 4
+	// lagProbeRouters sets when a lagging replica is probed again: after its lag, times the routers over so many
+	// more. With many routers, each of which may ask, a replica would answer little else.
+	lagProbeRouters = 12
+	// reprobeInterval is the least time between two probes that reads ask for.
+	reprobeInterval = 50 * ms
 )
 
-// checkHealth probes what is in doubt and what is merely unheard from. Requests alone pay for the probes, for new
-// nodes too: many routers that each probe every node would ask more than they send. Half is for the doubtful.
+// checkHealth probes ejected nodes and those that nothing was heard of, and readmits those whose backoff has passed.
+// Requests alone pay for the probes, for new nodes too: many routers that each probe every node would ask more than
+// they send. Half of the budget is kept for what is ejected or without a primary.
 func (r *Router) checkHealth() {
-	for _, g := range r.groups {
-		g.primaryUnknown = r.primary(g) == nil
+	for _, group := range r.groups {
+		group.primaryUnknown = r.primary(group) == nil
 	}
 	for i := range r.nodes {
-		n := r.nodes[(int(r.probeTurn)+i)%len(r.nodes)]
-		wait, keep := probeInterval, float64(len(r.nodes)/2)
-		switch {
-		case (n.group.primaryUnknown || n.ejected) && !r.excluded(n):
-			wait, keep = fastProbeInterval, 0
-		case r.now-n.lastHeard < probeInterval, r.excluded(n):
+		node := r.nodes[(int(r.probeTurn)+i)%len(r.nodes)]
+		urgent := node.group.primaryUnknown || node.ejected
+		if r.excluded(node) || !urgent && r.now-node.lastHeard < probeInterval {
 			continue
 		}
-		if !n.probePending && (n.lastProbe == 0 || r.now-n.lastProbe >= wait) && r.probeBudget >= 1+keep {
-			r.probe(n)
-			r.probeBudget--
-		}
-		if n.ejected && r.now >= n.readmitAt && (n.unresponsive || !r.settings.CanProbe || r.probeBudget < 1) {
-			r.readmit(n)
-		}
+		r.probeIfDue(node, urgent)
+		r.readmitIfDue(node)
 	}
 	r.probeTurn++
 }
 
-func (r *Router) probe(n *nodeRecord) {
-	if !r.settings.CanProbe || n.probePending || (n.State == Gone && !r.settings.OnlyDrainingBinds) {
+// probeIfDue probes a node after the interval, if the budget allows it.
+func (r *Router) probeIfDue(node *nodeRecord, urgent bool) {
+	interval, reserve := probeInterval, float64(len(r.nodes)/2)
+	if urgent {
+		interval, reserve = fastProbeInterval, 0
+	}
+	due := node.lastProbe == 0 || r.now-node.lastProbe >= interval
+	if !node.probePending && due && r.probeBudget >= 1+reserve {
+		r.probe(node)
+		r.probeBudget--
+	}
+}
+
+// payProbes adds what one request pays for to the budget of probes, which is bounded by one for each node.
+func (r *Router) payProbes() {
+	alone := probesPerRequestAlone / float64(r.settings.Routers)
+	r.probeBudget = min(float64(len(r.nodes)), r.probeBudget+probesPerRequest+alone)
+}
+
+// probe sends a probe where that is possible and none is pending.
+func (r *Router) probe(node *nodeRecord) {
+	if !r.settings.CanProbe || node.probePending || (node.State == Gone && !r.settings.OnlyDrainingBinds) {
 		return
 	}
-	n.probePending, n.lastProbe = true, r.now
-	r.emit(Action{Kind: Probe, Node: n.ID})
+	node.probePending, node.lastProbe = true, r.now
+	r.emit(Action{Kind: Probe, Node: node.ID})
 }
 
-func (r *Router) probeDone(o *Outcome) {
-	n := r.byID[o.Node]
-	switch {
-	case n == nil:
+// probeDone takes in a probe's outcome. Held reads may wait for what it proves, so they are placed at once.
+func (r *Router) probeDone(outcome *Outcome) {
+	node := r.byID[outcome.Node]
+	if node == nil {
 		return
-	case o.Status == OK:
-		r.learn(n, o.Report, r.toldInstant(o.Report.Position))
-		n.lastHeard, r.nextTick = r.now, r.now // held reads may wait for this proof
-		if !n.unresponsive {
-			r.readmit(n)
+	}
+	node.probePending = false
+	switch outcome.Status {
+	case OK:
+		r.learn(node, outcome.Report, r.reportedInstant(outcome.Report.Position))
+		node.lastHeard = r.now
+		r.nextTick = r.now
+		if !node.unresponsive {
+			r.readmit(node)
 		}
-	case o.Status == NotSent: // it tells nothing of the node
+	case NotSent: // It tells nothing of the node.
 	default:
-		n.notListening = n.notListening || o.Status == ConnectRefused
-		if n.failures++; n.failures >= 2 {
-			r.eject(n, false)
+		node.notListening = node.notListening || outcome.Status == ConnectRefused
+		node.failures++
+		if node.failures >= maxProbeFailures {
+			r.eject(node, false)
 		}
 	}
-	n.probePending = false
+}
+
+// betterProbeCandidate tells whether a replica with room but without proof is a better choice than the present
+// candidate, which may be nil: the most advanced where nodes check, elsewhere the first on the ring whose report is
+// pending or may be asked for again, and rather one that was not too far behind when it last reported.
+func (r *Router) betterProbeCandidate(node, candidate *nodeRecord, request *openRequest) bool {
+	if r.settings.StaleReads == StaleRejected {
+		return candidate == nil || node.position > candidate.position
+	}
+	lag := r.lag(node)
+	nearer := candidate == nil || lag+request.class.MaxAge < r.lag(candidate)
+	if !nearer || !r.settings.CanProbe {
+		return false
+	}
+	if node.probePending {
+		return r.now-node.lastProbe < reprobeInterval
+	}
+	// What it reported just now will not have changed, all the less the further it was behind.
+	routers := time.Duration(r.settings.Routers)
+	wait := max(reprobeInterval, lag*routers/(routers+lagProbeRouters))
+	return r.now-max(node.lastProbe, node.provenAt) >= wait
+}
+
+// awaitProof holds a read for the report of a replica, which it asks for unless that is pending. It tells false if
+// the read has asked too often. Where nodes do not check, a proof lasts no longer than the bound on the age, and a
+// router with few answers has none.
+func (r *Router) awaitProof(request *openRequest, candidate *nodeRecord) bool {
+	if candidate.probePending {
+		return true
+	}
+	request.probesMade++
+	if request.probesMade > maxProbesPerRead {
+		return false
+	}
+	r.probe(candidate)
+	return true
 }
--- a/routing/remotetime.go
+++ b/routing/remotetime.go
@@ -6,9 +6,9 @@
 	"capercove/internal/clockoffset"
 )
 
-// Positions and starts of nodes are times of the nodes' clock and are kept as they were told. Here they are compared
-// with the router's clock, under the estimate of the offset between the two: where that is not exact, data is taken for
-// older and a process for younger than it may be.
+// Positions and starts of nodes are times of the nodes' clock and are kept as they were reported. Here they are
+// compared with the router's clock, under the estimate of the offset between the two: where that is not exact, data
+// is taken for older and a process for younger than it may be.
 
 // applyOffset takes in an estimate. All that was learned is judged anew under it.
 func (r *Router) applyOffset(offset clockoffset.Bounds) {
@@ -19,20 +19,21 @@
 // latestNow is the most that the nodes' clock may show: data is no older under it than it is taken for.
 func (r *Router) latestNow() time.Duration { return r.now + r.offset.Latest }
 
-// earliestNow is the least that the nodes' clock may show: a process runs for no shorter under it than it is taken for.
+// earliestNow is the least that the nodes' clock may show: a process runs for no shorter under it than it is taken
+// for.
 func (r *Router) earliestNow() time.Duration { return r.now + r.offset.Earliest }
 
 // roleTime is the time of the evidence for a node's role, by the nodes' clock.
-func (r *Router) roleTime(n *nodeRecord) time.Duration { return n.roleAt.By(r.offset.Earliest) }
+func (r *Router) roleTime(node *nodeRecord) time.Duration { return node.roleAt.By(r.offset.Earliest) }
 
 // plausible tells whether a time of the nodes' clock is not in its future.
 func (r *Router) plausible(remote time.Duration) bool {
 	return remote <= r.latestNow()+clockoffset.Tolerance
 }
 
-// toldInstant is the instant that a node named. One in the future of its clock counts as the present: no later evidence must
-// be held to be older.
-func (r *Router) toldInstant(remote time.Duration) clockoffset.Instant {
+// reportedInstant is the instant that a node reported. One in the future of its clock counts as the present: no later
+// evidence must be held to be older.
+func (r *Router) reportedInstant(remote time.Duration) clockoffset.Instant {
 	if !r.plausible(remote) {
 		return clockoffset.Instant{Own: r.now}
 	}
--- a/routing/requests.go
+++ b/routing/requests.go
@@ -6,109 +6,173 @@
 	"capercove/internal/clockoffset"
 )
 
-// Tuned values. Times are on the router's clock, bounds in requests in flight.
 const (
-	longReadMultiple   = 2.0 // times the bound: room for long reads of any data, which keep together
-	writeBoundMultiple = 3.0 // writes are held beyond this multiple of the cap
+	// longReadMultiple is the multiple of a bound that long reads of any data may fill. They keep together at few
+	// nodes, as they may hold up the log there.
+	longReadMultiple = 2.0
+	// writeBoundMultiple is the multiple of a bound's cap from which writes are held. It is measured.
+	writeBoundMultiple = 3.0
+	// holdShare is the part of its time that a request without an attempt is held: the protocol scores a late
+	// rejection worse than an early one.
+	holdShare = 2
+	// holdMargin is how long before its end the holding ends, so that the next tick is not too late.
+	holdMargin = 2 * tickInterval
 )
 
+// openRequest is a request that has no final answer yet, or of which an attempt is pending.
 type openRequest struct {
 	id RequestID
 	Arrival
-	class                            *Class
-	group                            *replicaGroup
-	arrived, deadline                time.Duration
-	holdUntil                        time.Duration       // held no longer: half its time until it has reached a node
-	weight, boundMultiple            float64             // share of the dearest's; multiple of a bound that it may fill
-	minPosition                      clockoffset.Instant // position that a session or fresh read must see
-	attempts                         []attemptRecord
-	pending, probesMade, maxAttempts int           // attempts that are out; probes made for it; attempts it may have
-	mayHaveRun                       bool          // an attempt is out or ended without proof that it never ran
-	firstSentAt                      time.Duration // send of the first such attempt
-	dedupNode                        *nodeRecord   // where it went
-	done, answering                  bool
+	class *Class
+	group *replicaGroup
+
+	arrived   time.Duration
+	deadline  time.Duration
+	holdUntil time.Duration // it is rejected then if it has reached no node; the deadline if it has
+
+	weight        float64             // its class's, as a share of the greatest
+	boundMultiple float64             // the multiple of a node's bound that it may fill
+	minPosition   clockoffset.Instant // that a session or fresh read must see
+
+	attempts    []attemptRecord
+	maxAttempts int
+	pending     int // attempts
+	probesMade  int // that the request asked for
+
+	mayHaveRun  bool          // an attempt is pending or ended without proof that it never ran
+	firstSentAt time.Duration // send of the first such attempt
+	dedupNode   *nodeRecord   // its node
+
+	done      bool // the client has its answer or is gone
+	answering bool // an answer is being passed on
 }
 
-func (r *Router) arrive(id RequestID, a *Arrival) *openRequest {
-	class := &r.settings.Classes[a.Class]
-	q := &openRequest{id: id, Arrival: *a, class: class, group: r.groupOf(a.Group), arrived: r.now,
-		deadline: r.now + a.TimeLeft, holdUntil: r.now + a.TimeLeft/2, weight: class.Weight / r.topWeight, boundMultiple: 1,
-		maxAttempts: r.settings.MaxAttempts}
-	switch {
-	case class.Read == AnyRead && class.LatencyObjective > r.tightestMaxAge: // It may hold the log up too long: at few nodes.
-		q.Session, q.boundMultiple = uint64(a.Class)+1, longReadMultiple
-	case class.Read == FreshRead:
-		q.minPosition = clockoffset.Instant{Own: r.now}
-	case class.Read == SessionRead:
-		if q.minPosition.Remote = a.LastWrite; r.settings.KeepSessions {
-			q.minPosition = q.minPosition.Later(r.writes.Need(a.Session, r.now))
-		}
+// arrive records a new request.
+func (r *Router) arrive(id RequestID, arrival *Arrival) *openRequest {
+	class := &r.settings.Classes[arrival.Class]
+	request := &openRequest{
+		id:            id,
+		Arrival:       *arrival,
+		class:         class,
+		group:         r.groupOf(arrival.Group),
+		arrived:       r.now,
+		deadline:      r.now + arrival.TimeLeft,
+		holdUntil:     r.now + arrival.TimeLeft/holdShare,
+		weight:        class.Weight / r.topWeight,
+		boundMultiple: 1,
+		maxAttempts:   r.settings.MaxAttempts,
 	}
-	r.work.Arrived(a.Class)
-	r.requests[id] = q
-	r.open = append(r.open, q)
+	r.setReadNeeds(request)
+	r.work.Arrived(request.Class)
+	r.requests[id] = request
+	r.open = append(r.open, request)
 	r.retryBudget = min(maxRetryBudget, r.retryBudget+retryBudgetShare)
-	r.probeBudget = min(float64(len(r.nodes)), r.probeBudget+probesPerRequest+probesPerRequestAlone/float64(r.settings.Routers))
-	if !r.quotas.Take(a.Tenant, r.now) {
-		q.weight *= r.settings.OverQuota
+	r.payProbes()
+	if !r.quotas.Take(request.Tenant, r.now) {
+		request.weight *= r.settings.OverQuota
+	}
+	return request
+}
+
+// setReadNeeds sets which position a read must see. Reads of any data that may run for longer than data may be old
+// keep together, by a session of their class, as one may hold up the log of its node.
+func (r *Router) setReadNeeds(request *openRequest) {
+	switch request.class.Read {
+	case AnyRead:
+		if request.class.LatencyObjective > r.tightestMaxAge {
+			request.Session = uint64(request.Class) + 1
+			request.boundMultiple = longReadMultiple
+		}
+	case FreshRead:
+		request.minPosition = clockoffset.Instant{Own: r.now}
+	case SessionRead:
+		request.minPosition.Remote = request.LastWrite
+		if r.settings.KeepSessions {
+			request.minPosition = request.minPosition.Later(r.writes.Need(request.Session, r.now))
+		}
 	}
-	return q
 }
 
-// place sends the request, holds it, or gives it up.
-func (r *Router) place(q *openRequest) {
-	if q.done || q.pending > 0 {
+// latencyObjective is the time within which an answer has its full weight.
+func (r *Router) latencyObjective(request *openRequest) time.Duration {
+	class := request.class
+	forWork := time.Duration(class.ObjectivePerWork * float64(request.Work))
+	return min(class.LatencyObjective+forWork, class.Deadline)
+}
+
+// place sends the request, holds it, or gives the final answer.
+func (r *Router) place(request *openRequest) {
+	if request.done || request.pending > 0 {
 		return
 	}
-	if q.group == nil || len(q.attempts) >= q.maxAttempts || r.now >= q.holdUntil-2*tickInterval {
-		r.rejectOrFail(q)
+	expired := r.now >= request.holdUntil-holdMargin
+	if request.group == nil || len(request.attempts) >= request.maxAttempts || expired {
+		r.rejectOrFail(request)
 		return
 	}
-	if q.class.Read == Write {
-		p := r.primary(q.group)
-		if p == nil && !r.settings.CanProbe { // A member that is not the primary turns the write away untouched.
-			p, _ = r.nextReplica(q.group, nil, q)
-		}
-		if p != nil && r.eligible(p, q, true) && (!p.halfOpen || p.inFlight < 1) &&
-			r.estimatedInFlight(p) < writeBoundMultiple*maxBound {
-			r.send(q, p)
-		}
+	if request.class.Read == Write {
+		r.placeWrite(request)
+	} else {
+		r.placeRead(request)
+	}
+}
+
+// placeWrite sends a write to the primary, or holds it. Where no probe can find the primary, the write itself does: a
+// member that is not the primary rejects it untouched.
+func (r *Router) placeWrite(request *openRequest) {
+	target := r.primary(request.group)
+	if target == nil && !r.settings.CanProbe {
+		target = r.nextReplica(request.group, nil, request).replica
+	}
+	if target == nil || !r.eligible(target, request, true) {
+		return
+	}
+	if target.halfOpen && target.inFlight >= 1 {
 		return
 	}
-	if q.class.LateWeight == 0 && r.now >= q.arrived+r.latencyObjective(q) {
-		r.rejectOrFail(q)
-	} else if n, shed := r.chooseRead(q); n != nil {
-		r.send(q, n)
-	} else if shed {
-		r.rejectOrFail(q)
+	if r.estimatedInFlight(target) < writeBoundMultiple*maxBound {
+		r.send(request, target)
 	}
 }
 
-// finish closes the request. Attempts that are still out are called off where that is allowed.
-func (r *Router) finish(q *openRequest) {
-	q.done = true
-	for i, t := range q.attempts {
-		if t.pending && r.settings.CanCancel {
-			r.emit(Action{Kind: Cancel, Request: q.id, Attempt: i})
-		}
+// placeRead sends a read, holds it, or sheds it.
+func (r *Router) placeRead(request *openRequest) {
+	if request.class.LateWeight == 0 && r.now >= request.arrived+r.latencyObjective(request) {
+		r.rejectOrFail(request)
+		return
 	}
-	if q.pending == 0 {
-		delete(r.requests, q.id)
+	target, shed := r.chooseRead(request)
+	switch {
+	case target != nil:
+		r.send(request, target)
+	case shed:
+		r.rejectOrFail(request)
 	}
 }
 
-// rejectOrFail gives the final answer at once: refused where a retry is known to be harmless, failed elsewhere. A
-// refused client is told to come back after the aim: sooner it would find the same crowd, or no primary yet.
-func (r *Router) rejectOrFail(q *openRequest) {
-	c := q.class
-	if c.Effect == Idempotent || !q.mayHaveRun || c.Effect == Deduplicated && c.DedupGroup == DedupAll { // harmless
-		r.emit(Action{Kind: Reject, Request: q.id, Delay: min(c.LatencyObjective, r.settings.MaxRetryAfter)})
-	} else {
-		r.emit(Action{Kind: Fail, Request: q.id})
+// finish closes the request. Attempts that are still pending are cancelled where that is allowed.
+func (r *Router) finish(request *openRequest) {
+	request.done = true
+	for i := range request.attempts {
+		if request.attempts[i].pending && r.settings.CanCancel {
+			r.emit(Action{Kind: Cancel, Request: request.id, Attempt: i})
+		}
+	}
+	if request.pending == 0 {
+		delete(r.requests, request.id)
 	}
-	r.finish(q)
 }
 
-func (r *Router) latencyObjective(q *openRequest) time.Duration {
-	return min(q.class.LatencyObjective+time.Duration(q.class.ObjectivePerWork*float64(q.Work)), q.class.Deadline)
+// rejectOrFail gives the final answer at once: rejected where a retry is known to be harmless, failed elsewhere. A
+// rejected client is told to come back after the objective: sooner it would find the same load, or no primary yet.
+func (r *Router) rejectOrFail(request *openRequest) {
+	class := request.class
+	deduplicated := class.Effect == Deduplicated && class.DedupGroup == DedupAll
+	if class.Effect == Idempotent || !request.mayHaveRun || deduplicated {
+		retryAfter := min(class.LatencyObjective, r.settings.MaxRetryAfter)
+		r.emit(Action{Kind: Reject, Request: request.id, Delay: retryAfter})
+	} else {
+		r.emit(Action{Kind: Fail, Request: request.id})
+	}
+	r.finish(request)
 }
--- a/routing/ring.go
+++ b/routing/ring.go
@@ -4,85 +4,98 @@
 	"cmp"
 	"math"
 	"slices"
-	"time"
 )
 
-// Tuned values. Times are on the router's clock, bounds in requests in flight.
 const (
-	maxRingPoints = 48 // ring points of a replica whose d is at the cap
+	// maxRingPoints is the number of ring points of a warm replica whose bound is at its cap. It is measured: fewer
+	// give uneven shares, more cost time to lay.
+	maxRingPoints = 48
+	// ringHashStep spreads the nodes' IDs before they are hashed: 2^64 over the golden ratio, as of splitmix64.
+	ringHashStep = 0x9e3779b97f4a7c15
 )
 
+// ringPoint is one place of a replica on its group's hash ring.
 type ringPoint struct {
 	hash uint64
 	node *nodeRecord
 }
 
+// layRings lays the rings of all groups on which a number of points has changed. The points are in proportion to the
+// bound and the share of the capacity, each at a place of its own, so that a changed bound moves only that replica's
+// points.
 func (r *Router) layRings() {
-	for _, g := range r.groups {
-		changed := len(g.ring) == 0
-		for _, n := range g.members {
-			points := max(1, int(math.Round(maxRingPoints*n.bound/maxBound*r.capacityShare(n))))
-			changed = changed || points != n.ringPoints
-			n.ringPoints = points
+	for _, group := range r.groups {
+		changed := len(group.ring) == 0
+		for _, member := range group.members {
+			points := max(1, int(math.Round(maxRingPoints*member.bound/maxBound*r.capacityShare(member))))
+			changed = changed || points != member.ringPoints
+			member.ringPoints = points
 		}
-		if !changed {
-			continue
+		if changed {
+			group.layRing()
 		}
-		g.ring = g.ring[:0]
-		for _, n := range g.members {
-			for j := range n.ringPoints {
-				g.ring = append(g.ring, ringPoint{mix(uint64(n.ID)*0x9e3779b97f4a7c15 + uint64(j)), n})
-			}
+	}
+}
+
+// layRing places the points of all members, sorted by their hashes.
+func (g *replicaGroup) layRing() {
+	g.ring = g.ring[:0]
+	for _, member := range g.members {
+		for j := range member.ringPoints {
+			hash := mix(uint64(member.ID)*ringHashStep + uint64(j))
+			g.ring = append(g.ring, ringPoint{hash: hash, node: member})
 		}
-		slices.SortFunc(g.ring, func(a, b ringPoint) int { return cmp.Compare(a.hash, b.hash) })
 	}
+	slices.SortFunc(g.ring, func(a, b ringPoint) int { return cmp.Compare(a.hash, b.hash) })
+}
+
+// ringStart is the index of the first point at or after the place of a request's key, which is its session or,
+// without one, its own ID. It is the length of the ring if there is none.
+func (g *replicaGroup) ringStart(request *openRequest) int {
+	key := mix(cmp.Or(request.Session, uint64(request.id)))
+	start, _ := slices.BinarySearchFunc(g.ring, key, func(point ringPoint, key uint64) int {
+		return cmp.Compare(point.hash, key)
+	})
+	return start
 }
 
-// nextReplica finds the first fit replica with room, clockwise from the key's place, or else the one least over.
-func (r *Router) nextReplica(g *replicaGroup, p *nodeRecord, q *openRequest) (least *nodeRecord, room bool) {
-	if r.probeCandidate = nil; len(g.ring) == 0 {
-		return nil, false
+// ringSearch is what a search of the ring has found.
+type ringSearch struct {
+	replica        *nodeRecord // the first with room or, without one, the least loaded; nil if none will do
+	hasRoom        bool        // the replica is under its bound
+	probeCandidate *nodeRecord // a replica with room whose position is not proven to be recent enough; may be nil
+}
+
+// nextReplica finds the first eligible and fresh replica with room, clockwise from the key's place, or else the one
+// that is least above its bound. The primary is passed over.
+func (r *Router) nextReplica(group *replicaGroup, primary *nodeRecord, request *openRequest) (found ringSearch) {
+	if len(group.ring) == 0 {
+		return found
 	}
-	start, _ := slices.BinarySearchFunc(g.ring, mix(cmp.Or(q.Session, uint64(q.id))),
-		func(p ringPoint, key uint64) int { return cmp.Compare(p.hash, key) })
+	start := group.ringStart(request)
 	r.ringScans++
-	left, over := len(g.members), 0.0
-	for i := range g.ring {
-		n := g.ring[(start+i)%len(g.ring)].node
-		if n.lastScan == r.ringScans {
+	unseen, leastExcess := len(group.members), 0.0
+	for i := range group.ring {
+		node := group.ring[(start+i)%len(group.ring)].node
+		if node.lastScan == r.ringScans {
 			continue
 		}
-		n.lastScan = r.ringScans
-		if n != p && r.eligible(n, q, false) {
-			crowd, bound := r.estimatedInFlight(n), q.boundMultiple*r.effectiveBound(n)
-			excess := (crowd + 1) / bound
-			switch fresh := r.fresh(n, q); {
-			case fresh && crowd < bound:
-				return n, true
-			case !fresh && crowd < bound && r.betterProbeCandidate(n, q):
-				r.probeCandidate = n
-			case fresh && !n.halfOpen && (least == nil || excess < over):
-				least, over = n, excess
+		node.lastScan = r.ringScans
+		if node != primary && r.eligible(node, request, false) {
+			load, bound := r.estimatedInFlight(node), request.boundMultiple*r.effectiveBound(node)
+			excess := (load + 1) / bound
+			switch fresh := r.fresh(node, request); {
+			case fresh && load < bound:
+				return ringSearch{replica: node, hasRoom: true}
+			case !fresh && load < bound && r.betterProbeCandidate(node, found.probeCandidate, request):
+				found.probeCandidate = node
+			case fresh && !node.halfOpen && (found.replica == nil || excess < leastExcess):
+				found.replica, leastExcess = node, excess
 			}
 		}
-		if left--; left == 0 {
+		if unseen--; unseen == 0 {
 			break
 		}
 	}
-	return least, false
-}
-
-// betterProbeCandidate tells whether a replica with room but without proof is a better try than the one noted: the most
-// advanced where nodes check, elsewhere the first on the ring whose report is out or may be asked for again,
-// and rather one that was not too far behind when it last spoke.
-func (r *Router) betterProbeCandidate(n *nodeRecord, q *openRequest) bool {
-	if r.settings.StaleReads == StaleRejected {
-		return r.probeCandidate == nil || n.position > r.probeCandidate.position
-	}
-	lag, last, wait, all := r.lag(n), n.lastProbe, retrySpacing, time.Duration(r.settings.Routers)
-	if !n.probePending { // What it said just now will not have changed, all the less the further it was behind.
-		last, wait = max(last, n.provenAt), max(retrySpacing, lag*all/(all+lagProbeRouters))
-	}
-	nearer := r.probeCandidate == nil || lag+q.class.MaxAge < r.lag(r.probeCandidate)
-	return nearer && r.settings.CanProbe && (r.now-last < wait) == n.probePending
+	return found
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -10,145 +10,182 @@
 	"capercove/internal/session"
 )
 
-// Tuned values. Times are on the router's clock, bounds in requests in flight.
+const ms = time.Millisecond
+
 const (
-	tickInterval   = 10 * ms          // how often held and overdue requests are looked at
-	retrySpacing   = 50 * ms          // before a request goes to a node, or asks for its report, once more
-	writeRetention = 60 * time.Second // a session's last write is remembered this long
+	// tickInterval is how often held and overdue requests are looked at. It is a guard, well under every latency
+	// objective.
+	tickInterval = 10 * ms
+	// idleTickInterval takes its place while no request is open: many idle routers must not wake for nothing.
+	idleTickInterval = 50 * ms
+	// writeRetention is how long a session's last write is remembered. It is a guard, far beyond any replication lag.
+	writeRetention = 60 * time.Second
 )
 
-const ms = time.Millisecond
-
 // Router makes the decisions of one router.
 type Router struct {
-	settings                  Settings
-	seed                      uint64
-	now                       time.Duration
-	offset                    clockoffset.Bounds // of the nodes' clock, of which positions and starts are times
-	nodes                     []*nodeRecord      // by ID
-	byID                      map[NodeID]*nodeRecord
-	groups                    []*replicaGroup // by number
-	requests                  map[RequestID]*openRequest
-	open                      []*openRequest // by arrival
-	writes                    session.Writes
-	retryBudget               float64       // second copies and retries that may still be spent
-	probeBudget               float64       // probes that may still be spent
-	warmRate                  float64       // completions a second on a warm node, in requests of mean work
-	work                      capacity.Work // of the requests of each class
-	probeCandidate            *nodeRecord
-	ringScans, probeTurn      uint64 // walks of rings so far; the node that watch begins with
-	quotas                    quota.Quotas
-	size                      capacity.Size // of the nodes, as far as their reports tell
-	topWeight                 float64
-	tightestMaxAge            time.Duration // bound on age of all classes
-	nextTick, nextControlStep time.Duration
-	exclusions                map[NodeID]time.Duration
-	subscribeAt, subscribedAt time.Duration // when to subscribe, negative: done; since when it is unanswered
-	actions                   []Action
+	settings Settings
+	seed     uint64
+	now      time.Duration
+	actions  []Action // of the present step
+
+	nextTick        time.Duration
+	nextControlStep time.Duration
+
+	nodes      []*nodeRecord // by ID
+	byID       map[NodeID]*nodeRecord
+	groups     []*replicaGroup // by number
+	exclusions map[NodeID]time.Duration
+	// offset is the nodes' clock, of which positions and starts are times, minus the router's.
+	offset clockoffset.Bounds
+
+	subscribeAt  time.Duration // when to subscribe to the endpoint list; negative: done
+	subscribedAt time.Duration // since when the subscription is unanswered; 0: it is not
+
+	requests map[RequestID]*openRequest
+	open     []*openRequest // by arrival
+	writes   session.Writes
+	quotas   quota.Quotas
+
+	topWeight      float64       // the greatest of all classes
+	tightestMaxAge time.Duration // the least of all classes
+
+	retryBudget float64 // hedged requests and retries that may still be spent
+	probeBudget float64 // probes that may still be spent
+	probeTurn   uint64  // the node that the next round of probes begins with
+	ringScans   uint64  // searches of rings so far
+
+	warmRate float64       // completions a second on a warm node, in requests of mean work
+	work     capacity.Work // of the requests of each class
+	size     capacity.Size // of the nodes, as far as their reports tell
 }
 
-// New returns a router that knows nothing but its settings.
-func New(s Settings, seed uint64) *Router {
-	r := &Router{seed: seed, size: 1, byID: map[NodeID]*nodeRecord{}, requests: map[RequestID]*openRequest{},
-		writes: session.New(), retryBudget: maxRetryBudget / 2}
-	r.applySettings(s)
+// New returns a router that knows nothing but its settings. Equal seeds give equal decisions.
+func New(settings Settings, seed uint64) *Router {
+	r := &Router{
+		seed:        seed,
+		size:        1,
+		byID:        map[NodeID]*nodeRecord{},
+		requests:    map[RequestID]*openRequest{},
+		writes:      session.New(),
+		retryBudget: maxRetryBudget / 2,
+	}
+	r.applySettings(settings)
 	return r
 }
 
-// Step takes one batch of events and appends what is to be done. All news is taken in before any is placed.
+// Step takes in one batch of events and appends the actions to out. All evidence is taken in before any request is
+// placed. The time is that of the router's clock and must not go back.
 func (r *Router) Step(now time.Duration, events []Event, out []Action) []Action {
 	r.now, r.actions = now, out
-	var place []*openRequest
+	unplaced := r.applyEvidenceEvents(events)
+	unplaced = r.applyClientEvents(events, unplaced)
+	for _, request := range unplaced {
+		r.place(request)
+	}
+	r.tickIfDue()
+	return r.actions
+}
+
+// applyEvidenceEvents takes in what the batch tells of nodes and attempts. It returns the requests to place again.
+func (r *Router) applyEvidenceEvents(events []Event) (unplaced []*openRequest) {
 	for i := range events {
-		switch e := &events[i]; e.Kind {
+		event := &events[i]
+		switch event.Kind {
 		case AttemptDone:
-			if q := r.attemptDone(e.Request, &e.Outcome); q != nil {
-				place = append(place, q)
+			if request := r.attemptDone(event.Request, &event.Outcome); request != nil {
+				unplaced = append(unplaced, request)
 			}
 		case AnswerStarted:
-			r.answerStarted(e.Request, e.Outcome.Attempt)
+			r.answerStarted(event.Request, event.Outcome.Attempt)
 		case ProbeDone:
-			r.probeDone(&e.Outcome)
+			r.probeDone(&event.Outcome)
 		case ListComplete, ListUpdated:
-			r.applyList(e.Nodes, e.Kind == ListComplete)
+			r.applyList(event.Nodes, event.Kind == ListComplete)
 		case ExclusionsChanged:
-			r.applyExclusions(e.Exclusions)
+			r.applyExclusions(event.Exclusions)
 		case ClockOffset:
-			r.applyOffset(e.Clock)
+			r.applyOffset(event.Clock)
 		case ListFailed:
-			over := r.subscribeSpread()
-			wait := time.Duration(mix(r.seed^uint64(now)) % uint64(over))
-			if r.subscribedAt == 0 || now-r.subscribedAt < minBackoff { // a watch broke, or it was turned away at once
-				over, wait = 0, wait/2
-			}
-			r.subscribeAt = now + over + wait
+			r.scheduleSubscription()
 		}
 	}
+	return unplaced
+}
+
+// applyClientEvents takes in arrivals, departures and settings, in their order: requests that arrived before settings
+// changed are of the old classes, and a client may be gone in the batch of its arrival, as after a pause of the
+// router. It appends the new requests to unplaced.
+func (r *Router) applyClientEvents(events []Event, unplaced []*openRequest) []*openRequest {
 	for i := range events {
-		switch e := &events[i]; e.Kind {
-		case SettingsChanged: // In its place among the arrivals: those before it are of the old classes.
-			r.applySettings(*e.Settings)
+		event := &events[i]
+		switch event.Kind {
+		case SettingsChanged:
+			r.applySettings(*event.Settings)
 		case RequestArrived:
-			place = append(place, r.arrive(e.Request, &e.Arrival))
-		case ClientGone: // Even one that came in the same batch, as after a pause of this router.
-			if q := r.requests[e.Request]; q != nil {
-				r.finish(q)
+			unplaced = append(unplaced, r.arrive(event.Request, &event.Arrival))
+		case ClientGone:
+			if request := r.requests[event.Request]; request != nil {
+				r.finish(request)
 			}
 		}
 	}
-	for _, q := range place {
-		r.place(q)
-	}
-	rest := retrySpacing // With nothing open there is no hurry: many idle routers must not wake for nothing.
+	return unplaced
+}
+
+// tickIfDue runs the periodic work if its time has come, and sets the timer for the next time.
+func (r *Router) tickIfDue() {
+	interval := idleTickInterval
 	if len(r.open) > 0 {
-		rest = tickInterval
+		interval = tickInterval
 	}
-	if due := now >= r.nextTick; due || r.nextTick > now+rest {
-		if due {
-			r.tick()
-		}
-		r.nextTick = now + rest
-		r.emit(Action{Kind: SetTimer, Delay: rest})
+	due := r.now >= r.nextTick
+	if !due && r.nextTick <= r.now+interval {
+		return
 	}
-	return r.actions
-}
-
-func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
-
-// mix is the finisher of splitmix64.
-func mix(x uint64) uint64 {
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
+	if due {
+		r.tick()
+	}
+	r.nextTick = r.now + interval
+	r.emit(Action{Kind: SetTimer, Delay: interval})
 }
 
+// tick does the periodic work.
 func (r *Router) tick() {
 	r.sweep()
 	if r.now >= r.nextControlStep {
 		if r.nextControlStep > 0 {
 			r.controlStep()
+			r.layRings()
+			r.writes.Forget(r.now-writeRetention, r.offset.Earliest)
 		}
 		r.nextControlStep = r.now + controlPeriod
 	}
 	r.checkHealth()
-	if r.settings.ListIsPolled && r.subscribeAt >= 0 && r.now >= r.subscribeAt {
-		r.emit(Action{Kind: Subscribe})
-		r.subscribeAt, r.subscribedAt = -1, r.now
-	}
+	r.subscribeIfDue()
 }
 
-// sweep places held requests again, and gives the final answer at the deadline even if an attempt is out.
+// sweep places held requests again, and gives the final answer at the deadline even if an attempt is pending.
 func (r *Router) sweep() {
-	r.open = slices.DeleteFunc(r.open, func(q *openRequest) bool {
+	r.open = slices.DeleteFunc(r.open, func(request *openRequest) bool {
 		switch {
-		case q.done || q.answering:
-		case q.pending == 0:
-			r.place(q)
-		case r.now >= q.deadline:
-			r.rejectOrFail(q)
+		case request.done || request.answering:
+		case request.pending == 0:
+			r.place(request)
+		case r.now >= request.deadline:
+			r.rejectOrFail(request)
 		default:
-			r.checkOverdue(q)
+			r.checkOverdue(request)
 		}
-		return q.done || q.answering
+		return request.done || request.answering
 	})
 }
+
+func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
+
+// mix is the finisher of the splitmix64 generator. It serves as a hash and as the source of chance.
+func mix(x uint64) uint64 {
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	x = (x ^ x>>27) * 0x94d049bb133111eb
+	return x ^ x>>31
+}
--- a/routing/shedding.go
+++ b/routing/shedding.go
@@ -2,57 +2,69 @@
 
 import "time"
 
-// Tuned values. Times are on the router's clock, bounds in requests in flight.
+// Shedding is by shares of the latency objective and of the bounds. They are measured: patience of 0.2 to 0.6 moves
+// the score at a second site by under 0.015.
 const (
-	spillMultiple      = 2.0 // of the primary's bound: reads that a replica could take stop here
-	minPatience        = 0.3 // of what is left of the aim: longer waits are not worth a send
-	patiencePerWeight  = 0.3 // ... and this much more for the dearest class
-	noSheddingMultiple = 1.5 // times the cap in flight: no shedding below, the prediction is coarse
+	// minPatience is the part of what is left of the objective that an answer may take; patiencePerWeight is how
+	// much more the class with the greatest weight has.
+	minPatience       = 0.3
+	patiencePerWeight = 0.3
+	// noSheddingMultiple is the multiple of the cap below which nothing is shed, as the predicted latency is coarse.
+	noSheddingMultiple = 1.5
+	// spillMultiple is the multiple of the primary's bound up to which it takes reads that a replica could take.
+	spillMultiple = 2.0
 )
 
-// chooseRead is the ordinary path of a read. The key's place on the ring is walked clockwise past replicas
-// that are unfit, stale or at their bound; if all are full, the one least over takes it. It returns nil to
-// hold the read, or to shed it.
-func (r *Router) chooseRead(q *openRequest) (choice *nodeRecord, shed bool) {
-	g := q.group
-	p := r.primary(g)
-	n, room := r.nextReplica(g, p, q)
-	if room {
-		return n, false
+// chooseRead chooses where a read goes: the first eligible replica on the ring with room; if all are at their
+// bounds, the one least above its own, or the primary. It returns nil to hold the read, and whether to shed it
+// instead.
+func (r *Router) chooseRead(request *openRequest) (target *nodeRecord, shed bool) {
+	primary := r.primary(request.group)
+	found := r.nextReplica(request.group, primary, request)
+	if found.hasRoom {
+		return found.replica, false
 	}
-	if d := r.probeCandidate; n == nil && d != nil && q.class.Read != FreshRead {
+	replica, candidate := found.replica, found.probeCandidate
+	if replica == nil && candidate != nil && request.class.Read != FreshRead {
 		if r.settings.StaleReads == StaleRejected {
-			return d, false
+			return candidate, false
 		}
-		// Where nodes do not check, a proof lasts no longer than the bound, and a router with few answers has
-		// none: it asks for one, and waits. All replicas behind cost asksMost probes a read.
-		if d.probePending {
-			return nil, false
-		}
-		if q.probesMade++; q.probesMade <= maxProbesPerRead {
-			r.probe(d)
+		if r.awaitProof(request, candidate) {
 			return nil, false
 		}
 	}
-	share := spillMultiple
-	if n == nil {
-		share = writeBoundMultiple
+	if replica != nil && r.answersInTime(replica, request) && request.class.Read != FreshRead {
+		return replica, false
 	}
-	patience := r.patience(q)
-	calm := n != nil && (r.predictedLatency(n) <= patience || r.estimatedInFlight(n) < noSheddingMultiple*maxBound*r.capacityShare(n))
-	if calm && q.class.Read != FreshRead {
-		return n, false
+	return r.spill(request, primary, replica != nil)
+}
+
+// spill sends a read to the primary if that has room, less where a replica could take the read too. It sheds the read
+// where there is no room, and holds it where neither the primary nor a replica could take it.
+func (r *Router) spill(request *openRequest, primary *nodeRecord, hasReplica bool) (target *nodeRecord, shed bool) {
+	if primary == nil || !r.eligible(primary, request, true) {
+		return nil, hasReplica
 	}
-	if p != nil && r.eligible(p, q, true) {
-		if r.estimatedInFlight(p) < share*r.effectiveBound(p) {
-			return p, false
-		}
-		return nil, true
+	multiple := writeBoundMultiple
+	if hasReplica {
+		multiple = spillMultiple
+	}
+	if r.estimatedInFlight(primary) < multiple*r.effectiveBound(primary) {
+		return primary, false
+	}
+	return nil, true
+}
+
+// answersInTime tells whether a replica at its bound is likely to answer while that is worth a send.
+func (r *Router) answersInTime(replica *nodeRecord, request *openRequest) bool {
+	if r.predictedLatency(replica) <= r.patience(request) {
+		return true
 	}
-	return nil, n != nil
+	return r.estimatedInFlight(replica) < noSheddingMultiple*maxBound*r.capacityShare(replica)
 }
 
-// patience is how long an answer may take for the read to be sent at all; less worth is given up first.
-func (r *Router) patience(q *openRequest) time.Duration {
-	return time.Duration((minPatience + patiencePerWeight*q.weight) * float64(q.arrived+r.latencyObjective(q)-r.now))
+// patience is how long an answer may take for the read to be sent at all; reads of less weight are shed first.
+func (r *Router) patience(request *openRequest) time.Duration {
+	left := request.arrived + r.latencyObjective(request) - r.now
+	return time.Duration((minPatience + patiencePerWeight*request.weight) * float64(left))
 }
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -5,74 +5,99 @@
 	"time"
 )
 
-// Tuned values. Times are on the router's clock, bounds in requests in flight.
 const (
-	minSlowStartSends = 3.0 // sends to a cold node in a window that all routers together always have
-	slowStartTurns    = 2   // turns of a window in which chance deals out parts of one send
-	workSpread        = 4.0 // one request's work may be so many times its class's mean
+	// minSlowStartSends is what all routers together may send a node that is warming up within a window, whatever it
+	// has answered. It is measured, with the settings' overload multiple.
+	minSlowStartSends = 3.0
+	// slowStartTurns is into how many turns a window is divided. In each, chance deals out what is less than one
+	// send.
+	slowStartTurns = 2
+	// workSpread is the multiple of its class's mean work that one request may be. It is a guard, which acts on
+	// classes of over 4/3 of the mean request's work alone.
+	workSpread = 4.0
+
+	// fractionBits is the precision of a float64 in [0, 1) that is made from an integer.
+	fractionBits = 53
+	wordBits     = 64
 )
 
-// capacityShare is the share of its capacity that a node has at the least.
-func (r *Router) capacityShare(n *nodeRecord) float64 {
+// capacityShare is the share of its capacity that a node has at the least: 1 unless it is warming up.
+func (r *Router) capacityShare(node *nodeRecord) float64 {
 	age := r.settings.SlowStartTime
-	if n.restartedAt > 0 {
-		age = min(age, r.now-n.restartedAt)
+	if node.restartedAt > 0 {
+		age = min(age, r.now-node.restartedAt)
 	}
-	if n.startedAt > 0 {
-		age = min(age, r.earliestNow()-n.startedAt)
+	if node.startedAt > 0 {
+		age = min(age, r.earliestNow()-node.startedAt)
 	}
-	if age = max(age, 0); age >= r.settings.SlowStartTime {
+	age = max(age, 0)
+	if age >= r.settings.SlowStartTime {
 		return 1
 	}
-	return r.settings.SlowStartShare + (1-r.settings.SlowStartShare)*float64(age)/float64(r.settings.SlowStartTime)
+	first := r.settings.SlowStartShare
+	return first + (1-first)*float64(age)/float64(r.settings.SlowStartTime)
 }
 
-// processStart is the earliest moment, by the router's clock, at which the present process of a node can have begun to answer.
-func (r *Router) processStart(n *nodeRecord) time.Duration {
-	since := n.restartedAt
-	if n.startedAt > 0 {
-		since = max(since, n.startedAt-r.offset.Earliest)
+// processStart is the earliest moment, by the router's clock, at which the present process of a node can have begun
+// to answer.
+func (r *Router) processStart(node *nodeRecord) time.Duration {
+	since := node.restartedAt
+	if node.startedAt > 0 {
+		since = max(since, node.startedAt-r.offset.Earliest)
 	}
 	return since
 }
 
-// withinSlowStart keeps a cold node from being pushed over: its sends in a fall window stay in this router's part of
-// multiple x present capacity x window, counted in requests of mean work. The capacity is what it completes
-// on a warm node, or what the cold one answered in the last window, if more: it can surely do that, however
-// little is asked elsewhere. Of a part of a send chance makes a whole one, drawn anew each turn, so that all
-// together keep the budget. Heavy reads get none by chance while another member is warm.
-func (r *Router) withinSlowStart(n *nodeRecord, q *openRequest) bool {
-	warmth := r.capacityShare(n)
-	if warmth == 1 {
-		n.slowStart.Warm()
+// withinSlowStart keeps a node that is warming up from being overloaded: its sends in a window stay in this router's
+// part of multiple x present capacity x window, counted in requests of mean work. The capacity is what it completes
+// when warm, or what it answered in the last window, if more: it can surely do that, however little is asked
+// elsewhere. Chance rounds a part of a send to a whole one or none, drawn anew each turn, so that all routers
+// together keep the budget. Heavy reads are granted none by chance while another member is warm.
+func (r *Router) withinSlowStart(node *nodeRecord, request *openRequest) bool {
+	share := r.capacityShare(node)
+	if share == 1 {
+		node.slowStart.Warm()
+		return true
+	}
+	window := r.settings.OverloadWindow
+	believed := share * r.warmRate * window.Seconds()
+	granted := minSlowStartSends / float64(r.settings.Routers)
+	left := node.slowStart.Left(r.now, r.processStart(node), window, r.settings.OverloadMultiple, believed, granted)
+	work := r.slowStartWork(request)
+	sends := left / work
+	if sends >= 1 {
 		return true
 	}
-	left := n.slowStart.Left(r.now, r.processStart(n), r.settings.OverloadWindow, r.settings.OverloadMultiple,
-		warmth*r.warmRate*r.settings.OverloadWindow.Seconds(), minSlowStartSends/float64(r.settings.Routers))
-	own := mix(r.seed ^ uint64(n.ID)) // Turns begin at another time at each router, not all at once.
-	turn := mix(own ^ uint64(slowStartTurns*(r.now+time.Duration(own%uint64(r.settings.OverloadWindow)))/r.settings.OverloadWindow))
-	work := r.slowStartWork(q)
-	part := left / work
-	if heavy := work > r.work.Of(q.Class); heavy && part < 1 && r.hasWarmAlternative(n) {
+	if work > r.work.Of(request.Class) && r.hasWarmAlternative(node) {
 		return false
 	}
-	return part >= 1 || slowStartTurns*float64(turn>>11)/(1<<53) < part
+	return r.slowStartChance(node) < sends
+}
+
+// slowStartChance draws a number from 0 to slowStartTurns for the present turn. Turns begin at another time at each
+// router, not all at once.
+func (r *Router) slowStartChance(node *nodeRecord) float64 {
+	window := r.settings.OverloadWindow
+	own := mix(r.seed ^ uint64(node.ID))
+	shifted := r.now + time.Duration(own%uint64(window))
+	turn := mix(own ^ uint64(slowStartTurns*shifted/window))
+	return slowStartTurns * float64(turn>>(wordBits-fractionBits)) / (1 << fractionBits)
 }
 
-// slowStartWork is what a request counts for at a cold node, in requests of mean work. One of a heavy class may be
-// several times its class's mean, which does not even out over the few that fit into a window: it counts for
-// more. What only the primary takes has no other way and counts for its work.
-func (r *Router) slowStartWork(q *openRequest) float64 {
-	work := r.work.Of(q.Class)
-	if q.class.Read == Write || q.class.Read == FreshRead {
+// slowStartWork is what a request counts for at a node that is warming up, in requests of mean work. One of a heavy
+// class may be several times its class's mean, which does not even out over the few that fit into a window: it
+// counts for more. What only the primary takes has no other way and counts for its work.
+func (r *Router) slowStartWork(request *openRequest) float64 {
+	work := r.work.Of(request.Class)
+	if request.class.Read == Write || request.class.Read == FreshRead {
 		return work
 	}
 	return max(work, workSpread*(work-1))
 }
 
 // hasWarmAlternative tells whether another member of the node's group is warm and may be sent reads.
-func (r *Router) hasWarmAlternative(n *nodeRecord) bool {
-	return slices.ContainsFunc(n.group.members, func(m *nodeRecord) bool {
-		return r.capacityShare(m) == 1 && !m.ejected && r.mayReceive(m, false)
+func (r *Router) hasWarmAlternative(node *nodeRecord) bool {
+	return slices.ContainsFunc(node.group.members, func(member *nodeRecord) bool {
+		return r.capacityShare(member) == 1 && !member.ejected && r.mayReceive(member, false)
 	})
 }
--- a/routing/status.go
+++ b/routing/status.go
@@ -6,22 +6,24 @@
 type NodeStatus struct {
 	ID        NodeID
 	Health    Health
-	Cold      bool
-	Primary   bool          // by what nodes said, not by the list
+	Cold      bool          // warming up
+	Primary   bool          // by what nodes reported, not by the list
 	Position  time.Duration // the last proven one, by the nodes' clock; 0: none
 	LastHeard time.Duration // the last answer or report; 0: none
-	Behind    time.Duration // how far its position was behind the nodes' clock then, at the most; of no meaning without a position
+	// Behind is how far its position was behind the nodes' clock then, at the most; of no meaning without a position.
+	Behind time.Duration
 }
 
 // Health is how a node does.
 type Health uint8
 
+// The states of health.
 const (
 	HealthUnknown Health = iota // no evidence
 	Healthy
-	Unresponsive // out: it left requests unanswered
-	Failing      // out: it errs, breaks connections or is not reached
-	NotListening // out: no process is there
+	Unresponsive // ejected: it left requests unanswered
+	Failing      // ejected: it errs, breaks connections or is not reached
+	NotListening // ejected: no process is there
 )
 
 // Knows tells whether the router still remembers a node.
@@ -29,32 +31,48 @@
 
 // NodeStatuses appends what the router holds of each node that is not gone, by ID.
 func (r *Router) NodeStatuses(out []NodeStatus) []NodeStatus {
-	for _, n := range r.nodes {
-		if n.State == Gone {
-			continue
+	for _, node := range r.nodes {
+		if node.State != Gone {
+			out = append(out, r.nodeStatus(node))
 		}
-		s := NodeStatus{ID: n.ID, Cold: r.capacityShare(n) < 1, Primary: n.role == Primary && r.roleTime(n) > listEvidenceAt, Position: n.position,
-			LastHeard: max(n.lastAnswer, n.provenAt)}
-		s.Behind = s.LastHeard + r.offset.Latest - s.Position
-		switch {
-		case n.ejected && n.unresponsive:
-			s.Health = Unresponsive
-		case n.ejected && n.notListening:
-			s.Health = NotListening
-		case n.ejected:
-			s.Health = Failing
-		case s.LastHeard > 0:
-			s.Health = Healthy
-		}
-		out = append(out, s)
 	}
 	return out
 }
 
-// Unavailable is how many nodes of the list are sent nothing now, by the operators' word, the list's or the router's own.
+// nodeStatus is what the router holds of one node.
+func (r *Router) nodeStatus(node *nodeRecord) NodeStatus {
+	heard := max(node.lastAnswer, node.provenAt)
+	return NodeStatus{
+		ID:        node.ID,
+		Health:    node.health(),
+		Cold:      r.capacityShare(node) < 1,
+		Primary:   node.role == Primary && r.roleTime(node) > listEvidenceAt,
+		Position:  node.position,
+		LastHeard: heard,
+		Behind:    heard + r.offset.Latest - node.position,
+	}
+}
+
+// health is the node's state of health.
+func (n *nodeRecord) health() Health {
+	switch {
+	case n.ejected && n.unresponsive:
+		return Unresponsive
+	case n.ejected && n.notListening:
+		return NotListening
+	case n.ejected:
+		return Failing
+	case max(n.lastAnswer, n.provenAt) > 0:
+		return Healthy
+	default:
+		return HealthUnknown
+	}
+}
+
+// Unavailable is how many nodes of the list are sent nothing now: excluded, draining or ejected.
 func (r *Router) Unavailable() (count int) {
-	for _, n := range r.nodes {
-		if n.State != Gone && (n.ejected || !r.mayReceive(n, false)) {
+	for _, node := range r.nodes {
+		if node.State != Gone && (node.ejected || !r.mayReceive(node, false)) {
 			count++
 		}
 	}
@@ -64,16 +82,23 @@
 // Size is how much a node works on at once, as a multiple of what a small one does.
 func (r *Router) Size() float64 { return float64(r.size) }
 
-// HasPrimaries tells whether every group has a primary, as far as is known. One that is banned will do: waiting brings no other.
+// HasPrimaries tells whether every group has a primary, as far as is known. One that is excluded will do: waiting
+// brings no other.
 func (r *Router) HasPrimaries() bool {
-	for _, g := range r.groups {
-		led := len(g.members) == 0 || r.primary(g) != nil
-		for _, n := range g.members {
-			led = led || n.role == Primary && r.excluded(n)
-		}
-		if !led {
+	for _, group := range r.groups {
+		if len(group.members) > 0 && r.primary(group) == nil && !r.hasExcludedPrimary(group) {
 			return false
 		}
 	}
 	return true
 }
+
+// hasExcludedPrimary tells whether the operators exclude a primary of the group.
+func (r *Router) hasExcludedPrimary(group *replicaGroup) bool {
+	for _, member := range group.members {
+		if member.role == Primary && r.excluded(member) {
+			return true
+		}
+	}
+	return false
+}
