--- a/routing/api.go
+++ b/routing/api.go
@@ -1,8 +1,18 @@
-// Package routing decides, for one router of a replicated database cluster, where each request goes: which
-// replica answers a read, where the primary is, when to try again, when to refuse.
+// Package routing decides, for one router of a replicated database cluster, where each request goes: which replica
+// answers a read, where the primary is, when to retry or hedge, when to reject.
 //
-// This file holds the interface only; the decisions are in the others. A Router is driven by Step alone. It has
-// no clock, no goroutine and no I/O, so equal calls give equal actions.
+// A Router is driven by Step alone. It has no clock, no goroutine and no I/O.
+//
+//   - api.go holds the settings, events and actions; router.go takes a batch of events in.
+//   - requests.go places requests, attempts.go counts what was sent, shedding.go chooses for reads.
+//   - ring.go, freshness.go, slowstart.go and inflight.go tell which replica may take a read.
+//   - control.go sets the nodes' bounds by their latency.
+//   - evidence.go, health.go and probes.go keep what is known of nodes; nodes.go, subscription.go and operators.go
+//     take in the endpoint list, the exclusions and the settings; remotetime.go compares with the nodes' clock.
+//   - status.go is what operators are shown.
+//
+// Times are durations since an epoch. Those of the router's clock are the ones that Step is given; those of the nodes'
+// clock are their own, and are compared under the estimate of the offset.
 package routing
 
 import (
@@ -20,6 +30,7 @@
 // ReadKind tells how recent the data behind a class's answers must be.
 type ReadKind uint8
 
+// The kinds of requests, by what they need of the data.
 const (
 	AnyRead     ReadKind = iota // any member may answer
 	BoundedRead                 // data no older than Class.MaxAge when the request is sent
@@ -31,6 +42,7 @@
 // Effect tells what a repeat of a request does.
 type Effect uint8
 
+// The effects of a repeat.
 const (
 	Idempotent    Effect = iota // repeats are harmless
 	Deduplicated                // the nodes drop repeats for Class.DedupWindow
@@ -43,17 +55,18 @@
 	Effect           Effect
 	DedupGroup       DedupGroup
 	DedupWindow      time.Duration // counted from the send of the first attempt that may have run
-	LatencyObjective time.Duration `json:"Aim"`        // an answer within it earns full worth
-	ObjectivePerWork float64       `json:"AimStretch"` // the aim grows by this multiple of the request's own work
+	LatencyObjective time.Duration `json:"Aim"`        // an answer within it has the full weight
+	ObjectivePerWork float64       `json:"AimStretch"` // the objective grows by this multiple of the request's own work
 	Deadline         time.Duration // after it the client has given up
 	Weight           float64       `json:"Worth"`
-	LateWeight       float64       `json:"LateWorth"` // share of Worth for an answer after the aim
+	LateWeight       float64       `json:"LateWorth"` // share of Weight for an answer after the objective
 	MaxAge           time.Duration // for BoundedRead
 }
 
-// DedupGroup is the set of nodes that drop each other's repeats of a keyed request.
+// DedupGroup is the set of nodes that drop each other's repeats of a request with an idempotency key.
 type DedupGroup uint8
 
+// The sets of nodes that drop each other's repeats.
 const (
 	DedupAll          DedupGroup = iota // every node
 	DedupZone                           // nodes of one zone
@@ -63,51 +76,67 @@
 // StaleReads is what a node does with a read that it is too far behind for.
 type StaleReads uint8
 
+// What nodes do with reads that they are too far behind for.
 const (
 	StaleAnswered StaleReads = iota // it answers from what it has: the router alone keeps reads fresh
 	StaleRejected                   // it rejects the read untouched, at once or after a short wait
 )
 
-// Settings are the facts a router is started with. Field tags keep the names under which settings are stored and compared
-// between poolers.
+// Settings are the facts a router is started with. Field tags keep the names under which settings are stored and
+// compared between poolers.
 type Settings struct {
-	Routers           int // how many routers share the nodes
-	Classes           []Class
-	Quotas            []float64 // requests a second for each tenant, over all routers; empty without tenants
-	OverQuota         float64   // worth of a request over its tenant's quota, as a share of its class's
-	StaleReads        StaleReads
-	ListHintsRole     bool          `json:"ListRole"` // the list hints at who is primary: late, or as it was when the list began
-	KeepSessions      bool          // a session's reads must see its writes answered here; tokens are not carried
-	ListIsPolled      bool          `json:"ListOnRequest"` // node lists arrive only when asked for
-	ListBindsAfter    time.Duration `json:"ListBinds"`     // what a list has to tell binds so long after it came to be, heard or not; 0: once heard
-	MaxAttempts       int
-	MaxRetryAfter     time.Duration
-	CanCancel         bool
-	CanProbe          bool
-	CanHedge          bool // two attempts of one request may be out at once
-	DrainGrace        time.Duration
-	OnlyDrainingBinds bool          `json:"DrainOnly"`    // only a listing as draining binds; a node listed as gone may be tried
-	SlowStartShare    float64       `json:"ColdShare"`    // share of its capacity at which a node starts at the least
-	SlowStartTime     time.Duration `json:"ColdTime"`     // it is warm after this long at the most
-	OverloadMultiple  float64       `json:"FallMultiple"` // sent more than this multiple of its present capacity
-	OverloadWindow    time.Duration `json:"FallWindow"`   // for this long, a cold node falls over
+	// Routers is how many routers share the nodes.
+	Routers int
+	Classes []Class
+	// Quotas are the tenants' requests a second, over all routers; empty without tenants.
+	Quotas []float64
+	// OverQuota is the weight of a request over its tenant's quota, as a share of its class's.
+	OverQuota  float64
+	StaleReads StaleReads
+	// ListHintsRole tells that the list hints at who is primary: late, or as it was when the list began.
+	ListHintsRole bool `json:"ListRole"`
+	// KeepSessions tells that a session's reads must see its writes answered here; positions are not carried.
+	KeepSessions bool
+	// ListIsPolled tells that node lists arrive only when asked for.
+	ListIsPolled bool `json:"ListOnRequest"`
+	// ListBindsAfter is how long after it came to be a list binds, heard or not; 0: once heard.
+	ListBindsAfter time.Duration `json:"ListBinds"`
+	MaxAttempts    int
+	MaxRetryAfter  time.Duration
+	CanCancel      bool
+	CanProbe       bool
+	// CanHedge tells that two attempts of one request may be pending at once.
+	CanHedge   bool
+	DrainGrace time.Duration
+	// OnlyDrainingBinds tells that only a listing as draining binds; a node listed as gone may be tried.
+	OnlyDrainingBinds bool `json:"DrainOnly"`
+	// SlowStartShare is the share of its capacity at which a node starts at the least.
+	SlowStartShare float64 `json:"ColdShare"`
+	// SlowStartTime is how long it takes to warm up at the most.
+	SlowStartTime time.Duration `json:"ColdTime"`
+	// OverloadMultiple is how many times its present capacity a node that is warming up may be sent for OverloadWindow;
+	// sent more, it fails.
+	OverloadMultiple float64       `json:"FallMultiple"`
+	OverloadWindow   time.Duration `json:"FallWindow"`
 }
 
 // Event is one thing that happened. Kind tells which of the other fields are set.
 type Event struct {
 	Kind    EventKind
-	Request RequestID // Arrival, Outcome, ClientGone
-	Arrival Arrival
-	Outcome Outcome // AttemptDone and ProbeDone; its Attempt, of AnswerBegan
-	Nodes   []Node  // ListFull, ListChange
+	Request RequestID // RequestArrived, AttemptDone, AnswerStarted, ClientGone
+	Arrival Arrival   // RequestArrived
+	Outcome Outcome   // AttemptDone and ProbeDone; its Attempt, of AnswerStarted
+	Nodes   []Node    // ListComplete, ListUpdated
 
-	Exclusions map[NodeID]time.Duration // BansChanged: the whole set, with the clock time of each ban
+	Exclusions map[NodeID]time.Duration // ExclusionsChanged: the whole set, with the router's time of each
 	Settings   *Settings                // SettingsChanged; it must not change any more
 	Clock      clockoffset.Bounds       // ClockOffset: what the nodes' clock shows minus this router's
 }
 
+// EventKind tells what happened.
 type EventKind uint8
 
+// The kinds of events.
 const (
 	RequestArrived EventKind = iota
 	AttemptDone
@@ -117,7 +146,9 @@
 	ListUpdated  // only the nodes that changed
 	ListFailed   // a call for the list failed or the subscription broke
 	TimerFired
-	AnswerStarted     // an attempt answers at length, all others are called off: the deadline no longer binds, its node's work is done
+	// AnswerStarted tells that an attempt answers at length and all others are cancelled: the deadline no longer binds,
+	// and its node's work is done.
+	AnswerStarted
 	ExclusionsChanged // by the operators
 	SettingsChanged   // requests that arrived before keep their class
 	ClockOffset       // the nodes' clock has been found to differ from the router's; until then the two agree
@@ -135,6 +166,7 @@
 // Status is how an attempt or a probe ended.
 type Status uint8
 
+// How an attempt or a probe ends.
 const (
 	OK               Status = iota
 	NodeError               // the node failed; the request may have run
@@ -143,7 +175,7 @@
 	ConnectFailed           // no connection; it never ran
 	ConnectionBroken        // the connection broke; it may have run
 	Cancelled               // it may have run
-	NotSent                 // never sent: the request was over, or this machine lacked something; tells nothing of the node
+	NotSent                 // the request was over, or this machine lacked something; tells nothing of the node
 	NodeRejected            // a write at a replica or a read too fresh for the node; it never ran
 	ConnectRefused          // no connection, as the node's machine says that nothing listens; it never ran
 )
@@ -168,19 +200,21 @@
 type Evidence struct {
 	Role         Role
 	Position     time.Duration // the nodes' clock up to which all commits are applied; of a write, its commit; 0: none
-	ReportsQueue bool          // it tells how many requests wait there for others to end
-	QueueLength  float64       // ... so many
+	ReportsQueue bool          // QueueLength is told
+	QueueLength  float64       // how many requests wait there for others to end
 }
 
+// Role is a node's part in its group.
 type Role uint8
 
+// The roles of nodes.
 const (
 	RoleUnknown Role = iota
 	Primary
 	Replica
 )
 
-// Node is an entry of the node list.
+// Node is an entry of the endpoint list.
 type Node struct {
 	ID      NodeID
 	State   NodeState
@@ -190,8 +224,10 @@
 	Group   int
 }
 
+// NodeState is what the endpoint list tells of a node.
 type NodeState uint8
 
+// The states of nodes.
 const (
 	Gone NodeState = iota
 	Ready
@@ -204,18 +240,20 @@
 	Request RequestID
 	Node    NodeID        // Send, Probe
 	Attempt int           // Cancel
-	Delay   time.Duration // Send: its time-out, 0 for the client's; Refuse: when to retry, 0 for no advice; SetTimer
+	Delay   time.Duration // Send: its time-out, 0 for the client's; Reject: when to retry, 0 for no advice; SetTimer
 	WriteBy time.Duration // Send: time of the router's clock after which it must not be written any more; 0: none
 }
 
+// ActionKind tells what is to be done.
 type ActionKind uint8
 
+// The kinds of actions.
 const (
-	Send ActionKind = iota
-	Reject
-	Fail
-	Cancel
-	Probe
-	SetTimer
-	Subscribe
+	Send      ActionKind = iota // an attempt of the request to the node
+	Reject                      // the request: the client may retry it
+	Fail                        // the request: it may have run
+	Cancel                      // an attempt
+	Probe                       // the node
+	SetTimer                    // for TimerFired; it takes the place of the last one
+	Subscribe                   // to the endpoint list
 )
