--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -6,79 +6,93 @@
 	"time"
 )
 
-// One is how many requests a database of size 1 works on at once: what one that tells nothing is taken for.
-const One = 3.0
+// UnitConcurrency is how many requests a database of size 1 works on at once: what one that reports nothing is taken
+// for. It is measured with databases of three cores.
+const UnitConcurrency = 3.0
 
 const (
-	gain  = 0.002 // of the size, for each report
-	least = 1 / One
-	most  = 64.0
-	safe  = 0.5 // share of a cold database's budget that is used
+	// sizeGain is the change of the size with each report. It is measured: twice and half as much move the score at a
+	// second site by under 0.02, 0.01 and more lowers it.
+	sizeGain = 0.002
+	// lossMultiple is how much faster the size falls than it grows: overload is worse than rejections.
+	lossMultiple = 2
+	// minSize stands for one request at once, maxSize is a guard.
+	minSize = 1 / UnitConcurrency
+	maxSize = 64.0
+	// budgetSafety is the share of the budget of a database that is warming up which is used.
+	budgetSafety = 0.5
 )
 
-// Size is how much databases work on at once, as a multiple of One.
+// Size is how much databases work on at once, as a multiple of UnitConcurrency.
 type Size float64
 
-// Told takes in a report: so many requests wait at a database that is warm, and holds so many for each unit of the size. One
-// that holds as much as it was taken to work on, with nobody waiting, works on more; one at which as many wait as are
-// worked on answers in twice its time, and is smaller. In between the size stands. One that can be told from the latency
-// alone has not been found: with few requests at each database it cannot be told from chance.
-func (s Size) Told(held, waiting float64) Size {
+// AfterReport returns the size after the report of a warm database at which so many requests wait, and so many are
+// in flight for each unit of the size. One that has as much in flight as it was taken to work on, with nobody
+// waiting, works on more; one at which as many wait as are worked on answers in twice its time, and is smaller. In
+// between the size stands. A way to tell the size from the latency alone has not been found: with few requests at
+// each database it cannot be told from chance.
+func (s Size) AfterReport(inFlight, waiting float64) Size {
 	switch {
-	case waiting <= 0 && held >= One:
-		s *= 1 + gain
-	case waiting > One*float64(s):
-		s *= 1 - 2*gain // a crowd is a worse mistake than a refusal
+	case waiting <= 0 && inFlight >= UnitConcurrency:
+		s *= 1 + sizeGain
+	case waiting > UnitConcurrency*float64(s):
+		s *= 1 - lossMultiple*sizeGain
 	}
-	return min(most, max(least, s))
+	return min(maxSize, max(minSize, s))
 }
 
-// Cold keeps count of the work that one database was sent and has answered, in requests of mean work, for the time when it
-// is cold. A start may become known late, so what is sent counts before it too.
-type Cold struct {
-	sends, answers []counted // of the last window
+// SlowStart keeps count of the work that one database was sent and has answered, in requests of mean work, for the
+// time when it is warming up. A start may become known late, so what is sent counts before it too.
+type SlowStart struct {
+	sends   []workRecord // of the last window
+	answers []workRecord // of the last window
 }
 
-// counted is the work of one request, and when it was sent or answered.
-type counted struct {
+// workRecord is the work of one request, and when it was sent or answered.
+type workRecord struct {
 	at   time.Duration
 	work float64
 }
 
-// Sent counts a request that was sent.
-func (c *Cold) Sent(now, window time.Duration, work float64) {
-	if len(c.sends) == cap(c.sends) {
-		c.sends = since(c.sends, now-window)
+// Sent counts a request that was sent. Those before the window are dropped, so that the memory is bounded by what is
+// sent within one.
+func (s *SlowStart) Sent(now, window time.Duration, work float64) {
+	if len(s.sends) == cap(s.sends) {
+		s.sends = dropBefore(s.sends, now-window)
 	}
-	c.sends = append(c.sends, counted{now, work})
+	s.sends = append(s.sends, workRecord{at: now, work: work})
 }
 
 // Answered counts a request that was answered.
-func (c *Cold) Answered(now time.Duration, work float64) {
-	c.answers = append(c.answers, counted{now, work})
+func (s *SlowStart) Answered(now time.Duration, work float64) {
+	s.answers = append(s.answers, workRecord{at: now, work: work})
 }
 
-// Warm forgets the answers: they tell nothing of what a process that starts later can do.
-func (c *Cold) Warm() { c.answers = c.answers[:0] }
+// ForgetAnswers drops the answers of a warm database: they tell nothing of what a process that starts later can do.
+func (s *SlowStart) ForgetAnswers() { s.answers = s.answers[:0] }
 
-// Left is how much more work may be sent now; of a part of a request's, chance has to make a whole one. The database falls
-// over if all senders together send it more than the multiple of what it can do within the window. Its capacity in a window
-// is taken to be what is believed, or what it answered in the last one since it started, if more: it can surely do that,
-// however little is asked elsewhere, and as each sender counts its own answers, all together keep the budget. At least the
-// part is always granted.
-func (c *Cold) Left(now, started, window time.Duration, multiple, believed, part float64) float64 {
-	c.sends, c.answers = since(c.sends, now-window), since(c.answers, max(started, now-window))
-	return max(part, safe*multiple*max(believed, sum(c.answers))) - sum(c.sends)
+// Remaining is how much more work may be sent now. It may be less than one request, or negative.
+//
+// The database is overloaded if all senders together send it more than the multiple of what it can do within the
+// window. Its capacity in a window is taken to be what is believed, or what it answered in the last one since it
+// started, if more: it can surely do that, however little is asked elsewhere, and as each sender counts its own
+// answers, all together keep the budget. At least so much as granted may always be sent in a window.
+func (s *SlowStart) Remaining(now, started, window time.Duration, multiple, believed, granted float64) float64 {
+	windowStart := now - window
+	s.sends = dropBefore(s.sends, windowStart)
+	s.answers = dropBefore(s.answers, max(started, windowStart))
+	budget := budgetSafety * multiple * max(believed, totalWork(s.answers))
+	return max(granted, budget) - totalWork(s.sends)
 }
 
-// since drops what was counted before a time.
-func since(all []counted, from time.Duration) []counted {
-	return slices.DeleteFunc(all, func(one counted) bool { return one.at < from })
+// dropBefore drops the records from before a time.
+func dropBefore(records []workRecord, from time.Duration) []workRecord {
+	return slices.DeleteFunc(records, func(record workRecord) bool { return record.at < from })
 }
 
-func sum(all []counted) (work float64) {
-	for _, one := range all {
-		work += one.work
+func totalWork(records []workRecord) (work float64) {
+	for _, record := range records {
+		work += record.work
 	}
 	return work
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -17,11 +17,11 @@
 			s := begin
 			for range 10000 {
 				held := 4 * float64(s) // sent up to the cap of a database of that size
-				s = s.Told(held/float64(s), max(0, held-cores))
+				s = s.AfterReport(held/float64(s), max(0, held-cores))
 			}
 			held := 4 * float64(s)
 			require.GreaterOrEqual(t, held, cores*0.99, "%v at once, begun at %v: it idles", cores, begin)
-			require.LessOrEqual(t, held-cores, capacity.One*float64(s)*1.01, "%v at once, begun at %v: a crowd", cores, begin)
+			require.LessOrEqual(t, held-cores, capacity.UnitConcurrency*float64(s)*1.01, "%v at once, begun at %v: a crowd", cores, begin)
 		}
 	}
 }
@@ -29,9 +29,9 @@
 // Databases that hold little tell nothing of their size, and so do short queues.
 func TestSizeStands(t *testing.T) {
 	s := capacity.Size(2)
-	require.Equal(t, s, s.Told(capacity.One-0.1, 0))
-	require.Equal(t, s, s.Told(20, 1))
-	require.Equal(t, s, s.Told(0, capacity.One*2))
+	require.Equal(t, s, s.AfterReport(capacity.UnitConcurrency-0.1, 0))
+	require.Equal(t, s, s.AfterReport(20, 1))
+	require.Equal(t, s, s.AfterReport(0, capacity.UnitConcurrency*2))
 }
 
 // Many senders that each count their own answers keep the budget of a database together, and use it up to what
@@ -39,14 +39,14 @@
 func TestColdTogether(t *testing.T) {
 	const senders, window, step, multiple = 7, time.Second, time.Millisecond, 3.0
 	for _, perSecond := range []int{40, 300} { // what the database does
-		var all [senders]capacity.Cold
+		var all [senders]capacity.SlowStart
 		var sent, done []time.Duration
 		queue := []int{}
 		most := 0
 		for now := step; now < 20*time.Second; now += step {
 			for i := range all {
 				// More is wanted than it can do: a second copy of the loop would be a crowd.
-				if len(queue) < 60 && all[i].Left(now, 0, window, multiple, 0, 3.0/senders) >= 0.4 {
+				if len(queue) < 60 && all[i].Remaining(now, 0, window, multiple, 0, 3.0/senders) >= 0.4 {
 					all[i].Sent(now, window, 1)
 					sent = append(sent, now)
 					queue = append(queue, i)
@@ -71,21 +71,21 @@
 // known counts.
 func TestColdAfterARestart(t *testing.T) {
 	const window, multiple, part = time.Second, 3.0, 2.0
-	var c capacity.Cold
+	var c capacity.SlowStart
 	for now := time.Second; now < 2*time.Second; now += 100 * time.Millisecond {
 		c.Sent(now, window, 0.1)
 		c.Answered(now, 5)
 	}
 	now, started := 2*time.Second, 1950*time.Millisecond
-	require.InDelta(t, part-1, c.Left(now, started, window, multiple, 0, part), 1e-9)
+	require.InDelta(t, part-1, c.Remaining(now, started, window, multiple, 0, part), 1e-9)
 	c.Answered(now, 4)
-	require.InDelta(t, 0.5*multiple*4-1, c.Left(now, started, window, multiple, 0, part), 1e-9)
-	require.InDelta(t, part, c.Left(now+2*window, started, window, multiple, 0, part), 1e-9)
+	require.InDelta(t, 0.5*multiple*4-1, c.Remaining(now, started, window, multiple, 0, part), 1e-9)
+	require.InDelta(t, part, c.Remaining(now+2*window, started, window, multiple, 0, part), 1e-9)
 }
 
 // What a database is sent while it is warm takes no more memory than a window of it.
 func TestWarmSendsAreForgotten(t *testing.T) {
-	var c capacity.Cold
+	var c capacity.SlowStart
 	const window, each = time.Second, time.Millisecond
 	now := time.Second
 	allocated := testing.AllocsPerRun(100, func() {
--- a/internal/capacity/work_test.go
+++ b/internal/capacity/work_test.go
@@ -15,7 +15,7 @@
 func TestWorkOfClasses(t *testing.T) {
 	var w capacity.Work
 	require.Equal(t, 1.0, w.Of(0), "nothing is known")
-	w.Set([]time.Duration{300 * millisecond, 5000 * millisecond})
+	w.SetObjectives([]time.Duration{300 * millisecond, 5000 * millisecond})
 	require.Equal(t, 1.0, w.Of(1), "nothing has arrived")
 	for range 50 {
 		for range 19 {
@@ -37,23 +37,23 @@
 func TestWorkOfAnUnansweredClass(t *testing.T) {
 	var w capacity.Work
 	aims := []time.Duration{300 * millisecond, 3000 * millisecond}
-	w.Set(aims)
+	w.SetObjectives(aims)
 	for range 30 {
 		w.Arrived(0)
 		w.Answered(0, 60*millisecond)
 	}
 	require.InDelta(t, 10, w.Of(1), 1e-9)
-	w.Set(aims)
+	w.SetObjectives(aims)
 	require.InDelta(t, 10, w.Of(1), 1e-9)
 	w.Arrived(1)
-	w.Set([]time.Duration{300 * millisecond, 300 * millisecond})
+	w.SetObjectives([]time.Duration{300 * millisecond, 300 * millisecond})
 	require.Equal(t, 1.0, w.Of(1))
 }
 
 // A change of the traffic shows, however long the process has run.
 func TestWorkFollowsTheTraffic(t *testing.T) {
 	var w capacity.Work
-	w.Set([]time.Duration{time.Second, time.Second})
+	w.SetObjectives([]time.Duration{time.Second, time.Second})
 	answer := func(took time.Duration, requests int) {
 		for range requests {
 			for class, takes := range []time.Duration{60 * millisecond, took} {
--- a/routing/api.go
+++ b/routing/api.go
@@ -254,6 +254,6 @@
 	Fail                        // the request: it may have run
 	Cancel                      // an attempt
 	Probe                       // the node
-	SetTimer                    // for TimerFired; it takes the place of the last one
+	SetTimer                    // for a TimerFired after the delay
 	Subscribe                   // to the endpoint list
 )
--- a/routing/evidence.go
+++ b/routing/evidence.go
@@ -18,7 +18,7 @@
 		node.role, node.roleAt = evidence.Role, at
 	}
 	if evidence.ReportsQueue && r.capacityShare(node) == 1 {
-		r.size = r.size.Told(r.estimatedInFlight(node), evidence.QueueLength)
+		r.size = r.size.AfterReport(r.estimatedInFlight(node), evidence.QueueLength)
 	}
 }
 
--- a/routing/health.go
+++ b/routing/health.go
@@ -9,8 +9,7 @@
 	minSilence = 300 * ms
 	// silenceMultiple is the multiple of the node's usual latency that it has to be too.
 	silenceMultiple = 4
-	// restartThreshold is how long a node whose process was not there is out before it is taken to have started
-	// anew. A shorter outage leaves its caches warm enough.
+	// restartThreshold is how long a node whose process was not there is out before it is taken to have started anew.
 	restartThreshold = 1000 * ms
 	// minBackoff is the first pause of an unresponsive node; it doubles up to maxBackoff.
 	minBackoff = 500 * ms
--- a/routing/nodes.go
+++ b/routing/nodes.go
@@ -34,12 +34,12 @@
 	roleAt   clockoffset.Instant // time of the evidence for role
 
 	inFlight       int
-	meanInFlight   float64       // running mean of inFlight
-	meanInFlightAt time.Duration // up to here
-	slowStart      capacity.Cold // what it was sent and has answered while warming up
-	latency        float64       // running mean of its answers, in ns
-	meanLoad       float64       // running mean of the estimated in-flight requests at the sends of those answers
-	completed      float64       // work completed in this control period, in requests of mean work
+	meanInFlight   float64            // running mean of inFlight
+	meanInFlightAt time.Duration      // up to here
+	slowStart      capacity.SlowStart // what it was sent and has answered while warming up
+	latency        float64            // running mean of its answers, in ns
+	meanLoad       float64            // running mean of the estimated in-flight requests at the sends of those answers
+	completed      float64            // work completed in this control period, in requests of mean work
 
 	ejected      bool          // only probes are sent
 	unresponsive bool          // it left requests unanswered: a probe that is answered does not readmit it
--- a/routing/operators.go
+++ b/routing/operators.go
@@ -25,7 +25,7 @@
 	for _, request := range r.open {
 		request.maxAttempts = min(request.maxAttempts, settings.MaxAttempts)
 	}
-	r.work.Set(objectives)
+	r.work.SetObjectives(objectives)
 	r.quotas.Set(settings.Quotas, settings.Routers)
 }
 
--- a/routing/probes.go
+++ b/routing/probes.go
@@ -14,8 +14,8 @@
 	probesPerRequestAlone = 0.3
 	// maxProbesPerRead bounds what a read asks for where no replica is proven to be fresh.
 	maxProbesPerRead = 4
-	// lagProbeRouters sets when a lagging replica is probed again: after its lag, times the routers over so many
-	// more. With many routers, each of which may ask, a replica would answer little else.
+	// lagProbeRouters sets when a lagging replica is probed again: after its lag, times the routers over so many more.
+	// It is measured with 3 to 300 routers.
 	lagProbeRouters = 12
 	// reprobeInterval is the least time between two probes that reads ask for.
 	reprobeInterval = 50 * ms
--- a/routing/requests.go
+++ b/routing/requests.go
@@ -12,8 +12,8 @@
 	longReadMultiple = 2.0
 	// writeBoundMultiple is the multiple of a bound's cap from which writes are held. It is measured.
 	writeBoundMultiple = 3.0
-	// holdShare is the part of its time that a request without an attempt is held: the protocol scores a late
-	// rejection worse than an early one.
+	// holdShare is the part of its time that a request without an attempt is held, one in so many: by the protocol a
+	// later rejection costs 0.3 of its weight.
 	holdShare = 2
 	// holdMargin is how long before its end the holding ends, so that the next tick is not too late.
 	holdMargin = 2 * tickInterval
--- a/routing/ring.go
+++ b/routing/ring.go
@@ -7,8 +7,7 @@
 )
 
 const (
-	// maxRingPoints is the number of ring points of a warm replica whose bound is at its cap. It is measured: fewer
-	// give uneven shares, more cost time to lay.
+	// maxRingPoints is the number of ring points of a warm replica whose bound is at its cap. It is part of the design.
 	maxRingPoints = 48
 	// ringHashStep spreads the nodes' IDs before they are hashed: 2^64 over the golden ratio, as of splitmix64.
 	ringHashStep = 0x9e3779b97f4a7c15
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -56,13 +56,14 @@
 func (r *Router) withinSlowStart(node *nodeRecord, request *openRequest) bool {
 	share := r.capacityShare(node)
 	if share == 1 {
-		node.slowStart.Warm()
+		node.slowStart.ForgetAnswers()
 		return true
 	}
 	window := r.settings.OverloadWindow
 	believed := share * r.warmRate * window.Seconds()
 	granted := minSlowStartSends / float64(r.settings.Routers)
-	left := node.slowStart.Left(r.now, r.processStart(node), window, r.settings.OverloadMultiple, believed, granted)
+	started, multiple := r.processStart(node), r.settings.OverloadMultiple
+	left := node.slowStart.Remaining(r.now, started, window, multiple, believed, granted)
 	work := r.slowStartWork(request)
 	sends := left / work
 	if sends >= 1 {
--- a/routing/subscription.go
+++ b/routing/subscription.go
@@ -12,8 +12,7 @@
 	// minSubscribeSpread is the least such time. A call that failed within it was turned away rather than left
 	// waiting.
 	minSubscribeSpread = 500 * ms
-	// maxSubscribeSpread is the greatest, where the settings tell no time in which a list binds. It is about the
-	// time that the protocol leaves for an answer.
+	// maxSubscribeSpread is the greatest, where the settings tell no time in which a list binds.
 	maxSubscribeSpread = 4 * time.Second
 	// bindShare is the part of the time in which a list binds that the spread may take.
 	bindShare = 3
