--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,22 +1,24 @@
-// Package quota counts what tenants still may ask within their shares. It is pure: no clock, no I/O.
+// Package quota counts what tenants may still ask for within their quotas. It is pure: no clock, no I/O.
 package quota
 
 import "time"
 
-// burst is what a tenant may save up of its quota.
+// burst is the time of which a tenant may save up its quota: a second, as quotas are requests a second.
 const burst = time.Second
 
-// Quotas are one router's part of the tenants' quotas. The zero value has no tenant, and grants all.
+// Quotas are one router's part of the tenants' quotas, as token buckets. The zero value has no tenant, and grants
+// all.
 type Quotas struct {
-	perSecond, left []float64
-	filled          time.Duration // when left was last filled up
+	perSecond []float64
+	tokens    []float64
+	filledAt  time.Duration // when the tokens were last filled up
 }
 
-// Set gives each tenant its quota, in requests a second over so many routers. What is left of the old ones is kept, if there
-// are as many tenants.
+// Set gives each tenant its quota, in requests a second over so many routers. The tokens of the old quotas are kept,
+// if there are as many tenants.
 func (q *Quotas) Set(perSecond []float64, routers int) {
-	if len(q.left) != len(perSecond) {
-		q.left = make([]float64, len(perSecond))
+	if len(q.tokens) != len(perSecond) {
+		q.tokens = make([]float64, len(perSecond))
 	}
 	q.perSecond = make([]float64, len(perSecond))
 	for i, all := range perSecond {
@@ -24,19 +26,25 @@
 	}
 }
 
-// Take tells whether a request of the tenant is within its quota, and counts it if so.
+// Take tells whether a request of the tenant is within its quota, and counts it if so. A tenant without a quota is
+// granted all.
 func (q *Quotas) Take(tenant int, now time.Duration) bool {
-	passed := min(now-q.filled, burst).Seconds()
-	q.filled = now
-	for i, perSecond := range q.perSecond {
-		q.left[i] = min(perSecond*burst.Seconds(), q.left[i]+perSecond*passed)
-	}
-	if tenant >= len(q.left) {
+	q.fill(now)
+	if tenant >= len(q.tokens) {
 		return true
 	}
-	if q.left[tenant] < 1 {
+	if q.tokens[tenant] < 1 {
 		return false
 	}
-	q.left[tenant]--
+	q.tokens[tenant]--
 	return true
 }
+
+// fill adds the tokens for the time since the last fill.
+func (q *Quotas) fill(now time.Duration) {
+	passed := min(now-q.filledAt, burst).Seconds()
+	q.filledAt = now
+	for i, perSecond := range q.perSecond {
+		q.tokens[i] = min(perSecond*burst.Seconds(), q.tokens[i]+perSecond*passed)
+	}
+}
