--- a/internal/clockoffset/clockoffset.go
+++ b/internal/clockoffset/clockoffset.go
@@ -27,13 +27,19 @@
 	// enough to be added to times since the Unix epoch.
 	Unknown = time.Duration(1 << 61)
 
-	precision   = 5 * time.Millisecond   // of positions and clock readings: rounding, and skew between databases
-	quorum      = 3                      // samples that have to agree, and by which an estimate has to be outvoted
-	spread      = 100 * time.Millisecond // from the first answer of them to the last send: one moment proves no clock
-	cluster     = 10 * time.Second       // contradictions no further apart than this agree with each other
-	windowSize  = 8                      // samples kept of each kind
-	spacing     = spread / 4             // of answers that are kept: a window spans more than the spread at any rate
-	kinds       = 3
+	// precision is that of positions and clock readings: rounding, and skew between databases.
+	precision = 5 * time.Millisecond
+	// quorum is the number of samples that have to agree, and by which an estimate has to be outvoted.
+	quorum = 3
+	// minSpread is the least time from the first answer of those samples to the last send: one moment proves no clock.
+	minSpread = 100 * time.Millisecond
+	// maxClusterWidth is how far apart contradictions may be that agree with each other.
+	maxClusterWidth = 10 * time.Second
+	// windowSize is the number of samples kept of each kind.
+	windowSize = 8
+	// minSpacing is the least time between answers that are kept: a window spans more than minSpread at any rate.
+	minSpacing  = minSpread / 4
+	kindCount   = 3
 	intervalEnd = time.Duration(math.MaxInt64)
 )
 
@@ -88,7 +94,7 @@
 
 // Estimator keeps the last samples and the present estimate. The zero value takes the clocks to agree.
 type Estimator struct {
-	windows [kinds]window
+	windows [kindCount]window
 	bounds  Bounds
 	dissent int // samples that cannot be true if the clocks agree
 }
@@ -116,7 +122,7 @@
 // keep puts a sample in the place of the oldest of its kind, unless answers come so fast that others speak for it.
 func (e *Estimator) keep(i interval) {
 	w := &e.windows[i.Kind]
-	if i.Kind != Reported && len(w.samples) > 0 && i.Received-w.last < spacing {
+	if i.Kind != Reported && len(w.samples) > 0 && i.Received-w.last < minSpacing {
 		return
 	}
 	w.last = i.Received
@@ -194,7 +200,7 @@
 	}
 	slices.Sort(ahead)
 	for i := quorum - 1; i < len(ahead); i++ {
-		if ahead[i]-ahead[i-quorum+1] <= cluster {
+		if ahead[i]-ahead[i-quorum+1] <= maxClusterWidth {
 			return true
 		}
 	}
@@ -239,7 +245,7 @@
 	for _, i := range o.support {
 		firstAnswer, lastSend = min(firstAnswer, i.Received), max(lastSend, i.Sent)
 	}
-	return lastSend-firstAnswer >= spread
+	return lastSend-firstAnswer >= minSpread
 }
 
 func (o overlap) score(e *Estimator) int {
--- a/internal/clockoffset/clockoffset_test.go
+++ b/internal/clockoffset/clockoffset_test.go
@@ -28,8 +28,10 @@
 }
 
 func newFleet(seed uint64, offset time.Duration) *fleet {
-	return &fleet{rng: rand.New(rand.NewPCG(seed, 36)), now: epoch, offset: offset, commits: 0.2, reports: 0.4,
-		skew: 3 * ms, replicas: 3 * time.Second}
+	return &fleet{
+		rng: rand.New(rand.NewPCG(seed, 36)), now: epoch, offset: offset, commits: 0.2, reports: 0.4,
+		skew: 3 * ms, replicas: 3 * time.Second,
+	}
 }
 
 func (f *fleet) upTo(most time.Duration) time.Duration {
@@ -158,7 +160,7 @@
 func TestAnswersThatComeFast(t *testing.T) {
 	for _, every := range []time.Duration{10 * time.Microsecond, ms, 20 * ms} {
 		e, now := &Estimator{}, epoch
-		for now < epoch+2*spread {
+		for now < epoch+2*minSpread {
 			now += every
 			e.Add(answer(now, now-time.Hour, 10*time.Microsecond))
 		}
@@ -171,11 +173,11 @@
 	e := &Estimator{}
 	const pending = 90 * ms // all are out at once
 	for n := range 5 {
-		received := epoch + pending + time.Duration(n)*spacing
+		received := epoch + pending + time.Duration(n)*minSpacing
 		e.Add(answer(received, epoch-time.Hour, received-epoch))
 		require.Zero(t, e.Bounds())
 	}
-	e.Add(answer(epoch+3*spread, epoch+3*spread-time.Hour, ms))
+	e.Add(answer(epoch+3*minSpread, epoch+3*minSpread-time.Hour, ms))
 	require.InDelta(t, float64(-time.Hour), float64(e.Bounds().Latest), float64(10*ms))
 }
 
@@ -185,7 +187,7 @@
 	e, now := &Estimator{}, epoch
 	add := func(n int, position, before time.Duration) {
 		for range n {
-			now += spread
+			now += minSpread
 			e.Add(answer(now, now+position, before))
 		}
 	}
@@ -256,8 +258,12 @@
 
 // The process stood still while its machine was suspended: what was known is given up for what comes.
 func TestOffsetChanges(t *testing.T) {
-	for _, offsets := range [][2]time.Duration{{0, time.Hour}, {time.Hour, 0}, {-time.Hour, 0},
-		{2 * time.Second, -2 * time.Second}} {
+	for _, offsets := range [][2]time.Duration{
+		{0, time.Hour},
+		{time.Hour, 0},
+		{-time.Hour, 0},
+		{2 * time.Second, -2 * time.Second},
+	} {
 		for seed := range uint64(20) {
 			f, e := newFleet(seed, offsets[0]), &Estimator{}
 			for range 500 {
