--- a/internal/clockoffset/clockoffset.go
+++ b/internal/clockoffset/clockoffset.go
@@ -1,12 +1,12 @@
 // Package clockoffset estimates what the databases' clocks show minus what this process's clock shows. The process's
-// clock takes the wall clock at its start for its epoch, and the wall clock may have been wrong then, by seconds or an
-// hour.
+// clock takes the wall clock at its start for its epoch, and the wall clock may have been wrong then, by seconds or
+// an hour.
 //
 // The evidence is the positions that databases tell. A position is a time by the databases' clocks up to which all
-// commits are applied, so it never lies in their future: one that was received at a time bounds the offset from below.
-// The answer of a primary, which stands at the present, and even more a write's commit, was made between the send and
-// the answer, and so bounds the offset from both sides. As in Marzullo's algorithm the offset lies where most of these
-// intervals overlap.
+// commits are applied, so it never lies in their future: one that was received at a time bounds the offset from
+// below. The answer of a primary, which stands at the present, and even more a write's commit, was made between the
+// send and the answer, and so bounds the offset from both sides. As in Marzullo's algorithm the offset lies where
+// most of these intervals overlap.
 //
 // While the process's own clock agrees with the evidence the offset is exactly zero. It is pure: no clock, no I/O, no
 // goroutine.
@@ -30,7 +30,8 @@
 	precision = 5 * time.Millisecond
 	// quorum is the number of samples that have to agree, and by which an estimate has to be outvoted.
 	quorum = 3
-	// minSpread is the least time from the first answer of those samples to the last send: one moment proves no clock.
+	// minSpread is the least time from the first answer of those samples to the last send: one moment proves no
+	// clock.
 	minSpread = 100 * time.Millisecond
 	// maxClusterWidth is how far apart contradictions may be that agree with each other.
 	maxClusterWidth = 10 * time.Second
@@ -71,12 +72,14 @@
 	lower, upper time.Duration
 }
 
+// interval returns the interval of the sample. A position that was true at some time before bounds it from below
+// alone.
 func (s Sample) interval() interval {
-	i := interval{Sample: s, lower: s.Position - s.Received - precision, upper: intervalEnd}
+	found := interval{Sample: s, lower: s.Position - s.Received - precision, upper: intervalEnd}
 	if s.Kind != Reported {
-		i.upper = s.Position - s.Sent + precision
+		found.upper = s.Position - s.Sent + precision
 	}
-	return i
+	return found
 }
 
 // contradictsZero tells whether the sample cannot be true if the clocks agree.
@@ -86,9 +89,9 @@
 
 // window holds the last samples of one kind.
 type window struct {
-	samples []interval
-	next    int           // the oldest, once the window is full
-	last    time.Duration // when the newest was received
+	samples      []interval
+	oldest       int           // index, once the window is full
+	lastReceived time.Duration // when the newest was received
 }
 
 // Estimator keeps the last samples and the present estimate. The zero value takes the clocks to agree.
@@ -119,22 +122,22 @@
 }
 
 // keep puts a sample in the place of the oldest of its kind, unless answers come so fast that others speak for it.
-func (e *Estimator) keep(i interval) {
-	w := &e.windows[i.Kind]
-	if i.Kind != Reported && len(w.samples) > 0 && i.Received-w.last < minSpacing {
+func (e *Estimator) keep(sample interval) {
+	kept := &e.windows[sample.Kind]
+	if sample.Kind != Reported && len(kept.samples) > 0 && sample.Received-kept.lastReceived < minSpacing {
 		return
 	}
-	w.last = i.Received
-	if len(w.samples) < windowSize {
-		w.samples = append(w.samples, i)
+	kept.lastReceived = sample.Received
+	if len(kept.samples) < windowSize {
+		kept.samples = append(kept.samples, sample)
 	} else {
-		if w.samples[w.next].contradictsZero() {
+		if kept.samples[kept.oldest].contradictsZero() {
 			e.dissent--
 		}
-		w.samples[w.next] = i
-		w.next = (w.next + 1) % windowSize
+		kept.samples[kept.oldest] = sample
+		kept.oldest = (kept.oldest + 1) % windowSize
 	}
-	if i.contradictsZero() {
+	if sample.contradictsZero() {
 		e.dissent++
 	}
 }
@@ -164,15 +167,16 @@
 }
 
 // score is how many samples support bounds, less the positions that would lie in the future under them.
-func (e *Estimator) score(b Bounds) int {
+func (e *Estimator) score(bounds Bounds) int {
 	score := 0
-	for k := range e.windows {
-		for _, i := range e.windows[k].samples {
-			tooLate, tooEarly := i.lower > b.Latest+Tolerance-precision, i.upper < b.Earliest-Tolerance+precision
+	for kind := range e.windows {
+		for _, sample := range e.windows[kind].samples {
+			tooLate := sample.lower > bounds.Latest+Tolerance-precision
+			tooEarly := sample.upper < bounds.Earliest-Tolerance+precision
 			switch {
-			case i.Kind == Reported && tooLate:
+			case sample.Kind == Reported && tooLate:
 				score--
-			case i.Kind != Reported && !tooLate && !tooEarly:
+			case sample.Kind != Reported && !tooLate && !tooEarly:
 				score++
 			}
 		}
@@ -180,26 +184,29 @@
 	return score
 }
 
-// contradicted tells whether positions lie ahead of the own clock that agree with each other, and more than answers say
-// that it is right.
+// contradicted tells whether positions lie ahead of the own clock that agree with each other, and more than answers
+// say that it is right.
 func (e *Estimator) contradicted() bool {
 	var ahead []time.Duration
 	support := 0
-	for k := range e.windows {
-		for _, i := range e.windows[k].samples {
-			if i.lower > Tolerance-precision {
-				ahead = append(ahead, i.lower)
-			} else if i.Kind != Reported && !i.contradictsZero() {
+	for kind := range e.windows {
+		for _, sample := range e.windows[kind].samples {
+			if sample.lower > Tolerance-precision {
+				ahead = append(ahead, sample.lower)
+			} else if sample.Kind != Reported && !sample.contradictsZero() {
 				support++
 			}
 		}
 	}
-	if len(ahead) < quorum || len(ahead) <= support {
-		return false
-	}
-	slices.Sort(ahead)
-	for i := quorum - 1; i < len(ahead); i++ {
-		if ahead[i]-ahead[i-quorum+1] <= maxClusterWidth {
+	return len(ahead) > support && hasCluster(ahead)
+}
+
+// hasCluster tells whether a quorum of offsets lies close together. It sorts them.
+func hasCluster(offsets []time.Duration) bool {
+	slices.Sort(offsets)
+	for last := quorum - 1; last < len(offsets); last++ {
+		first := last - quorum + 1
+		if offsets[last]-offsets[first] <= maxClusterWidth {
 			return true
 		}
 	}
