--- a/routing/api.go
+++ b/routing/api.go
@@ -1,7 +1,7 @@
 // Package routing decides, for one router of a replicated database cluster, where each request goes: which replica
 // answers a read, where the primary is, when to retry or hedge, when to reject.
 //
-// A Router is driven by Step alone. It has no clock, no goroutine and no I/O.
+// A Router is driven by Step alone. It has no clock, no goroutine and no I/O, so equal calls give equal actions.
 //
 //   - api.go holds the settings, events and actions; router.go takes a batch of events in.
 //   - requests.go places requests, attempts.go counts what was sent, shedding.go chooses for reads.
--- a/routing/operators.go
+++ b/routing/operators.go
@@ -34,9 +34,9 @@
 func (r *Router) applyExclusions(exclusions map[NodeID]time.Duration) {
 	before := r.exclusions
 	r.exclusions = exclusions
-	for id, since := range before {
-		node := r.byID[id]
-		if _, still := exclusions[id]; still || node == nil {
+	for _, node := range r.nodes {
+		since, was := before[node.ID]
+		if _, still := exclusions[node.ID]; still || !was {
 			continue
 		}
 		node.ejected, node.unresponsive, node.notListening = false, false, false
