--- a/routing/attempts_test.go
+++ b/routing/attempts_test.go
@@ -6,7 +6,7 @@
 )
 
 // Rule 2 and rule 1: what may follow each outcome of a write's only attempt.
-func TestAfterAWritesOutcome(t *testing.T) {
+func TestWhatFollowsAWriteByItsOutcome(t *testing.T) {
 	for _, c := range []struct {
 		status Status
 		class  int
@@ -17,7 +17,7 @@
 		{TimedOut, classWrite, []ActionKind{Fail}},
 		{ConnectionBroken, classWrite, []ActionKind{Fail}},
 		{Cancelled, classWrite, []ActionKind{Fail}},
-		{ConnectFailed, classWrite, nil}, // held: it never ran, and the primary is in doubt
+		{ConnectFailed, classWrite, nil}, // held: it never ran, and the primary is suspected
 		{NodeRejected, classWrite, nil},  // held until a primary is found
 		{NodeOverloaded, classWrite, nil},
 	} {
@@ -27,8 +27,9 @@
 	}
 }
 
-// A keyed write may be repeated inside its window, and only there; a refusal would promise too much.
-func TestKeyedWrite(t *testing.T) {
+// A write with an idempotency key may be repeated inside its window, and only there; a rejection would promise too
+// much.
+func TestDeduplicatedWriteRepeatsWithinItsWindow(t *testing.T) {
 	h := newHarness(t, settings())
 	h.want("write", h.arrive(7, classKeyed), Send)
 	h.now += 100 * ms
@@ -40,8 +41,8 @@
 }
 
 // Incident i8c46d3: an attempt that much later ones overtook was lost; it must not count as in flight for the
-// seconds until its time-out, and a read gets a copy.
-func TestLostAttempt(t *testing.T) {
+// seconds until its time-out, and a read is hedged.
+func TestOvertakenAttemptIsLostAndHedged(t *testing.T) {
 	h := newHarness(t, settings())
 	h.want("write", h.arrive(7, classWrite), Send)
 	for id := RequestID(10); id < 40; id++ {
@@ -62,10 +63,10 @@
 	}
 }
 
-// Where one node is full, all may be: reads turned away so are not sent on beyond the attempt budget.
+// Where one node is overloaded, all may be: reads rejected so are not retried beyond the retry budget.
 func TestNoStormOfRetriesAtFullNodes(t *testing.T) {
 	h := newHarness(t, settings())
-	sends, refusals := 0, 0
+	sends, rejections := 0, 0
 	count := func(out []Action) (again bool) {
 		for _, a := range out {
 			switch a.Kind {
@@ -73,7 +74,7 @@
 				sends++
 				again = true
 			case Reject:
-				refusals++
+				rejections++
 			}
 		}
 		return again
@@ -86,7 +87,8 @@
 		}
 		h.now += ms
 	}
-	if most := reads*(1+retryBudgetShare) + maxRetryBudget; float64(sends) > most || refusals == 0 {
-		t.Errorf("%d sends and %d refusals for %d reads at full nodes, want at most %.0f sends", sends, refusals, reads, most)
+	if most := reads*(1+retryBudgetShare) + maxRetryBudget; float64(sends) > most || rejections == 0 {
+		t.Errorf("%d sends and %d rejections for %d reads at overloaded nodes, want at most %.0f sends",
+			sends, rejections, reads, most)
 	}
 }
--- a/routing/control_test.go
+++ b/routing/control_test.go
@@ -7,7 +7,7 @@
 
 // The loop: slow answers shrink the bound, fast ones let it grow to the cap and no further, and a bound that sat at
 // the cap comes down at once (anti-windup).
-func TestLoop(t *testing.T) {
+func TestControlLoop(t *testing.T) {
 	h := newHarness(t, settings())
 	n := h.r.byID[2]
 	feed := func(ratio float64, periods int) {
@@ -83,9 +83,9 @@
 	}
 }
 
-// A jam is forgotten within seconds, however many routers there are: what one of them had in flight for a while
+// Congestion is forgotten within seconds, however many routers there are: what one of them had in flight for a while
 // must not close a node for minutes.
-func TestCrowdIsForgotten(t *testing.T) {
+func TestEstimatedInFlightDecays(t *testing.T) {
 	s := settings()
 	s.Routers = 290
 	h := newHarness(t, s)
@@ -96,7 +96,7 @@
 	h.r.addInFlight(n, -1)
 	h.now += 20 * time.Second
 	h.step()
-	if crowd := h.r.estimatedInFlight(n); crowd > h.r.effectiveBound(n) {
-		t.Errorf("crowd %v 20 s after the only request ended, bound %v", crowd, h.r.effectiveBound(n))
+	if load := h.r.estimatedInFlight(n); load > h.r.effectiveBound(n) {
+		t.Errorf("%v in flight 20 s after the only request ended, bound %v", load, h.r.effectiveBound(n))
 	}
 }
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -6,7 +6,7 @@
 )
 
 // Rule 5 where nodes answer from what they have: only proven positions count.
-func TestFreshness(t *testing.T) {
+func TestOnlyProvenPositionsAreFresh(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		class           int
@@ -39,7 +39,7 @@
 }
 
 // Sessions remembered here: a read must see the write whose answer came before it.
-func TestRememberedSession(t *testing.T) {
+func TestSessionReadSeesItsWrite(t *testing.T) {
 	s := settings()
 	s.KeepSessions = true
 	h := newHarness(t, s)
@@ -53,8 +53,8 @@
 	}
 }
 
-// A session's read that comes while a write of it is out, or after the write's answer was lost, must see that write: the node may
-// have committed it, and said so. Without a word of the commit the present stands for it.
+// A session's read that comes while a write of it is out, or after the write's answer was lost, must see that write:
+// the node may have committed it, and reported it. Without a report of the commit the present stands for it.
 func TestSessionReadBesideALostAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -91,7 +91,7 @@
 }
 
 // Where nodes check freshness, the most advanced replica is tried before the primary.
-func TestMostAdvancedFirst(t *testing.T) {
+func TestMostAdvancedReplicaFirst(t *testing.T) {
 	s := settings()
 	s.StaleReads = StaleRejected
 	h := newHarness(t, s)
@@ -104,7 +104,7 @@
 		t.Fatalf("sent to node %d, want the most advanced replica 3", out[0].Node)
 	}
 	out = h.done(7, 0, 3, NodeRejected, Evidence{Role: Replica, Position: h.now - 250*ms})
-	h.want("turned away", out, Send)
+	h.want("rejected by the node", out, Send)
 	if out[0].Node == 3 {
 		t.Fatal("sent again to the node that just turned it away")
 	}
@@ -134,7 +134,7 @@
 
 // Where nodes check, a replica that followed closely when it last spoke keeps its keys, however long ago that was:
 // with many routers each hears from it rarely.
-func TestPresumedFreshWhereNodesCheck(t *testing.T) {
+func TestReplicaIsPresumedFreshWhereNodesCheck(t *testing.T) {
 	s := settings()
 	s.StaleReads = StaleRejected
 	h := newHarness(t, s)
--- a/routing/nodes_test.go
+++ b/routing/nodes_test.go
@@ -6,7 +6,7 @@
 )
 
 // Rule 3: a draining replica takes nothing new at once; a draining primary what only it can take, for half the grace.
-func TestDrain(t *testing.T) {
+func TestDrainingNodes(t *testing.T) {
 	h := newHarness(t, settings())
 	h.list(Node{ID: 1, State: Draining}, Node{ID: 2, State: Draining}, Node{ID: 3, State: Ready})
 	for id := RequestID(10); id < 30; id++ {
@@ -20,18 +20,18 @@
 	h.want("write after it", h.arrive(51, classWrite))
 }
 
-// The drain rule counts from the first news that a node is going, also if no list had it ready before.
+// The drain rule counts from the first list that has a node draining or gone, also if no list had it ready before.
 func TestDrainCountsFromTheFirstNews(t *testing.T) {
 	h := &harness{t, New(settings(), 1), start}
 	h.list(Node{ID: 1, State: Gone}, Node{ID: 2, State: Ready})
 	h.now += 3 * time.Second
 	h.step(Event{Kind: ListUpdated, Nodes: []Node{{ID: 1, State: Draining}}})
 	h.probed(1, Primary, h.now)
-	h.want("write three seconds after the news", h.arrive(7, classWrite))
+	h.want("write three seconds after that list", h.arrive(7, classWrite))
 }
 
 // Where only draining binds, a node that the list merely lost may be tried; one that was seen draining may not.
-func TestGoneIsNotBinding(t *testing.T) {
+func TestGoneNodeMayBeTriedWhereOnlyDrainingBinds(t *testing.T) {
 	for _, drained := range []bool{false, true} {
 		s := settings()
 		s.OnlyDrainingBinds = true
@@ -48,8 +48,8 @@
 	}
 }
 
-// A node that is gone is remembered for a while, for what it says of itself if it comes back, and then no more: machines that replace
-// each other have ever new names. One that still answers, or has a request out, stays.
+// A node that is gone is remembered for a while, for what it says of itself if it comes back, and then no more:
+// machines that replace each other have ever new names. One that still answers, or has a request out, stays.
 func TestGoneNodesAreForgotten(t *testing.T) {
 	h := newHarness(t, settings())
 	h.want("a read", h.arrive(1, classAny), Send)
@@ -79,12 +79,12 @@
 	}
 	h.list(Node{ID: next, State: Ready}, Node{ID: busy, State: Ready, Started: h.now})
 	if n := h.r.byID[busy]; n == nil || n.role != RoleUnknown || n.position != 0 || h.r.capacityShare(n) == 1 {
-		t.Fatal("one that comes back is as a new one, and cold as it is listed")
+		t.Fatal("one that comes back is as a new one, and starts slowly as listed")
 	}
 }
 
-// A late list that calls a deposed primary back is not believed over the node's own word.
-func TestLateListIsNotBelieved(t *testing.T) {
+// A late list that calls a deposed primary back does not count over the node's own report.
+func TestLateListDoesNotReinstateAPrimary(t *testing.T) {
 	s := settings()
 	s.ListHintsRole = true
 	h := newHarness(t, s)
@@ -94,8 +94,8 @@
 	h.want("write", h.arrive(7, classWrite))
 }
 
-// Without probes a lost primary is found by the writes themselves: a member that is none turns them away untouched.
-func TestPrimaryFoundWithoutProbes(t *testing.T) {
+// Without probes a lost primary is found by the writes themselves: a member that is none rejects them untouched.
+func TestWritesFindThePrimaryWithoutProbes(t *testing.T) {
 	s := settings()
 	s.CanProbe = false
 	h := newHarness(t, s)
@@ -104,7 +104,7 @@
 	for i := range 2 {
 		n := out[0].Node
 		out = h.done(7, i, n, NodeRejected, Evidence{Role: Replica, Position: h.now})
-		h.want("turned away", out, Send)
+		h.want("rejected by the node", out, Send)
 	}
 	if n := out[0].Node; n == 1 {
 		t.Fatal("the write came back to the old primary before the others were tried")
--- a/routing/probes_test.go
+++ b/routing/probes_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A probe that was never sent, as the router's own machine lacked something, tells nothing of the node, however often;
-// one that found nobody does.
-func TestProbesThatWereNeverSent(t *testing.T) {
+// A probe that was never sent, as the router's own machine lacked something, tells nothing of the node, however
+// often; one that found nobody does.
+func TestProbesThatWereNeverSentTellNothing(t *testing.T) {
 	for _, c := range []struct {
 		status Status
 		want   []ActionKind
@@ -73,8 +73,8 @@
 }
 
 // Where nodes do not check, a read that no replica is proven fresh for asks one for its report and goes to it as
-// soon as that proves it; after asksMost reports that do not, the primary takes it.
-func TestReadAsksForAProof(t *testing.T) {
+// soon as that proves it; after maxProbesPerRead reports that do not, the primary takes it.
+func TestReadProbesForAProof(t *testing.T) {
 	for _, lag := range []time.Duration{50 * ms, time.Second} {
 		h := newHarness(t, settings())
 		h.now += 2 * time.Second
@@ -105,8 +105,8 @@
 	}
 }
 
-// A group whose ring is empty must not be served by the replica that the walk of another group noted.
-func TestDoubtStaysInItsGroup(t *testing.T) {
+// A group whose ring is empty must not be served by the replica that the search of another group found.
+func TestProbeCandidateStaysInItsGroup(t *testing.T) {
 	s := settings()
 	s.StaleReads, s.CanProbe = StaleRejected, false
 	h := newHarness(t, s)
@@ -115,7 +115,7 @@
 	h.probed(3, Replica, h.now-500*ms)
 	h.step(Event{Kind: ListUpdated, Nodes: []Node{{ID: 9, State: Ready, Group: 1}}},
 		Event{Kind: ListUpdated, Nodes: []Node{{ID: 9, State: Gone, Group: 1}}})
-	for id := range RequestID(4) { // in turn, so that a walk of group 0 precedes each of group 1
+	for id := range RequestID(4) { // in turn, so that a search of group 0 precedes each of group 1
 		out := h.step(Event{Kind: RequestArrived, Request: id + 1, Arrival: Arrival{
 			Class: classBounded,
 			Group: int(id % 2), TimeLeft: time.Second,
@@ -128,8 +128,8 @@
 	}
 }
 
-// A replica whose answer has just shown that it lags is not asked to say so again.
-func TestNoAskRightAfterAnAnswer(t *testing.T) {
+// A replica whose answer has just shown that it lags is not probed again.
+func TestNoProbeRightAfterAnAnswer(t *testing.T) {
 	h := newHarness(t, settings())
 	h.now += 2 * time.Second
 	h.probed(2, Replica, h.now-time.Second)
@@ -150,7 +150,7 @@
 
 // Of replicas without proof, a read asks one that followed closely when it last spoke, whatever the ring says: many
 // routers that each ask the one far behind learn the same, each at its own price.
-func TestAsksWhoFollowed(t *testing.T) {
+func TestReadProbesAReplicaThatFollowed(t *testing.T) {
 	for behind := NodeID(2); behind <= 3; behind++ {
 		for session := range uint64(8) {
 			h := newHarness(t, settings())
@@ -175,9 +175,9 @@
 	}
 }
 
-// A replica far behind is not asked again before part of its lag has passed: it cannot have caught up. Of many routers
-// none asks before it may well have: they learn the same, each at its own price.
-func TestNoAskWhileFarBehind(t *testing.T) {
+// A replica far behind is not asked again before part of its lag has passed: it cannot have caught up. Of many
+// routers none asks before it may well have: they learn the same, each at its own price.
+func TestNoProbeOfAReplicaFarBehind(t *testing.T) {
 	for _, c := range []struct {
 		routers int
 		after   time.Duration
@@ -198,7 +198,7 @@
 			asked = asked || a.Kind == Probe
 		}
 		if asked != c.asks {
-			t.Errorf("%d routers, %v after the word of replicas 4 s behind: asked %v", c.routers, c.after, asked)
+			t.Errorf("%d routers, %v after the report of replicas 4 s behind: probed %v", c.routers, c.after, asked)
 		}
 	}
 }
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -8,7 +8,7 @@
 )
 
 // The rules as far as they show at the interface, checked on random events under random settings. The events follow
-// no model of a server: outcomes, news and losses come as the dice fall.
+// no model of a server: outcomes, lists and losses come at random.
 
 type sent struct {
 	node    NodeID
@@ -27,17 +27,17 @@
 }
 
 type world struct {
-	t        *testing.T
-	s        Settings
-	rng      *rand.Rand
-	now      time.Duration
-	next     RequestID
-	requests map[RequestID]*tracked
-	open     []RequestID
-	position map[NodeID]time.Duration // last proven
-	replica  map[NodeID]time.Duration // when an answer last said so, unless it has been primary since
-	toldOff  map[NodeID]time.Duration
-	probes   []NodeID
+	t             *testing.T
+	s             Settings
+	rng           *rand.Rand
+	now           time.Duration
+	next          RequestID
+	requests      map[RequestID]*tracked
+	open          []RequestID
+	position      map[NodeID]time.Duration // last proven
+	replica       map[NodeID]time.Duration // when an answer last said so, unless it has been primary since
+	drainingSince map[NodeID]time.Duration
+	probes        []NodeID
 }
 
 func (w *world) nodes() []Node {
@@ -60,9 +60,9 @@
 func (w *world) told(nodes []Node) {
 	for _, n := range nodes {
 		if n.State == Ready {
-			delete(w.toldOff, n.ID)
-		} else if _, known := w.toldOff[n.ID]; !known {
-			w.toldOff[n.ID] = w.now
+			delete(w.drainingSince, n.ID)
+		} else if _, known := w.drainingSince[n.ID]; !known {
+			w.drainingSince[n.ID] = w.now
 		}
 	}
 }
@@ -204,7 +204,7 @@
 		}
 	}
 	if a.Kind != Send && q.gone == w.now {
-		return // an answer on news from before the client's leaving in the same batch is passed over
+		return // an answer from before the client left in the same batch is passed over
 	}
 	if q.over {
 		w.t.Fatalf("%v: for a request that is over", a)
@@ -212,7 +212,7 @@
 	if a.Kind != Send {
 		q.over = true
 		if a.Kind == Reject && q.class.Effect != Idempotent && (q.mayRun || pending > 0) {
-			w.t.Fatalf("%v: refused though it may have run", a)
+			w.t.Fatalf("%v: rejected though it may have run", a)
 		}
 		return
 	}
@@ -222,8 +222,8 @@
 	if pending > 0 && !w.s.CanHedge || len(q.tries) >= w.s.MaxAttempts {
 		w.t.Fatalf("%v: one attempt too many", a)
 	}
-	if off, told := w.toldOff[a.Node]; told && w.now > off+w.s.DrainGrace {
-		w.t.Fatalf("%v: %v after the node was told off", a, w.now-off)
+	if off, told := w.drainingSince[a.Node]; told && w.now > off+w.s.DrainGrace {
+		w.t.Fatalf("%v: %v after the node was listed as draining", a, w.now-off)
 	}
 	if _, replica := w.replica[a.Node]; replica && w.s.StaleReads == StaleAnswered {
 		switch position := w.position[a.Node]; {
@@ -250,7 +250,7 @@
 		w := &world{
 			t: t, s: s, rng: rng, now: start, requests: map[RequestID]*tracked{},
 			position: map[NodeID]time.Duration{}, replica: map[NodeID]time.Duration{},
-			toldOff: map[NodeID]time.Duration{},
+			drainingSince: map[NodeID]time.Duration{},
 		}
 		r, twin := New(s, seed), New(s, seed)
 		nodes := w.nodes()
--- a/routing/remotetime_test.go
+++ b/routing/remotetime_test.go
@@ -29,8 +29,8 @@
 
 var offsets = []time.Duration{0, start, -start, 2 * time.Second, -2 * time.Second, 300 * ms, -300 * ms}
 
-// What may go to replicas does not depend on what the own clock shows: of bounded reads (200 ms here), fresh reads, and
-// reads of a session that has written.
+// What may go to replicas does not depend on what the own clock shows: of bounded reads (200 ms here), fresh reads,
+// and reads of a session that has written.
 func TestReadsUnderAnOffset(t *testing.T) {
 	for _, offset := range offsets {
 		for name, c := range map[string]struct {
@@ -39,12 +39,12 @@
 			lastWrite time.Duration // before now; 0: none
 			replica   bool
 		}{
-			"bounded, recent":              {class: classBounded, age: 150 * ms, replica: true},
-			"bounded, too old":             {class: classBounded, age: 201 * ms},
-			"fresh, from before it came":   {class: classFresh, age: ms},
-			"session, sees its write":      {class: classSession, age: 300 * ms, lastWrite: 400 * ms, replica: true},
-			"session, is too far behind":   {class: classSession, age: 300 * ms, lastWrite: 200 * ms},
-			"session, of one with no word": {class: classSession, age: time.Hour / 2, replica: true},
+			"bounded, recent":                {class: classBounded, age: 150 * ms, replica: true},
+			"bounded, too old":               {class: classBounded, age: 201 * ms},
+			"fresh, from before it came":     {class: classFresh, age: ms},
+			"session, sees its write":        {class: classSession, age: 300 * ms, lastWrite: 400 * ms, replica: true},
+			"session, is too far behind":     {class: classSession, age: 300 * ms, lastWrite: 200 * ms},
+			"session, of one with no report": {class: classSession, age: time.Hour / 2, replica: true},
 		} {
 			h := skewedHarness(t, settings(), offset)
 			for _, id := range []NodeID{2, 3} {
@@ -98,8 +98,8 @@
 	}
 }
 
-// An endpoint that started a second ago is cold, whatever the own clock shows, also when it was listed before the
-// offset was known; one that started long ago is warm.
+// An endpoint that started a second ago is warming up, whatever the own clock shows, also when it was listed before
+// the offset was known; one that started long ago is warm.
 func TestColdUnderAnOffset(t *testing.T) {
 	for _, offset := range offsets {
 		for _, before := range []bool{false, true} {
@@ -121,8 +121,8 @@
 	}
 }
 
-// The newest word on a node's role wins, whether its time is told by the own clock, as of answers, or by the nodes', as
-// of reports.
+// The newest evidence of a node's role counts, whether its time is told by the own clock, as of answers, or by the
+// nodes', as of reports.
 func TestRolesUnderAnOffset(t *testing.T) {
 	for _, offset := range offsets {
 		h := skewedHarness(t, settings(), offset)
@@ -144,8 +144,8 @@
 	}
 }
 
-// Before the offset is known, a position that lies in the own clock's future proves nothing; and if there is no telling
-// by how much the clocks differ, no replica is fresh for any read that asks for it.
+// Before the offset is known, a position that lies in the own clock's future proves nothing; and if there is no
+// telling by how much the clocks differ, no replica is fresh for any read that asks for it.
 func TestNothingIsFreshWhileTheOffsetIsUnknown(t *testing.T) {
 	for _, told := range []bool{false, true} {
 		h := skewedHarness(t, settings(), 0)
@@ -200,7 +200,8 @@
 	}
 }
 
-// Answers count towards a cold node's budget only from the start of its present process on, which the list tells by the nodes' clock.
+// Answers count towards a warming node's budget only from the start of its present process on, which the list tells
+// by the nodes' clock.
 func TestAnswersOfTheProcessBeforeAStart(t *testing.T) {
 	for name, offset := range map[string]time.Duration{"clocks agree": 0, "the own clock is ahead": -time.Hour, "the own clock is behind": time.Hour} {
 		t.Run(name, func(t *testing.T) {
--- a/routing/requests_test.go
+++ b/routing/requests_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// A write that a deposed primary turned away goes to the new one as soon as that is known, once.
+// A write that a deposed primary rejected goes to the new one as soon as that is known, once.
 func TestHeldWriteGoesToTheNewPrimary(t *testing.T) {
 	h := newHarness(t, settings())
 	h.want("write", h.arrive(7, classWrite), Send)
-	h.want("turned away", h.done(7, 0, 1, NodeRejected, Evidence{Role: Replica, Position: h.now}))
+	h.want("rejected by the node", h.done(7, 0, 1, NodeRejected, Evidence{Role: Replica, Position: h.now}))
 	h.want("no primary known", h.wait(300*ms))
 	out := append(h.probed(2, Primary, h.now), h.wait(50*ms)...)
 	h.want("new primary known", out, Send)
@@ -18,8 +18,8 @@
 	}
 }
 
-// A write that no primary is found for is refused, not failed, shortly before its deadline: nothing ran.
-func TestHeldWriteIsRefusedInTime(t *testing.T) {
+// A write that no primary is found for is rejected, not failed, shortly before its deadline: nothing ran.
+func TestHeldWriteIsRejectedInTime(t *testing.T) {
 	h := newHarness(t, settings())
 	h.probed(1, Replica, h.now+1)
 	h.want("write without primary", h.arrive(7, classWrite))
@@ -27,7 +27,7 @@
 }
 
 // The time-out at the deadline may arrive unfinished: the final answer is still owed, and given once.
-func TestDeadline(t *testing.T) {
+func TestOneFinalAnswerAtTheDeadline(t *testing.T) {
 	h := newHarness(t, settings())
 	h.want("read", h.arrive(7, classAny), Send)
 	h.now += time.Second
@@ -42,7 +42,7 @@
 }
 
 // An outcome and the client's leaving may share a batch; nothing is sent for what is over.
-func TestGoneInTheSameBatch(t *testing.T) {
+func TestNoRetryForAClientGoneInTheSameBatch(t *testing.T) {
 	h := newHarness(t, settings())
 	h.arrive(7, classAny)
 	out := h.step(Event{Kind: AttemptDone, Request: 7, Outcome: Outcome{Node: 2, Status: NodeOverloaded}},
@@ -54,7 +54,7 @@
 
 // A client that left while this router stood still: request and departure come in one batch, and nothing may be
 // sent for the request in a later one.
-func TestGoneInTheBatchOfItsArrival(t *testing.T) {
+func TestNoSendForAClientGoneInItsFirstBatch(t *testing.T) {
 	h := newHarness(t, settings())
 	out := h.step(Event{Kind: ClientGone, Request: 6},
 		Event{Kind: RequestArrived, Request: 7, Arrival: Arrival{Class: classAny, TimeLeft: time.Second}},
@@ -68,9 +68,9 @@
 	h.want("after the client has left", h.wait(time.Second))
 }
 
-// What has reached no node is let go by half its time, when its client can still act; what one has turned away is
+// What has reached no node is rejected at half its time, when its client can still act; what one has rejected is
 // held to its deadline.
-func TestLetGoByHalfItsTime(t *testing.T) {
+func TestRequestWithoutAnAttemptIsHeldForHalfItsTime(t *testing.T) {
 	h := newHarness(t, settings())
 	h.probed(1, Replica, h.now+1)
 	h.want("write without primary", h.arrive(7, classWrite))
@@ -84,7 +84,7 @@
 
 	h = newHarness(t, settings())
 	h.want("write", h.arrive(9, classWrite), Send)
-	h.want("turned away", h.done(9, 0, 1, NodeRejected, Evidence{Role: Replica, Position: h.now + 1}))
+	h.want("rejected by the node", h.done(9, 0, 1, NodeRejected, Evidence{Role: Replica, Position: h.now + 1}))
 	h.want("half its time", h.wait(time.Second))
 	h.want("its deadline", h.wait(time.Second), Reject)
 }
--- a/routing/ring_test.go
+++ b/routing/ring_test.go
@@ -7,7 +7,7 @@
 )
 
 // The ring: a changed bound moves only keys that the changed replica gains or loses.
-func TestRingMovesLittle(t *testing.T) {
+func TestChangedBoundMovesFewKeys(t *testing.T) {
 	h := newHarness(t, settings())
 	g := h.r.groups[0]
 	owner := func() (of [2000]NodeID) {
@@ -36,7 +36,7 @@
 }
 
 // Reads go past a replica at its bound, clockwise, and the same session comes back to the same replica.
-func TestWalk(t *testing.T) {
+func TestReadsPassReplicasAtTheirBound(t *testing.T) {
 	h := newHarness(t, settings())
 	out := h.arrive(7, classAny)
 	first := out[0].Node
@@ -52,8 +52,8 @@
 	}
 }
 
-// Large groups: every member is looked at, past any word size.
-func TestWalkOfALargeGroup(t *testing.T) {
+// Large groups: every member is looked at, also beyond 64.
+func TestEveryMemberOfALargeGroupIsSearched(t *testing.T) {
 	h := &harness{t, New(settings(), 1), start}
 	var nodes []Node
 	for id := NodeID(1); id <= 70; id++ {
@@ -67,19 +67,19 @@
 	h.want("read with one node left", out, Send)
 }
 
-// Reads that any data satisfies may hold the log up where they are: long ones stay at one replica, and others stay fresh.
-// Those that end within the age that bounded reads bear harm no one, and would only crowd that replica.
-func TestLongReadsOfAnyDataKeepTogether(t *testing.T) {
-	for aim, replicas := range map[time.Duration]int{200 * ms: 2, 201 * ms: 1} { // classBounded takes 200 ms
+// Reads that any data satisfies may hold the log up where they are: long ones stay at one replica, and others stay
+// fresh. Those that end within the age that bounded reads bear harm no one, and would only load that replica.
+func TestLongReadsOfAnyDataStayAtOneReplica(t *testing.T) {
+	for objective, replicas := range map[time.Duration]int{200 * ms: 2, 201 * ms: 1} { // classBounded takes 200 ms
 		s := settings()
-		s.Classes[classAny].LatencyObjective = aim
+		s.Classes[classAny].LatencyObjective = objective
 		h := newHarness(t, s)
 		used := map[NodeID]int{}
 		for id := RequestID(10); id < 14; id++ {
 			used[h.arrive(id, classAny)[0].Node]++
 		}
 		if len(used) != replicas {
-			t.Fatalf("aim %v: sent to %v, want %d replicas", aim, used, replicas)
+			t.Fatalf("objective %v: sent to %v, want %d replicas", objective, used, replicas)
 		}
 	}
 }
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A router with nothing to place looks round a few times a second, not a hundred: so many of them, idle, would wake their
-// machine for nothing. With a request open it is back at once.
-func TestIdleRouterRests(t *testing.T) {
+// A router with nothing to place looks round a few times a second, not a hundred: so many of them, idle, would wake
+// their machine for nothing. With a request open it is back at once.
+func TestIdleRouterWakesRarely(t *testing.T) {
 	h := newHarness(t, settings())
 	h.now += time.Second
 	due := h.now
--- a/routing/shedding_test.go
+++ b/routing/shedding_test.go
@@ -5,7 +5,7 @@
 )
 
 // Incident i10e2be: with no replica fresh, the reads that spill to the primary are bounded.
-func TestSpillIsBounded(t *testing.T) {
+func TestSpillToThePrimaryIsBounded(t *testing.T) {
 	s := settings()
 	s.CanProbe = false
 	h := newHarness(t, s)
--- a/routing/slowstart_budget_test.go
+++ b/routing/slowstart_budget_test.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// Rule 4: sends to a cold node within one fall window stay within the budget, for writes to a cold primary too. What it
-// answers in the window pays for more of them, and is forgotten with the window: a router that has seen nothing else
-// answered, as one just started, would otherwise never send it more than the least.
-func TestColdBudget(t *testing.T) {
-	cold := func() *harness {
+// Rule 4: sends to a node that is warming up, within one overload window, stay within the budget, for writes to a
+// primary that is warming up too. What it answers in the window pays for more of them, and is forgotten with the
+// window: a router that has seen nothing else answered, as one just started, would otherwise never send it more than
+// the least.
+func TestSlowStartBudget(t *testing.T) {
+	warming := func() *harness {
 		h := newHarness(t, settings())
 		h.list(Node{ID: 1, State: Ready, Started: h.now}, Node{ID: 2, State: Gone}, Node{ID: 3, State: Gone})
 		h.probed(1, Primary, h.now+1)
@@ -32,13 +33,13 @@
 		}
 		return sent
 	}
-	if sent := burst(cold(), 50, false); sent == 0 || sent > minSlowStartSends {
-		t.Fatalf("%d sends to a cold node that answers nothing, want 1 to %v", sent, minSlowStartSends)
+	if sent := burst(warming(), 50, false); sent == 0 || sent > minSlowStartSends {
+		t.Fatalf("%d sends to a warming node that answers nothing, want 1 to %v", sent, minSlowStartSends)
 	}
-	if sent := burst(cold(), 50, true); sent < 40 {
-		t.Fatalf("%d sends to a cold node that answers each at once, want 40 and more", sent)
+	if sent := burst(warming(), 50, true); sent < 40 {
+		t.Fatalf("%d sends to a warming node that answers each at once, want 40 and more", sent)
 	}
-	h := cold()
+	h := warming()
 	answered := burst(h, 8, true)
 	most := int(math.Ceil(0.5 * h.r.settings.OverloadMultiple * float64(answered)))
 	if all := answered + burst(h, 50, false); answered != 8 || all != most {
@@ -50,9 +51,9 @@
 	}
 }
 
-// A start that becomes known late: what was sent in the window before counts, and what an earlier process answered tells
-// nothing of what the new one can do.
-func TestColdBudgetOfAStartToldLate(t *testing.T) {
+// A start that becomes known late: what was sent in the window before counts, and what an earlier process answered
+// tells nothing of what the new one can do.
+func TestSlowStartBudgetOfAStartLearnedLate(t *testing.T) {
 	h := newHarness(t, settings())
 	h.list(Node{ID: 1, State: Ready}, Node{ID: 2, State: Gone}, Node{ID: 3, State: Gone})
 	sent := func(id RequestID) bool {
@@ -70,7 +71,7 @@
 	h.probed(1, Primary, h.now)
 	for id := RequestID(30); id < 35; id++ {
 		if sent(id) {
-			t.Fatalf("write %d was sent to a cold primary beside the ten of the same window", id)
+			t.Fatalf("write %d was sent to a primary that is warming up beside the ten of the same window", id)
 		}
 	}
 	h.wait(2 * h.r.settings.OverloadWindow) // those held meanwhile are given up
@@ -79,9 +80,9 @@
 	}
 }
 
-// One node is cold; 90 routers with one send each to spare must not add up to 90 sends. All routers together keep
-// to the stated multiple of what the node can do at that moment.
-func TestColdBudgetHoldsForAllRoutersTogether(t *testing.T) {
+// One node is warming up; 90 routers with one send each to spare must not add up to 90 sends. All routers together
+// keep to the stated multiple of what the node can do at that moment.
+func TestSlowStartBudgetHoldsForAllRoutersTogether(t *testing.T) {
 	for _, routers := range []int{1, 3, 30, 90, 290} {
 		s := settings()
 		s.Routers = routers
@@ -110,9 +111,9 @@
 	}
 }
 
-// Requests come to each of many routers now and then only. What a cold node bears is used all the same: the chance to send
-// it one must not be over before there is a request to send, nor may all routers have it at once.
-func TestColdBudgetIsUsedBySparseRequests(t *testing.T) {
+// Requests come to each of many routers now and then only. What a warming node bears is used all the same: the
+// chance to send it one must not be over before there is a request to send, nor may all routers have it at once.
+func TestSlowStartBudgetIsUsedBySparseRequests(t *testing.T) {
 	s := settings()
 	s.Routers = 300
 	const perNode, asked = 60.0, 0.7 // completions a second on a warm node; requests a second at each router
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -11,7 +11,8 @@
 )
 
 // Slow start of a whole fleet: many routers on one virtual clock and databases that take time for their work. What a
-// cold database is sent in any fall window, in work of the mean request, stays within what the settings allow it then.
+// warming database is sent in any overload window, in work of the mean request, stays within what the settings allow
+// it then.
 
 // workload is a class's share of the requests and its work, as a multiple of the lightest class's.
 type workload struct {
@@ -28,7 +29,7 @@
 	tenthActive        // nine in ten routers have no request
 )
 
-// slowStart is one play: a group with databases that start cold in the middle.
+// slowStart is one play: a group with databases that restart in the middle.
 type slowStart struct {
 	name          string
 	routers, told int // that there are, and as the settings say
@@ -41,7 +42,7 @@
 	coldShare     float64       // of the settings
 	freshRouters  bool          // the routers start with the databases
 	load          float64       // of what the warm databases can do
-	window        time.Duration // fall window
+	window        time.Duration // overload window
 	least         float64       // of the multiple that is to be used where few routers share it
 	large         bool          // a large fleet plays it too
 	seed          uint64
@@ -190,7 +191,7 @@
 	return d.free[core] + ms, OK
 }
 
-// pressure books what a cold database is sent against what it bears: N is taken at the middle of the window.
+// pressure books what a warming database is sent against what it bears: N is taken at the middle of the window.
 func (f *slowFleet) pressure(d *database, work float64) {
 	window := f.settings.OverloadWindow
 	d.sends, d.inWindow, d.sent = append(d.sends, weighted{f.now, work}), d.inWindow+work, d.sent+work
@@ -312,8 +313,8 @@
 	}
 }
 
-// play runs the fleet. It returns the most that a cold database was sent in a window, as a share of what it bears, and
-// what they were sent in all, as a share of what the multiple allows.
+// play runs the fleet. It returns the most that a warming database was sent in a window, as a share of what it
+// bears, and what they were sent in all, as a share of what the multiple allows.
 func (f *slowFleet) play() (worst, used float64) {
 	for end := start + slowWarmUp + slowCold; f.now < end; f.now += tickInterval {
 		since := f.now - start - slowWarmUp
@@ -344,8 +345,8 @@
 	return worst, used
 }
 
-// slowStartCases are the plays of a fleet; a large one plays a part of them. Settings that tell a third of the routers stand
-// for a restart in which old and new processes overlap.
+// slowStartCases are the plays of a fleet; a large one plays a part of them. Settings that tell a third of the
+// routers stand for a restart in which old and new processes overlap.
 func slowStartCases(routers int) (cases []slowStart) {
 	even := []workload{{classBounded, 0.85, 1}, {classWrite, 0.15, 1.5}}
 	reports := []workload{{classBounded, 0.81, 1}, {classAny, 0.04, 16}, {classWrite, 0.15, 1.6}}
@@ -382,8 +383,9 @@
 	return cases
 }
 
-// What all routers together send a cold database stays within its budget, and the budget is used where few routers share
-// it. With many of them a play's requests are too few for that: TestColdBudgetIsUsedBySparseRequests has more.
+// What all routers together send a warming database stays within its budget, and the budget is used where few
+// routers share it. With many of them a play's requests are too few for that:
+// TestSlowStartBudgetIsUsedBySparseRequests has more.
 func TestSlowStart(t *testing.T) {
 	for _, fleet := range []struct {
 		routers, seeds int
@@ -396,7 +398,7 @@
 					worst, used := newSlowFleet(c).play()
 					t.Logf("seed %d: %.2f of the bound in the worst window, %.3f of the multiple used", c.seed, worst, used)
 					if worst > 1 {
-						t.Errorf("seed %d: a cold database was sent %.2f of what it bears", c.seed, worst)
+						t.Errorf("seed %d: a warming database was sent %.2f of what it bears", c.seed, worst)
 					}
 					if fleet.used && used < c.least {
 						t.Errorf("seed %d: %.3f of the multiple used, want %.2f", c.seed, used, c.least)
--- a/routing/subscription_test.go
+++ b/routing/subscription_test.go
@@ -6,7 +6,7 @@
 )
 
 // Where the list must be asked for, a failed call is repeated, ever later.
-func TestSubscribeAgain(t *testing.T) {
+func TestFailedListCallIsRepeated(t *testing.T) {
 	s := settings()
 	s.ListIsPolled = true
 	h := &harness{t, New(s, 1), start}
@@ -68,10 +68,11 @@
 	}
 }
 
-// Watches that worked break at all routers at once, as when the service drops its connections or falls silent. Nothing waits at
-// the service yet, so none rests first: each asks within a sixth of the time after which what it misses binds. This service takes as
-// many calls as there are routers in four seconds, one after the other, and turns away at once what would wait over two: it is kept
-// at work, and every router has the list hardly later than it can have it.
+// Watches that worked break at all routers at once, as when the service drops its connections or falls silent.
+// Nothing waits at the service yet, so none rests first: each asks within a sixth of the time after which what it
+// misses binds. This service takes as many calls as there are routers in four seconds, one after the other, and
+// rejects at once what would wait over two: it is kept at work, and every router has the list hardly later than it
+// can have it.
 func TestWatchesThatBreakAreOpenedAnewAtOnce(t *testing.T) {
 	for _, routers := range []int{1, 5, 32, 300} {
 		s := settings()
@@ -122,9 +123,9 @@
 	}
 }
 
-// After a call that waited in vain there is a rest, for as long as the calls are then spread; one that is turned away at once is made
-// again in half of that. Both end well before what the list tells binds, and do not grow with the failures: a service that
-// comes back is asked by all in that time.
+// After a call that waited in vain there is a rest, for as long as the calls are then spread; one that is rejected
+// at once is made again in half of that. Both end well before what the list tells binds, and do not grow with the
+// failures: a service that comes back is asked by all in that time.
 func TestFailedListCallsRestFirst(t *testing.T) {
 	for _, c := range []struct {
 		routers int
@@ -142,12 +143,12 @@
 				h.want("after the rest", h.wait(c.over+3*retrySpacing), Subscribe)
 			}
 			h.list(Node{ID: 1, State: Ready})
-			for range 6 { // each is turned away in the moment in which it is made
+			for range 6 { // each is rejected in the moment in which it is made
 				h.step(Event{Kind: ListFailed})
 				var out []Action
 				for failed := h.now; len(out) == 0; out = h.wait(tickInterval) {
 					if h.now > failed+c.over/2+2*retrySpacing {
-						t.Fatalf("%d routers: turned away at once, and not made again in %v", c.routers, c.over/2)
+						t.Fatalf("%d routers: rejected at once, and not made again in %v", c.routers, c.over/2)
 					}
 				}
 				h.want("made again", out, Subscribe)
@@ -158,7 +159,7 @@
 
 // However many routers there are and however often it failed, a router asks again before what the list has to tell
 // binds it unheard.
-func TestListCallsHaveAnEnd(t *testing.T) {
+func TestListCallsEndBeforeTheListBinds(t *testing.T) {
 	for _, binds := range []time.Duration{6 * time.Second, 2 * time.Second} {
 		for _, routers := range []int{1, 3, 80, 300, 5000} {
 			for seed := range uint64(20) {
