--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -9,7 +9,7 @@
 	"capercove/internal/capacity"
 )
 
-// A database that works on so many at once, sent as many as its size says it bears: the size settles so that about as many
+// A database that works on so many at once, sent as many as its size allows: the size settles so that about as many
 // wait as are worked on, whatever the size it began with.
 func TestSizeSettles(t *testing.T) {
 	for _, cores := range []float64{1, 3, 8, 40} {
@@ -21,12 +21,12 @@
 			}
 			held := 4 * float64(s)
 			require.GreaterOrEqual(t, held, cores*0.99, "%v at once, begun at %v: it idles", cores, begin)
-			require.LessOrEqual(t, held-cores, capacity.UnitConcurrency*float64(s)*1.01, "%v at once, begun at %v: a crowd", cores, begin)
+			require.LessOrEqual(t, held-cores, capacity.UnitConcurrency*float64(s)*1.01, "%v at once, begun at %v: overloaded", cores, begin)
 		}
 	}
 }
 
-// Databases that hold little tell nothing of their size, and so do short queues.
+// Databases with little in flight tell nothing of their size, and so do short queues.
 func TestSizeStands(t *testing.T) {
 	s := capacity.Size(2)
 	require.Equal(t, s, s.AfterReport(capacity.UnitConcurrency-0.1, 0))
@@ -45,7 +45,7 @@
 		most := 0
 		for now := step; now < 20*time.Second; now += step {
 			for i := range all {
-				// More is wanted than it can do: a second copy of the loop would be a crowd.
+				// More is wanted than it can do: a second copy of the loop would overload it.
 				if len(queue) < 60 && all[i].Remaining(now, 0, window, multiple, 0, 3.0/senders) >= 0.4 {
 					all[i].Sent(now, window, 1)
 					sent = append(sent, now)
@@ -67,8 +67,8 @@
 	}
 }
 
-// Answers of an earlier process tell nothing of what the one that has started can do; what was sent while the start was not
-// known counts.
+// Answers of an earlier process tell nothing of what the one that has started can do; what was sent while the start
+// was not known counts.
 func TestColdAfterARestart(t *testing.T) {
 	const window, multiple, part = time.Second, 3.0, 2.0
 	var c capacity.SlowStart
--- a/internal/clockoffset/clockoffset.go
+++ b/internal/clockoffset/clockoffset.go
@@ -59,7 +59,7 @@
 	Commit               // the commit of a write that was answered
 )
 
-// Sample is one position that a database told, and when it was asked for and received by the own clock.
+// Sample is one position that a database reported, and when it was asked for and received by the own clock.
 type Sample struct {
 	Kind           Kind
 	Position       time.Duration
--- a/internal/clockoffset/instant.go
+++ b/internal/clockoffset/instant.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Instant is a point in time by the own clock, by the databases', or by both; then the later one counts. It keeps what
-// was told as it was told, so that it is right under each later estimate of the offset. The zero value is before all.
+// Instant is a point in time by the own clock, by the databases', or by both; then the later one counts. It keeps
+// what was reported as it was reported, so that it is right under each later estimate of the offset. The zero value
+// is before all.
 type Instant struct{ Own, Remote time.Duration }
 
 // By returns the instant by the databases' clocks.
--- a/routing/api.go
+++ b/routing/api.go
@@ -200,7 +200,7 @@
 type Evidence struct {
 	Role         Role
 	Position     time.Duration // the nodes' clock up to which all commits are applied; of a write, its commit; 0: none
-	ReportsQueue bool          // QueueLength is told
+	ReportsQueue bool          // QueueLength is reported
 	QueueLength  float64       // how many requests wait there for others to end
 }
 
--- a/routing/health.go
+++ b/routing/health.go
@@ -21,9 +21,9 @@
 	maxFailures           = 3
 )
 
-// eject takes a node out. An unresponsive one left requests unanswered, whatever its probes say: a process can be up
-// and its work stuck. It is given single requests again, ever more rarely, until one is answered. This also catches
-// answers that were lost on the way; it harms a node whose every request truly takes that long.
+// eject takes a node out of the routing. An unresponsive one left requests unanswered, whatever its probes say: a
+// process can be up and its work stuck. It is given single requests again, ever more rarely, until one is answered.
+// This also catches answers that were lost on the way; it harms a node whose every request truly takes that long.
 func (r *Router) eject(node *nodeRecord, unresponsive bool) {
 	if !node.ejected {
 		node.ejected, node.ejectedAt = true, r.now
--- a/routing/subscription.go
+++ b/routing/subscription.go
@@ -9,7 +9,7 @@
 	// subscribeSpreadPerRouter, times the routers, is the time over which they spread their calls for the endpoint
 	// list after a failure. The discovery service takes calls in turn.
 	subscribeSpreadPerRouter = 100 * ms
-	// minSubscribeSpread is the least such time. A call that failed within it was turned away rather than left
+	// minSubscribeSpread is the least such time. A call that failed within it was rejected rather than left
 	// waiting.
 	minSubscribeSpread = 500 * ms
 	// maxSubscribeSpread is the greatest, where the settings tell no time in which a list binds.
@@ -28,7 +28,7 @@
 }
 
 // scheduleSubscription sets the time of the next call for the endpoint list after one has failed. If a watch broke or
-// the call was turned away at once, half of the spread does: nobody waits, or being turned away cost nothing.
+// the call was rejected at once, half of the spread does: nobody waits, or the rejection cost nothing.
 func (r *Router) scheduleSubscription() {
 	spread := r.subscribeSpread()
 	jitter := time.Duration(mix(r.seed^uint64(r.now)) % uint64(spread))
