--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -11,7 +11,8 @@
 )
 
 // Slow start of a whole fleet: many routers on one virtual clock and databases that take time for their work. What a
-// cold database is sent in any fall window, in work of the mean request, stays within what the settings allow it then.
+// warming database is sent in any overload window, in work of the mean request, stays within what the settings allow
+// it then.
 
 // workload is a class's share of the requests and its work, as a multiple of the lightest class's.
 type workload struct {
@@ -28,7 +29,7 @@
 	tenthActive        // nine in ten routers have no request
 )
 
-// slowStart is one play: a group with databases that start cold in the middle.
+// slowStart is one play: a group with databases that restart in the middle.
 type slowStart struct {
 	name          string
 	routers, told int // that there are, and as the settings say
@@ -41,7 +42,7 @@
 	coldShare     float64       // of the settings
 	freshRouters  bool          // the routers start with the databases
 	load          float64       // of what the warm databases can do
-	window        time.Duration // fall window
+	window        time.Duration // overload window
 	least         float64       // of the multiple that is to be used where few routers share it
 	large         bool          // a large fleet plays it too
 	seed          uint64
@@ -123,9 +124,11 @@
 	s.Routers, s.CanHedge, s.SlowStartShare, s.SlowStartTime, s.OverloadMultiple = c.told, false, c.coldShare, slowColdTime, slowMultiple
 	s.Classes[classAny].LatencyObjective, s.Classes[classAny].Deadline = 5*time.Second, 10*time.Second // reports
 	s.OverloadWindow = c.window
-	f := &slowFleet{slowStart: c, settings: s, rng: rand.New(rand.NewPCG(c.seed, 11)), now: start,
+	f := &slowFleet{
+		slowStart: c, settings: s, rng: rand.New(rand.NewPCG(c.seed, 11)), now: start,
 		nodes: map[NodeID]*database{}, work: map[RequestID]float64{}, tries: map[RequestID]int{},
-		events: make([][]Event, c.routers), due: make([]time.Duration, c.routers)}
+		events: make([][]Event, c.routers), due: make([]time.Duration, c.routers),
+	}
 	for id := NodeID(1); id <= slowNodes; id++ {
 		f.nodes[id] = &database{id: id}
 	}
@@ -188,7 +191,7 @@
 	return d.free[core] + ms, OK
 }
 
-// pressure books what a cold database is sent against what it bears: N is taken at the middle of the window.
+// pressure books what a warming database is sent against what it bears: N is taken at the middle of the window.
 func (f *slowFleet) pressure(d *database, work float64) {
 	window := f.settings.OverloadWindow
 	d.sends, d.inWindow, d.sent = append(d.sends, weighted{f.now, work}), d.inWindow+work, d.sent+work
@@ -222,12 +225,14 @@
 		f.due[router] = f.now + a.Delay
 	case Probe:
 		d := f.nodes[a.Node]
-		f.later(f.now+tickEvery, router, Event{Kind: ProbeDone, Outcome: Outcome{Node: a.Node, Report: f.evidence(d)}}, d)
+		f.later(f.now+tickInterval, router, Event{Kind: ProbeDone, Outcome: Outcome{Node: a.Node, Report: f.evidence(d)}}, d)
 	case Send:
 		d := f.nodes[a.Node]
 		at, status := f.take(d, f.work[a.Request])
-		f.later(at, router, Event{Kind: AttemptDone, Request: a.Request, Outcome: Outcome{Node: a.Node,
-			Attempt: f.tries[a.Request], Status: status, Duration: at - f.now, Final: status == OK}}, d)
+		f.later(at, router, Event{Kind: AttemptDone, Request: a.Request, Outcome: Outcome{
+			Node:    a.Node,
+			Attempt: f.tries[a.Request], Status: status, Duration: at - f.now, Final: status == OK,
+		}}, d)
 		f.tries[a.Request]++
 	}
 }
@@ -238,7 +243,7 @@
 	for _, m := range f.mix {
 		unit += m.share * m.work
 	}
-	mean := f.load * slowNodes * slowCores / slowMeanWork.Seconds() * tickEvery.Seconds()
+	mean := f.load * slowNodes * slowCores / slowMeanWork.Seconds() * tickInterval.Seconds()
 	for range f.poisson(mean) {
 		m, left := f.mix[0], f.rng.Float64()
 		for _, m = range f.mix {
@@ -250,7 +255,8 @@
 		f.work[f.next] = m.work / unit * f.rng.ExpFloat64()
 		router := f.router()
 		f.events[router] = append(f.events[router], Event{Kind: RequestArrived, Request: f.next, Arrival: Arrival{
-			Class: m.class, Session: uint64(f.next), TimeLeft: f.settings.Classes[m.class].Deadline}})
+			Class: m.class, Session: uint64(f.next), TimeLeft: f.settings.Classes[m.class].Deadline,
+		}})
 		f.due[router] = f.now
 	}
 }
@@ -307,10 +313,10 @@
 	}
 }
 
-// play runs the fleet. It returns the most that a cold database was sent in a window, as a share of what it bears, and
-// what they were sent in all, as a share of what the multiple allows.
+// play runs the fleet. It returns the most that a warming database was sent in a window, as a share of what it
+// bears, and what they were sent in all, as a share of what the multiple allows.
 func (f *slowFleet) play() (worst, used float64) {
-	for end := start + slowWarmUp + slowCold; f.now < end; f.now += tickEvery {
+	for end := start + slowWarmUp + slowCold; f.now < end; f.now += tickInterval {
 		since := f.now - start - slowWarmUp
 		if since == 0 || f.every > 0 && since > 0 && since%f.every == 0 {
 			f.start(since == 0)
@@ -329,7 +335,7 @@
 		}
 		for _, id := range f.restart {
 			if d := f.nodes[id]; d.started > 0 {
-				d.all += slowMultiple * f.warmth(d, f.now) * slowCores / slowMeanWork.Seconds() * tickEvery.Seconds()
+				d.all += slowMultiple * f.warmth(d, f.now) * slowCores / slowMeanWork.Seconds() * tickInterval.Seconds()
 			}
 		}
 	}
@@ -339,8 +345,8 @@
 	return worst, used
 }
 
-// slowStartCases are the plays of a fleet; a large one plays a part of them. Settings that tell a third of the routers stand
-// for a restart in which old and new processes overlap.
+// slowStartCases are the plays of a fleet; a large one plays a part of them. Settings that tell a third of the
+// routers stand for a restart in which old and new processes overlap.
 func slowStartCases(routers int) (cases []slowStart) {
 	even := []workload{{classBounded, 0.85, 1}, {classWrite, 0.15, 1.5}}
 	reports := []workload{{classBounded, 0.81, 1}, {classAny, 0.04, 16}, {classWrite, 0.15, 1.6}}
@@ -377,8 +383,9 @@
 	return cases
 }
 
-// What all routers together send a cold database stays within its budget, and the budget is used where few routers share
-// it. With many of them a play's requests are too few for that: TestColdBudgetIsUsedBySparseRequests has more.
+// What all routers together send a warming database stays within its budget, and the budget is used where few
+// routers share it. With many of them a play's requests are too few for that:
+// TestSlowStartBudgetIsUsedBySparseRequests has more.
 func TestSlowStart(t *testing.T) {
 	for _, fleet := range []struct {
 		routers, seeds int
@@ -391,7 +398,7 @@
 					worst, used := newSlowFleet(c).play()
 					t.Logf("seed %d: %.2f of the bound in the worst window, %.3f of the multiple used", c.seed, worst, used)
 					if worst > 1 {
-						t.Errorf("seed %d: a cold database was sent %.2f of what it bears", c.seed, worst)
+						t.Errorf("seed %d: a warming database was sent %.2f of what it bears", c.seed, worst)
 					}
 					if fleet.used && used < c.least {
 						t.Errorf("seed %d: %.3f of the multiple used, want %.2f", c.seed, used, c.least)
