--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,9 +1,10 @@
-// Package clock is the only place that reads the system's clocks for anything but spans of time within this process.
+// Package clock reads the system's clocks. It is the only package that reads them for any purpose other than measuring
+// durations within this process.
 //
-// Three kinds of time are told apart:
-//   - time.Now and time.Since of the standard library, whose difference is monotonic, for spans within one process;
-//   - Wall, which may be stepped at any moment, for what people read and for what other machines say;
-//   - Stamp, for times that the processes of one machine tell each other. No step of the wall clock moves it.
+// The program uses three kinds of time:
+//   - time.Now and time.Since of the standard library, whose difference is monotonic, for durations within one process;
+//   - Wall, which may be stepped at any moment, for times shown to people and for times exchanged with other machines;
+//   - Stamp, for times exchanged between processes of one machine. Steps of the wall clock do not affect it.
 package clock
 
 import (
@@ -16,30 +17,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDPath holds an identifier that the kernel draws anew at each boot.
+// bootIDPath is the file with an identifier that the kernel generates at each boot.
 const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
-// Wall returns the time of the wall clock. Spans must not be computed from it.
+// Wall returns the time of the wall clock. It must not be used to compute durations.
 func Wall() time.Time { return time.Now() }
 
-// Monotonic returns a clock that counts from the Unix epoch as the wall clock had it at this call, and that is never stepped.
+// Monotonic returns a clock that is never stepped. It returns the time since the Unix epoch, which is taken from the
+// wall clock once, at the call of Monotonic.
 func Monotonic() func() time.Duration {
 	start := Wall()
 	epoch := time.Duration(start.UnixNano())
 	return func() time.Duration { return epoch + time.Since(start) }
 }
 
-// Stamp is a point in time that means the same to all processes of a machine. The zero value is no time.
+// Stamp is a point in time that all processes of a machine can compare. The zero value means that no time is known.
 type Stamp struct {
-	// Boot names the boot of the machine that SinceBoot counts from.
+	// Boot identifies the boot of the machine that SinceBoot counts from.
 	Boot string `json:"boot,omitempty"`
 	// SinceBoot is the time since that boot in nanoseconds, including time in which the machine was suspended.
 	SinceBoot time.Duration `json:"since_boot,omitempty"`
 }
 
-// StampSource returns the present time as a Stamp. Now is the system's; tests hand in others.
+// StampSource returns the present time as a Stamp. Now is the system's source; tests pass their own.
 type StampSource func() (Stamp, error)
 
+// bootID returns the identifier of the present boot. It is read once.
 var bootID = sync.OnceValues(func() (string, error) {
 	text, err := os.ReadFile(bootIDPath)
 	if err != nil {
@@ -48,7 +51,7 @@
 	return strings.TrimSpace(string(text)), nil
 })
 
-// Now returns the present time.
+// Now returns the present time by CLOCK_BOOTTIME. An error tells that the boot identifier or the clock cannot be read.
 func Now() (Stamp, error) {
 	boot, err := bootID()
 	if err != nil {
@@ -61,8 +64,8 @@
 	return Stamp{Boot: boot, SinceBoot: time.Duration(now.Nano())}, nil
 }
 
-// Age returns how long before now the stamp was taken. It is unknown, and false is returned, where the stamp is of another
-// boot, is the zero value, or lies in the future.
+// Age returns how long before now the stamp was taken. The age is unknown if the stamp is of another boot, is the zero
+// value or lies in the future.
 func (s Stamp) Age(now Stamp) (age time.Duration, known bool) {
 	if s.Boot == "" || s.Boot != now.Boot || s.SinceBoot > now.SinceBoot {
 		return 0, false
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,7 +9,7 @@
 	"capercove/internal/clock"
 )
 
-func TestAge(t *testing.T) {
+func TestAgeIsKnownWithinOneBoot(t *testing.T) {
 	now := clock.Stamp{Boot: "a", SinceBoot: 10 * time.Second}
 	for _, c := range []struct {
 		name  string
--- a/internal/filelock/filelock.go
+++ b/internal/filelock/filelock.go
@@ -1,6 +1,8 @@
-// Package filelock takes advisory locks of files (flock) for a bounded time. A process that is stopped while it holds a
-// lock holds it for as long as it is stopped, so nobody may wait for one without a bound; and flock ends with EINTR
-// whenever a signal arrives, of which the Go runtime sends itself many.
+// Package filelock acquires advisory file locks (flock) within a bounded time.
+//
+// A process that is stopped (SIGSTOP) while it holds a lock keeps it, so that waiting without a bound could last for
+// ever. An flock that a signal interrupts (EINTR) is called again: the Go runtime sends itself signals to preempt
+// goroutines.
 package filelock
 
 import (
@@ -12,31 +14,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// retryEvery is the pause between two attempts at a lock that another process holds.
+// retryEvery is the pause between two attempts to acquire a lock that is held elsewhere.
 const retryEvery = 5 * time.Millisecond
 
-// ErrBusy tells that another open file held the lock for all of the time.
+// ErrBusy is wrapped by the errors of calls that did not get the lock in time, as another process holds it.
 var ErrBusy = errors.New("the lock is held by another process")
 
-// Open opens the file, creating it if there is none, and takes its exclusive lock within a time. With 0 it tries once.
-// Closing the file gives the lock back.
+// Open opens a file, creates it if it does not exist, and acquires its exclusive lock within a time; 0 means a single
+// attempt. Closing the file releases the lock.
 func Open(path string, within time.Duration) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	if err := Acquire(file, unix.LOCK_EX, within); err != nil {
-		file.Close()
+		_ = file.Close() // nothing was written to it
 		return nil, err
 	}
 	return file, nil
 }
 
-// Acquire takes the lock of an open file, unix.LOCK_EX or unix.LOCK_SH, within a time. With 0 it tries once.
+// Acquire acquires the lock of an open file, unix.LOCK_EX or unix.LOCK_SH, within a time; 0 means a single attempt.
 func Acquire(file *os.File, how int, within time.Duration) error {
 	return acquire(file, how, within, unix.Flock)
 }
 
+// acquire is Acquire with the system call as an argument.
 func acquire(file *os.File, how int, within time.Duration, flock func(fd, how int) error) error {
 	started := time.Now()
 	for {
--- a/internal/filelock/filelock_test.go
+++ b/internal/filelock/filelock_test.go
@@ -18,14 +18,14 @@
 	require.ErrorIs(t, err, ErrBusy)
 	require.GreaterOrEqual(t, time.Since(started), 20*time.Millisecond)
 	_, err = Open(path, 0)
-	require.ErrorIs(t, err, ErrBusy, "one attempt")
+	require.ErrorIs(t, err, ErrBusy, "a single attempt")
 	time.AfterFunc(20*time.Millisecond, func() { held.Close() })
 	next, err := Open(path, time.Minute)
-	require.NoError(t, err, "it is had once it is given back")
+	require.NoError(t, err, "acquired once it is released")
 	require.NoError(t, next.Close())
 }
 
-func TestAcquire(t *testing.T) {
+func TestAcquireRetriesInterruptedCalls(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		errors []error // of one call of flock after the other
--- a/internal/netretry/errors.go
+++ b/internal/netretry/errors.go
@@ -1,5 +1,6 @@
-// Package netretry carries network calls past failures that last for a moment: a listener whose Accept fails only once
-// it is closed, calls at the start that are made again for a while, and what an error of a dial says about the peer.
+// Package netretry handles transient failures of network calls. It provides a listener whose Accept fails only after
+// Close, retries with exponential backoff for calls at the start, and a classification of errors by what they tell
+// about this machine and about the peer.
 package netretry
 
 import (
@@ -8,30 +9,36 @@
 	"syscall"
 )
 
-// ErrShortage wraps failures that are known to be a want of something on this machine where no errno says so.
+// ErrShortage is wrapped by errors of a shortage of system resources on this machine that no errno tells.
 var ErrShortage = errors.New("short of system resources")
 
-// shortages are the errors by which Linux says that this machine lacks something: descriptors, memory, ports, watches.
-var shortages = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
-	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.EINTR}
+// shortages are the errors by which Linux reports a lack of descriptors, memory, ports or watches on this machine.
+var shortages = []syscall.Errno{
+	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
+	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.EINTR,
+}
 
-// unreachables are the errors by which Linux says that no packet gets from here to an address. They may be this
-// machine's fault (a route, an interface, a firewall) or the other's, and may concern that address alone.
-var unreachables = []syscall.Errno{syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EHOSTDOWN,
-	syscall.ENONET, syscall.EPERM, syscall.EACCES}
+// unreachables are the errors by which Linux reports that no packet can be sent to an address. The cause may be on this
+// machine (a route, an interface, a firewall) or elsewhere, and may affect that address only.
+var unreachables = []syscall.Errno{
+	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EHOSTDOWN,
+	syscall.ENONET, syscall.EPERM, syscall.EACCES,
+}
 
-// IsShortage tells whether a call failed for want of something on this machine. It says nothing about any peer.
+// IsShortage reports whether a call failed because this machine lacks a resource. Such an error tells nothing about the
+// peer.
 func IsShortage(err error) bool { return errors.Is(err, ErrShortage) || isOneOf(err, shortages) }
 
-// IsUnreachable tells whether a call failed as no packet gets from here to the peer's address.
+// IsUnreachable reports whether a call failed because no packet can be sent to the peer's address.
 func IsUnreachable(err error) bool { return isOneOf(err, unreachables) }
 
-// IsMomentary tells whether the same call may well succeed a moment later, without anything being done about it.
+// IsMomentary reports whether an error is transient: the same call may succeed a moment later without intervention.
 func IsMomentary(err error) bool { return IsShortage(err) || IsUnreachable(err) }
 
-// Always takes every error for one that a further call may not meet.
+// Always reports true for each error. It is the condition of Within for calls that are retried after any error.
 func Always(error) bool { return true }
 
+// isOneOf reports whether an error wraps one of these errnos.
 func isOneOf(err error, class []syscall.Errno) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(class, errno)
--- a/internal/netretry/listener.go
+++ b/internal/netretry/listener.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// Listener accepts whatever happens: only once it is closed does Accept fail. Servers give up at errors that do not
-// call themselves temporary, as net/http and gRPC do at ENOBUFS, ENOMEM, EPROTO or ENETDOWN of a single accept.
+// Listener is a net.Listener whose Accept fails only after Close; other errors are counted and retried with backoff.
+// Without it, servers such as those of net/http and gRPC stop serving when a single accept fails with an error that
+// does not declare itself temporary, such as ENOBUFS, ENOMEM, EPROTO or ENETDOWN.
 type Listener struct {
 	net.Listener
-	backoff  Backoff
-	failures *Failures
-	close    sync.Once
-	closed   chan struct{}
+	backoff   Backoff
+	failures  *Failures
+	closeOnce sync.Once
+	closed    chan struct{} // closed by Close
 }
 
-// NewListener wraps a listener, which is closed with it.
-func NewListener(inner net.Listener, b Backoff, failures *Failures) *Listener {
-	return &Listener{Listener: inner, backoff: b, failures: failures, closed: make(chan struct{})}
+// NewListener wraps a listener. Closing the result closes the inner listener.
+func NewListener(inner net.Listener, backoff Backoff, failures *Failures) *Listener {
+	return &Listener{Listener: inner, backoff: backoff, failures: failures, closed: make(chan struct{})}
 }
 
-// Accept waits for the next connection. It fails with net.ErrClosed alone.
+// Accept waits for the next connection. Its only error is net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for failures := 1; ; failures++ {
-		c, err := l.Listener.Accept()
+		connection, err := l.Listener.Accept()
 		if err == nil {
-			return c, nil
+			return connection, nil
 		}
 		if errors.Is(err, net.ErrClosed) {
 			return nil, err
@@ -39,9 +40,9 @@
 	}
 }
 
-// wait lets time pass. It returns false at once when the listener is closed.
-func (l *Listener) wait(d time.Duration) bool {
-	timer := time.NewTimer(d)
+// wait blocks for a time and returns true. It returns false as soon as the listener is closed.
+func (l *Listener) wait(pause time.Duration) bool {
+	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -51,8 +52,8 @@
 	}
 }
 
-// Close closes the inner listener and ends each Accept, also one that waits to try again.
+// Close closes the inner listener. It ends all calls of Accept, including those that wait for a retry.
 func (l *Listener) Close() error {
-	l.close.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
--- a/internal/netretry/netretry_test.go
+++ b/internal/netretry/netretry_test.go
@@ -16,7 +16,7 @@
 	"capercove/internal/netretry"
 )
 
-// failing fails its first accepts as it is told, and then blocks until it is closed.
+// failing is a listener that fails its first accepts with given errors, and then blocks until it is closed.
 type failing struct {
 	net.Listener
 	errs   []error
@@ -42,12 +42,14 @@
 	return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 }
 
-// Each error of an accept that Linux documents is tried again, and counted; one line a period is logged.
+// After each error of accept that Linux documents the call is retried, and counted; one line per period is logged.
 func TestAcceptFailsOnlyOnceClosed(t *testing.T) {
-	errnos := []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+	errnos := []syscall.Errno{
+		syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EPROTO, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTDOWN, syscall.EHOSTUNREACH, syscall.ENONET,
 		syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.EPERM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EACCES,
-		syscall.EINTR, syscall.EINVAL, syscall.ETIMEDOUT, syscall.ENOSR, syscall.ESOCKTNOSUPPORT}
+		syscall.EINTR, syscall.EINVAL, syscall.ETIMEDOUT, syscall.ENOSR, syscall.ESOCKTNOSUPPORT,
+	}
 	inner := &failing{closed: make(chan struct{})}
 	for _, errno := range errnos {
 		inner.errs = append(inner.errs, acceptError(errno))
@@ -70,8 +72,8 @@
 	require.ErrorIs(t, err, net.ErrClosed)
 }
 
-// A listener that is closed while it waits to try again does not wait on.
-func TestCloseEndsABackoff(t *testing.T) {
+// A listener that is closed during a backoff stops waiting.
+func TestCloseEndsBackoff(t *testing.T) {
 	inner := &failing{closed: make(chan struct{}), errs: []error{acceptError(syscall.ENOMEM)}}
 	failures := netretry.NewFailures("accept", time.Second, zerolog.Nop(), func() time.Duration { return 0 })
 	l := netretry.NewListener(inner, netretry.Backoff{First: time.Hour, Most: time.Hour}, failures)
@@ -86,30 +88,30 @@
 	case err := <-ended:
 		require.ErrorIs(t, err, net.ErrClosed)
 	case <-time.After(20 * time.Second):
-		require.Fail(t, "it waits on")
+		require.Fail(t, "it is still waiting")
 	}
 }
 
-func TestBackoff(t *testing.T) {
+func TestBackoffDoublesUpToItsLimit(t *testing.T) {
 	b := netretry.Backoff{First: 5, Most: 30}
 	for failures, want := range map[int]time.Duration{1: 5, 2: 10, 3: 20, 4: 30, 5: 30, 1 << 40: 30} {
 		require.Equal(t, want, b.After(failures), "after %d failures", failures)
 	}
 }
 
-// A call at the start is made again while it may succeed a moment later, for so long and no longer.
-func TestWithin(t *testing.T) {
+// A call is retried while its errors are transient, until the limit.
+func TestWithinRetriesTransientErrors(t *testing.T) {
 	short, other := acceptError(syscall.EMFILE), errors.New("other")
 	for name, c := range map[string]struct {
 		errs  []error
 		limit time.Duration
 		want  error
 	}{
-		"at once":       {[]error{nil}, time.Hour, nil},
-		"in the end":    {[]error{short, short, nil}, time.Hour, nil},
-		"not worth it":  {[]error{short, other}, time.Hour, other},
-		"for too long":  {nil, time.Millisecond, short},
-		"not to be had": {nil, 0, short},
+		"first attempt succeeds":               {[]error{nil}, time.Hour, nil},
+		"succeeds after transient errors":      {[]error{short, short, nil}, time.Hour, nil},
+		"stops at a lasting error":             {[]error{short, other}, time.Hour, other},
+		"stops at the limit":                   {nil, time.Millisecond, short},
+		"stops after one attempt without time": {nil, 0, short},
 	} {
 		calls := 0
 		err := netretry.Within(c.limit, netretry.Backoff{First: time.Nanosecond, Most: time.Nanosecond}, netretry.IsMomentary,
@@ -126,7 +128,7 @@
 	}
 }
 
-func TestClasses(t *testing.T) {
+func TestErrorClasses(t *testing.T) {
 	for errno, want := range map[syscall.Errno][2]bool{
 		syscall.EMFILE: {true, false}, syscall.ENFILE: {true, false}, syscall.ENOBUFS: {true, false},
 		syscall.ENOMEM: {true, false}, syscall.EADDRNOTAVAIL: {true, false}, syscall.EAGAIN: {true, false},
--- a/internal/netretry/retry.go
+++ b/internal/netretry/retry.go
@@ -6,13 +6,20 @@
 	"capercove/internal/limits"
 )
 
-// Backoff says how long to wait before a call is made again: First, then twice as long each time, up to Most.
-type Backoff struct{ First, Most time.Duration }
+// Backoff is an exponential backoff: it doubles the wait before each further attempt.
+type Backoff struct {
+	// First is the wait after the first failure.
+	First time.Duration
+	// Most is the longest wait.
+	Most time.Duration
+}
 
-// BackoffOf returns the backoff that the limits set.
-func BackoffOf(l limits.Limits) Backoff { return Backoff{First: l.RetryFirst, Most: l.RetryMost} }
+// BackoffOf returns the backoff that the limits configure.
+func BackoffOf(bounds limits.Limits) Backoff {
+	return Backoff{First: bounds.RetryFirst, Most: bounds.RetryMost}
+}
 
-// After returns the wait that follows so many failures in a row, of which there is at least one.
+// After returns the wait after a number of consecutive failures, which is at least one.
 func (b Backoff) After(failures int) time.Duration {
 	wait := b.First
 	for range failures - 1 {
@@ -24,20 +31,20 @@
 	return min(wait, b.Most)
 }
 
-// Within makes a call until it succeeds, fails in a way that is not worth another try, or has been tried for so long.
-// It returns the last error.
-func Within(limit time.Duration, b Backoff, again func(error) bool, call func() error) error {
-	over := time.NewTimer(limit)
-	defer over.Stop()
+// Within retries a call until it succeeds, fails with an error for which retryable returns false, or the limit has
+// passed. It returns the error of the last attempt.
+func Within(limit time.Duration, backoff Backoff, retryable func(error) bool, call func() error) error {
+	expired := time.NewTimer(limit)
+	defer expired.Stop()
 	for failures := 1; ; failures++ {
 		err := call()
-		if err == nil || !again(err) {
+		if err == nil || !retryable(err) {
 			return err
 		}
-		wait := time.NewTimer(b.After(failures))
+		wait := time.NewTimer(backoff.After(failures))
 		select {
 		case <-wait.C:
-		case <-over.C:
+		case <-expired.C:
 			wait.Stop()
 			return err
 		}
