--- a/internal/exclusion/change.go
+++ b/internal/exclusion/change.go
@@ -3,42 +3,43 @@
 import (
 	"cmp"
 	"encoding/json"
-	"fmt"
+	"errors"
 	"maps"
 	"slices"
 
 	"capercove/internal/clock"
 )
 
-// change is the last that an operator said of one database.
+// change is the last command of an operator for one database.
 type change struct {
-	Banned bool `json:"banned"`
-	// Unix is the time by the wall clock in milliseconds, of a ban said twice the first one. It ties a ban to its entry
-	// in the file of the set.
-	Unix int64 `json:"unix_ms"`
-	// Since is the same time by a clock that is never stepped; the zero value where it is not known, as with an older
-	// program's ban.
+	Excluded bool `json:"banned"`
+	// UnixMilli is the Unix time by the wall clock in milliseconds; if an exclusion is repeated, that of the first
+	// command. It identifies the exclusion's entry in the set's file.
+	UnixMilli int64 `json:"unix_ms"`
+	// Since is the same time by a clock that is never stepped. It is the zero value if it is not known, as for
+	// exclusions written by older versions.
 	Since clock.Stamp `json:"since"`
-	// Said is when it was last said, which orders changes; it may be the zero value, too.
-	Said clock.Stamp `json:"said"`
+	// Issued is the time of the last command, which orders changes. It may be the zero value, too.
+	Issued clock.Stamp `json:"said"`
 }
 
-// changes are the last changes by the databases' names. One that is not a ban is kept to order it with those of other
-// processes.
+// changes holds the last change of each database by its name. Those that ended an exclusion are remembered in order to
+// compare them with the changes of other processes.
 type changes map[string]change
 
-// after tells whether the change is later than another one. In the present boot the stamps tell; a change with no stamp
-// of this boot counts as earlier than any that has one, and among such the wall clock tells, as nothing better is
-// known.
+// after reports whether the change is later than another one. Stamps of the present boot decide. A change without
+// such a stamp counts as earlier than any that has one. Among changes without a stamp the wall clock decides, as
+// nothing better is known.
 func (c change) after(other change, boot string) bool {
-	known, otherKnown := boot != "" && c.Said.Boot == boot, boot != "" && other.Said.Boot == boot
+	known := boot != "" && c.Issued.Boot == boot
+	otherKnown := boot != "" && other.Issued.Boot == boot
 	switch {
 	case known && otherKnown:
-		return c.Said.SinceBoot > other.Said.SinceBoot
+		return c.Issued.SinceBoot > other.Issued.SinceBoot
 	case known != otherKnown:
 		return known
 	default:
-		return c.Unix > other.Unix
+		return c.UnixMilli > other.UnixMilli
 	}
 }
 
@@ -53,30 +54,29 @@
 	return merged
 }
 
-// banned returns the databases that are kept out as the file of the set tells them: each with its time by the wall
-// clock.
-func (all changes) banned() map[string]int64 {
+// excluded returns the content of the set's file: the excluded databases, each with its Unix time in milliseconds.
+func (all changes) excluded() map[string]int64 {
 	set := map[string]int64{}
 	for name, c := range all {
-		if c.Banned {
-			set[name] = c.Unix
+		if c.Excluded {
+			set[name] = c.UnixMilli
 		}
 	}
 	return set
 }
 
-// bounded drops the oldest of the changes that are no bans, down to a number of them.
+// bounded drops the oldest changes that ended an exclusion, so that at most a number of them is left.
 func (all changes) bounded(most int, boot string) changes {
-	var lifted []string
+	var included []string
 	for name, c := range all {
-		if !c.Banned {
-			lifted = append(lifted, name)
+		if !c.Excluded {
+			included = append(included, name)
 		}
 	}
-	if len(lifted) <= most {
+	if len(included) <= most {
 		return all
 	}
-	slices.SortFunc(lifted, func(a, b string) int {
+	slices.SortFunc(included, func(a, b string) int {
 		switch {
 		case all[a].after(all[b], boot):
 			return 1
@@ -86,39 +86,39 @@
 			return cmp.Compare(a, b)
 		}
 	})
-	kept := maps.Clone(all)
-	for _, name := range lifted[:len(lifted)-most] {
-		delete(kept, name)
+	remaining := maps.Clone(all)
+	for _, name := range included[:len(included)-most] {
+		delete(remaining, name)
 	}
-	return kept
+	return remaining
 }
 
-// join puts the set, which alone tells who is banned, together with what the file beside it tells of the changes. A ban
-// that this file knows nothing of, or tells with another time, was made by an older program and has no stamp.
-func join(set map[string]int64, beside changes) changes {
+// combine joins the set's file, which alone decides which databases are excluded, with the file of changes. An
+// exclusion that the latter lacks, or holds with another time, was written by an older version and has no stamp.
+func combine(set map[string]int64, stored changes) changes {
 	all := changes{}
-	for name, c := range beside {
-		if !c.Banned {
+	for name, c := range stored {
+		if !c.Excluded {
 			all[name] = c
 		}
 	}
-	for name, unix := range set {
-		c := beside[name]
-		if !c.Banned || c.Unix != unix {
-			c = change{Banned: true, Unix: unix}
+	for name, unixMilli := range set {
+		c := stored[name]
+		if !c.Excluded || c.UnixMilli != unixMilli {
+			c = change{Excluded: true, UnixMilli: unixMilli}
 		}
 		all[name] = c
 	}
 	return all
 }
 
-// decode reads a JSON object into a map, and takes nothing else for one.
-func decode[M ~map[string]V, V any](text []byte) (m M, err error) {
-	if err := json.Unmarshal(text, &m); err != nil {
+// decode parses a JSON object into a map. Other JSON values, including null, are errors.
+func decode[M ~map[string]V, V any](text []byte) (object M, err error) {
+	if err := json.Unmarshal(text, &object); err != nil {
 		return nil, err
 	}
-	if m == nil {
-		return nil, fmt.Errorf("no object")
+	if object == nil {
+		return nil, errors.New("no JSON object")
 	}
-	return m, nil
+	return object, nil
 }
--- a/internal/exclusion/exclusion.go
+++ b/internal/exclusion/exclusion.go
@@ -1,14 +1,14 @@
-// Package exclusion keeps which databases the operators keep out. The set stands in a file that all processes of one pooler
-// share, so that it outlasts each of them, and each obeys it whichever was called.
+// Package exclusion stores the set of databases that operators have excluded. All processes of a pooler share the set
+// through files, so that it survives each of them, and a command given to one process is obeyed by all.
 //
-// A change holds in this process at once, whatever becomes of the file, and is written again until it stands on disk.
-// Four files lie in the directory, named after the pooler:
+// A change takes effect in this process at once, even if the files cannot be written; writing is retried until it
+// succeeds. The directory holds four files, named after the pooler:
 //   - .json, the set, in the one form that all versions of the program read and write;
-//   - .json.changes, the last change of each database with a time that no step of the wall clock moves, from which a
-//     ban's age is told and the later of two changes; an older program knows nothing of it;
-//   - .json.lock, locked by who changes these two;
-//   - .json.pending, a symbolic link whose text is the changes that are not on disk yet, for the other processes: it
-//     takes neither the lock nor a byte of a file (see handover.go).
+//   - .json.changes, the last change of each database with a time that steps of the wall clock do not affect. It tells
+//     the age of an exclusion and which of two changes is later. Older versions do not know it;
+//   - .json.lock, which a process locks while it changes these two;
+//   - .json.pending, a symbolic link whose target is the text of the changes that are not on disk yet. It hands them
+//     over to the other processes without the lock and without writing to a file (see handover.go).
 package exclusion
 
 import (
@@ -28,68 +28,84 @@
 	"capercove/internal/limits"
 )
 
-// unknownAge is how old a ban counts as whose age is not known: older than any grace.
+// unknownAge is the age that is assumed for an exclusion of unknown age. It is longer than any grace period.
 const unknownAge = 24 * time.Hour
 
-// ErrTooMany tells that no further database may be banned.
-var ErrTooMany = errors.New("too many databases are banned")
+// ErrTooMany is returned by Change when the limit on the number of excluded databases is reached.
+var ErrTooMany = errors.New("too many databases are excluded")
 
-// errDamaged tells of a file that holds something else than it should. Reading it again does not help.
+// errDamaged is wrapped by errors about a file whose content is invalid. Reading it again does not help.
 var errDamaged = errors.New("damaged")
 
-// Set is the databases that are kept out, each with the time of its ban by the clock that was handed to Open.
+// Set holds the excluded databases, each with the time of its exclusion by Config.Now.
 type Set map[string]time.Duration
 
-// Config is what a File works with. All of it is needed.
+// Config configures a File. All fields are required.
 type Config struct {
-	Dir    string // the files' directory
-	Pooler string // the pooler's name
-	Files  Files
-	Now    func() time.Duration // a clock that is never stepped
-	Stamp  clock.StampSource
-	Wall   func() time.Time
+	// Dir is the directory of the files.
+	Dir string
+	// Pooler is the pooler's name, which is part of the files' names.
+	Pooler string
+	// Files are the operations on files.
+	Files Files
+	// Now is a clock that is never stepped.
+	Now func() time.Duration
+	// Stamp returns times that all processes of the machine can compare.
+	Stamp clock.StampSource
+	// Wall is the wall clock.
+	Wall func() time.Time
+	// Limits bound the set, the files and the waits.
 	Limits limits.Limits
-	Log    zerolog.Logger
-	// Changed is given every new set, in the order of the changes. It must neither change it nor call the File.
+	// Log receives failures to read or write the files.
+	Log zerolog.Logger
+	// Changed receives each new set, in the order of the changes. It must neither modify the set nor call the File.
 	Changed func(Set)
 }
 
-// File is the set and its files.
+// File is the set of excluded databases with its files. It is safe for concurrent use.
 type File struct {
 	Config
-	path string
-	wake chan struct{} // has something to be written
+	path string        // of the set's file
+	wake chan struct{} // tells saveLoop that there is something to be written
 
-	looking sync.Mutex  // one look at a time
-	seen    os.FileInfo // the set's file as last read
-	broken  string      // the last error of reading that was logged
+	refreshing sync.Mutex  // serializes refreshes
+	lastRead   os.FileInfo // the set's file as last read
+	readError  string      // the last error of reading that was logged
 
-	mu      sync.Mutex    // held until Changed returns, and never while a file is worked on
-	saves   int           // how often onDisk was written: against a look that began before
-	onDisk  changes       // as last read or written
-	pending changes       // later ones that are not known to be on disk
-	since   time.Time     // when the first of them was made
-	handed  bool          // all of pending is left for the other processes
-	repair  bool          // the set's file is damaged, and what it held is known here
-	settled chan struct{} // closed while there is nothing to be written
-	set     Set
-	unix    map[string]int64 // the set by the wall clock: tells a ban from the one before
+	mu           sync.Mutex       // held until Changed returns, and never during an operation on files
+	saveCount    int              // successful saves, by which a refresh detects one since it began
+	onDisk       changes          // as last read or written
+	pending      changes          // later changes that are not known to be on disk
+	pendingSince time.Time        // when the first of them was made
+	shared       bool             // all pending changes are handed over to the other processes
+	mustRepair   bool             // the set's file is damaged, and its former content is known here
+	settled      chan struct{}    // closed while there is nothing to be written
+	set          Set              // as last passed to Changed
+	unixMilli    map[string]int64 // the Unix times of set, which distinguish it from earlier exclusions
 }
 
-// Open returns the set of a pooler, not yet looked at.
-func Open(c Config) *File {
+// Open returns the set of a pooler, which is empty until the first Refresh.
+func Open(config Config) *File {
 	settled := make(chan struct{})
 	close(settled)
-	return &File{Config: c, path: filepath.Join(c.Dir, "capercove-bans-"+url.PathEscape(c.Pooler)+".json"),
-		wake: make(chan struct{}, 1), onDisk: changes{}, pending: changes{}, settled: settled, set: Set{}}
+	return &File{
+		Config:  config,
+		path:    filepath.Join(config.Dir, "capercove-bans-"+url.PathEscape(config.Pooler)+".json"),
+		wake:    make(chan struct{}, 1),
+		onDisk:  changes{},
+		pending: changes{},
+		settled: settled,
+		set:     Set{},
+	}
 }
 
-// Watch looks for changes by other processes, and writes the own ones, until the context ends.
-func (f *File) Watch(ctx context.Context, every time.Duration) {
+// Watch reads the changes of other processes once per interval and writes those of this process, until the context
+// ends.
+func (f *File) Watch(ctx context.Context, interval time.Duration) {
 	var saving sync.WaitGroup
-	saving.Go(func() { f.keepSaving(ctx) })
+	saving.Go(func() { f.saveLoop(ctx) })
 	defer saving.Wait()
-	tick := time.NewTicker(every)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		f.Refresh()
@@ -100,27 +116,25 @@
 	}
 }
 
-// Refresh takes in what other processes have changed, on disk or not yet, and leaves for them what could not be written.
+// Refresh reads the changes of other processes, from the files and from the link of pending changes, and hands over to
+// them the changes that could not be written.
 func (f *File) Refresh() {
-	f.looking.Lock()
-	defer f.looking.Unlock()
-	f.lookAtSet()
+	f.refreshing.Lock()
+	defer f.refreshing.Unlock()
+	f.refreshSet()
 	f.exchangePending()
 }
 
-// lookAtSet takes in the set's file if it is another than the last one. One that cannot be read is logged, and the set
-// is kept.
-func (f *File) lookAtSet() {
+// refreshSet reads the set's file if it has changed. If that fails, the error is logged and the set stays as it is.
+func (f *File) refreshSet() {
 	f.mu.Lock()
-	saves := f.saves
+	saveCount := f.saveCount
 	f.mu.Unlock()
 	info, err := f.Files.Stat(f.path)
-	if errors.Is(err, os.ErrNotExist) { // what a process has kept is not lost with the file
+	if errors.Is(err, os.ErrNotExist) { // the set is not lost with its file
 		return
 	}
-	// Against a new file that has the number of one replaced before.
-	if err == nil && f.seen != nil && os.SameFile(info, f.seen) && info.ModTime().Equal(f.seen.ModTime()) &&
-		info.Size() == f.seen.Size() {
+	if err == nil && f.isLastRead(info) {
 		return
 	}
 	var onDisk changes
@@ -130,31 +144,38 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case f.saves != saves: // what was read may be older than what was written since
+	case f.saveCount != saveCount: // this process has written since: what was read may be older
 	case err != nil:
-		// Who knows nothing of what it held leaves it to others. Seen twice: it may be in the middle of being written
-		// by hand.
-		if errors.Is(err, errDamaged) && err.Error() == f.broken && len(f.onDisk) > 0 {
-			f.repair = true
-			f.note()
+		// Only a process that knows the former content repairs the file. It does so at the second failure, as somebody
+		// may be editing the file.
+		if errors.Is(err, errDamaged) && err.Error() == f.readError && len(f.onDisk) > 0 {
+			f.mustRepair = true
+			f.signal()
 		}
-		f.unreadable(err)
+		f.logReadError(err)
 	default:
-		f.seen, f.broken, f.repair = info, "", false
+		f.lastRead, f.readError, f.mustRepair = info, "", false
 		f.onDisk = onDisk
 		f.publish()
 	}
 }
 
-// unreadable logs that the set's file cannot be read, once for each kind of error.
-func (f *File) unreadable(err error) {
-	if err.Error() != f.broken {
-		f.broken = err.Error()
-		f.Log.Error().Err(err).Msg("bans: cannot be read; the ones known are kept")
+// isLastRead reports whether a description is of the set's file as last read. The times and sizes are compared too,
+// as a new file may get the inode number of a removed one.
+func (f *File) isLastRead(info os.FileInfo) bool {
+	return f.lastRead != nil && os.SameFile(info, f.lastRead) &&
+		info.ModTime().Equal(f.lastRead.ModTime()) && info.Size() == f.lastRead.Size()
+}
+
+// logReadError logs an error of reading the set's file unless it is the same as the one before.
+func (f *File) logReadError(err error) {
+	if err.Error() != f.readError {
+		f.readError = err.Error()
+		f.Log.Error().Err(err).Msg("bans: cannot be read; the known ones stay in force")
 	}
 }
 
-// read reads the set and what is told beside it. The set alone has to be there and whole.
+// read reads the set's file and the file of changes. Only the set's file has to exist and to be valid.
 func (f *File) read() (changes, error) {
 	text, err := f.Files.Read(f.path, f.Limits.BansBytes)
 	if err != nil {
@@ -164,64 +185,67 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w: %w", f.path, errDamaged, err)
 	}
-	var beside changes
+	var stored changes
 	if text, err := f.Files.Read(f.path+changesSuffix, f.Limits.BansBytes); err == nil {
-		beside, _ = decode[changes](text) // Without it, the bans' ages are unknown.
+		stored, _ = decode[changes](text) // without it the ages of the exclusions are unknown
 	}
-	return join(set, beside), nil
+	return combine(set, stored), nil
 }
 
-// Change bans a database or takes the ban back: twice banned is banned. It holds when this returns. Change waits for a
-// moment for it to be on disk as well; Unsaved tells whether it is.
-func (f *File) Change(name string, banned bool) error {
-	settled, err := f.change(name, banned)
+// Change excludes a database or ends its exclusion. It is idempotent, and the change is in force when it returns.
+// Change waits up to Limits.BansAnswer for the change to be on disk; Unsaved tells whether it is. Its only error is
+// ErrTooMany.
+func (f *File) Change(name string, excluded bool) error {
+	settled, err := f.change(name, excluded)
 	if err != nil {
 		return err
 	}
-	enough := time.NewTimer(f.Limits.BansAnswer)
-	defer enough.Stop()
+	expired := time.NewTimer(f.Limits.BansAnswer)
+	defer expired.Stop()
 	select {
 	case <-settled:
-	case <-enough.C:
-		f.Log.Warn().Str("database", name).Bool("banned", banned).Msg("bans: the change holds, and is not on disk yet")
+	case <-expired.C:
+		f.Log.Warn().Str("database", name).Bool("banned", excluded).
+			Msg("bans: the change is in force, and not on disk yet")
 	}
 	return nil
 }
 
-// change lets a change hold in this process. The channel is closed when nothing is left to be written.
-func (f *File) change(name string, banned bool) (settled <-chan struct{}, err error) {
+// change puts a change into force in this process. The channel is closed once nothing is left to be written.
+func (f *File) change(name string, excluded bool) (settled <-chan struct{}, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, already := f.set[name]
-	if banned && !already && len(f.set) >= f.Limits.Banned {
+	if excluded && !already && len(f.set) >= f.Limits.Banned {
 		return nil, ErrTooMany
 	}
-	said, _ := f.Stamp() // Without it the wall clock orders changes.
-	c := change{Banned: banned, Unix: f.Wall().UnixMilli(), Since: said, Said: said}
-	known, ok := merge(f.onDisk, f.pending, said.Boot)[name]
-	if banned && already { // Said anew, against another process that has just taken it back; but kept out since then.
-		c.Unix, c.Since = known.Unix, known.Since
+	issued, _ := f.Stamp()            // without it the wall clock orders changes
+	unixMilli := f.Wall().UnixMilli() //nolint:forbidigo // the injected wall clock: the set's file holds Unix times
+	c := change{Excluded: excluded, UnixMilli: unixMilli, Since: issued, Issued: issued}
+	known, ok := merge(f.onDisk, f.pending, issued.Boot)[name]
+	// A repeated command counts against another process that has just ended the exclusion. The first time stays.
+	if excluded && already {
+		c.UnixMilli, c.Since = known.UnixMilli, known.Since
 	}
-	if ok && !c.after(known, said.Boot) {
-		c.Unix = known.Unix + 1 // Against a wall clock that was stepped back: what is said last counts.
+	if ok && !c.after(known, issued.Boot) {
+		c.UnixMilli = known.UnixMilli + 1 // the last command counts, even if the wall clock was stepped back
 	}
-	f.expect(changes{name: c})
+	f.addPending(changes{name: c})
 	f.publish()
 	return f.settled, nil
 }
 
-// expect adds to the changes that are to be written. The caller holds the lock.
-func (f *File) expect(more changes) {
+// addPending adds changes that are to be written. The caller holds mu.
+func (f *File) addPending(more changes) {
 	if len(f.pending) == 0 {
-		f.since = time.Now()
+		f.pendingSince = time.Now()
 	}
 	maps.Copy(f.pending, more)
-	f.handed = false
+	f.shared = false
 }
 
-// note lets what waits for a write go on when there is nothing left to be written, and wakes the writer when there is
-// something. The caller holds the lock.
-func (f *File) note() {
+// signal closes settled if nothing is left to be written. Otherwise it wakes saveLoop. The caller holds mu.
+func (f *File) signal() {
 	select {
 	case <-f.settled:
 		if f.dirty() {
@@ -237,29 +261,29 @@
 	}
 	select {
 	case f.wake <- struct{}{}:
-	default: // it is awake
+	default: // it has been woken already
 	}
 }
 
-// dirty tells whether there is something to be written. The caller holds the lock.
-func (f *File) dirty() bool { return len(f.pending) > 0 || f.repair }
+// dirty reports whether there is something to be written. The caller holds mu.
+func (f *File) dirty() bool { return len(f.pending) > 0 || f.mustRepair }
 
-// publish drops the pending changes that are on disk or overtaken there, and hands out the set if it is another one.
-// The caller holds the lock.
+// publish drops the pending changes that are on disk or superseded there, and passes the set to Changed if it differs
+// from the last one. The caller holds mu.
 func (f *File) publish() {
-	// Before the stamp: a process held up in between takes a ban for older than it is, never for younger.
+	// Now is read before the stamp: a pause in between makes an exclusion look older than it is, never younger.
 	now := f.Now()
 	present, _ := f.Stamp()
 	maps.DeleteFunc(f.pending, func(name string, c change) bool {
 		known, ok := f.onDisk[name]
 		return ok && !c.after(known, present.Boot)
 	})
-	f.note()
+	f.signal()
 	all := merge(f.onDisk, f.pending, present.Boot)
-	unix, set := all.banned(), Set{}
-	for name := range unix {
-		if at, held := f.set[name]; held && f.unix[name] == unix[name] {
-			set[name] = at
+	unixMilli, set := all.excluded(), Set{}
+	for name := range unixMilli {
+		if since, present := f.set[name]; present && f.unixMilli[name] == unixMilli[name] {
+			set[name] = since
 			continue
 		}
 		age, known := all[name].Since.Age(present)
@@ -268,32 +292,32 @@
 		}
 		set[name] = now - age
 	}
-	f.unix = unix
+	f.unixMilli = unixMilli
 	if !maps.Equal(set, f.set) {
 		f.set = set
 		f.Changed(set)
 	}
 }
 
-// Has tells whether a database is banned.
+// Has reports whether a database is excluded.
 func (f *File) Has(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, banned := f.set[name]
-	return banned
+	_, excluded := f.set[name]
+	return excluded
 }
 
-// Unsaved is how many changes hold and are not on disk yet.
+// Unsaved returns the number of changes that are in force and not on disk yet.
 func (f *File) Unsaved() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.pending)
 }
 
-// Settled tells whether this process may end without a change being lost: each is on disk, or left for the other
+// Settled reports whether this process may end without losing a change: each is on disk or handed over to the other
 // processes.
 func (f *File) Settled() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.pending) == 0 || f.handed
+	return len(f.pending) == 0 || f.shared
 }
--- a/internal/exclusion/exclusion_test.go
+++ b/internal/exclusion/exclusion_test.go
@@ -26,7 +26,7 @@
 	patience = 20 * time.Second
 	lookEach = 5 * time.Millisecond
 	file     = "capercove-bans-n0.json"
-	longAgo  = time.Hour // a ban that counts as older has no grace left
+	longAgo  = time.Hour // an exclusion that counts as older has no grace left
 )
 
 // machine is what the processes of a test share.
@@ -142,14 +142,16 @@
 func (m *machine) config(p *process, files exclusion.Files) exclusion.Config {
 	l := limits.For(limits.Machine{MemoryMB: 64, Sockets: 256}, time.Second, time.Second, time.Second)
 	l.BansAnswer, l.BansHandOver, l.BansRetryMost, l.Banned = 20*time.Millisecond, m.handOver, 50*time.Millisecond, 3
-	return exclusion.Config{Dir: m.dir, Pooler: "n0", Files: files, Stamp: m.stamp, Limits: l, Log: zerolog.Nop(),
+	return exclusion.Config{
+		Dir: m.dir, Pooler: "n0", Files: files, Stamp: m.stamp, Limits: l, Log: zerolog.Nop(),
 		Now:  func() time.Duration { return time.Duration(m.up.Load()) + longAgo },
 		Wall: func() time.Time { return time.Unix(0, m.wall.Load()) },
 		Changed: func(set exclusion.Set) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.set = set
-		}}
+		},
+	}
 }
 
 // failOn lets kinds of operations fail from now on; nil mends them.
@@ -169,31 +171,31 @@
 }
 
 // change makes a change, and waits until it is on disk.
-func (p *process) change(name string, banned bool) {
+func (p *process) change(name string, excluded bool) {
 	p.m.t.Helper()
-	require.NoError(p.m.t, p.Change(name, banned))
+	require.NoError(p.m.t, p.Change(name, excluded))
 	p.m.eventually(func() bool { return p.Unsaved() == 0 }, "it is on disk")
 }
 
-// age is how long ago a database was banned as the process sees it, -1 if it is not.
+// age is how long ago a database was excluded as the process sees it, -1 if it is not.
 func (p *process) age(name string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at, banned := p.set[name]
-	if !banned {
+	at, excluded := p.set[name]
+	if !excluded {
 		return -1
 	}
 	return time.Duration(p.m.up.Load()) + longAgo - at
 }
 
-func (p *process) banned(name string) bool { return p.age(name) >= 0 && p.Has(name) }
+func (p *process) excluded(name string) bool { return p.age(name) >= 0 && p.Has(name) }
 
 func (m *machine) eventually(f func() bool, what string) {
 	m.t.Helper()
 	require.Eventually(m.t, f, patience, lookEach, what)
 }
 
-// entries is the file of the set in the form that an older program reads, nothing while there is none.
+// entries is the file of the set in the form that an older version reads, nothing while there is none.
 func (m *machine) entries() (set map[string]int64) {
 	text, err := os.ReadFile(filepath.Join(m.dir, file))
 	if os.IsNotExist(err) {
@@ -211,7 +213,7 @@
 	return found
 }
 
-// write puts a file of this in the place of the set's, as an older program does.
+// write puts a file of this in the place of the set's, as an older version does.
 func (m *machine) write(text string) {
 	path := filepath.Join(m.dir, "other")
 	require.NoError(m.t, os.WriteFile(path, []byte(text), 0o600))
@@ -240,14 +242,14 @@
 			p.failOn(c.kinds, c.err)
 			require.NoError(t, p.Change("db-1", true))
 			require.NoError(t, p.Change("db-0", false))
-			require.True(t, p.banned("db-1"))
-			require.False(t, p.banned("db-0"))
+			require.True(t, p.excluded("db-1"))
+			require.False(t, p.excluded("db-0"))
 			require.Equal(t, 2, p.Unsaved())
 			if c.handed {
 				m.eventually(p.Settled, "it is left for others")
 				next := m.start()
-				require.True(t, next.banned("db-1"))
-				require.False(t, next.banned("db-0"))
+				require.True(t, next.excluded("db-1"))
+				require.False(t, next.excluded("db-0"))
 				m.eventually(func() bool { return len(m.files("*.new")) == 0 }, "nothing half written stays")
 			} else {
 				require.Never(t, p.Settled, 10*lookEach, lookEach)
@@ -262,41 +264,41 @@
 }
 
 // What an operator said last counts, at whichever process and whatever was on disk by then.
-func TestTheLastWordCounts(t *testing.T) {
+func TestLastCommandCounts(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		play func(m *machine, failing, other *process)
 		want bool
 	}{
-		{"banned here, taken back there while nothing is on disk", func(m *machine, failing, other *process) {
+		{"excluded here, included there while nothing is on disk", func(m *machine, failing, other *process) {
 			failing.Change("db-1", true)
-			m.eventually(func() bool { return other.banned("db-1") }, "it is handed over")
+			m.eventually(func() bool { return other.excluded("db-1") }, "it is handed over")
 			m.wall.Add(-int64(time.Hour))
 			other.Change("db-1", false)
 		}, false},
-		{"taken back there before the ban was heard of", func(m *machine, failing, other *process) {
+		{"included there before the exclusion is known", func(m *machine, failing, other *process) {
 			failing.failOn("lock symlink", syscall.EIO)
 			failing.Change("db-1", true)
 			m.wall.Add(-int64(time.Hour))
 			other.Change("db-1", false)
 		}, false},
-		{"banned here, an older program knows nothing of it", func(m *machine, failing, other *process) {
+		{"excluded here, an older version knows nothing of it", func(m *machine, failing, other *process) {
 			failing.failOn("lock symlink", syscall.EIO)
 			failing.Change("db-1", true)
 			m.write("{}")
 		}, true},
-		{"banned there, taken back here, banned there again", func(m *machine, failing, other *process) {
+		{"excluded there, included here, excluded there again", func(m *machine, failing, other *process) {
 			other.Change("db-1", true)
-			m.eventually(func() bool { return failing.banned("db-1") }, "it is seen")
+			m.eventually(func() bool { return failing.excluded("db-1") }, "it is seen")
 			failing.failOn("lock symlink", syscall.EIO)
 			failing.Change("db-1", false)
 			other.Change("db-1", true)
 		}, true},
-		{"banned and taken back with nothing on disk", func(m *machine, failing, other *process) {
+		{"excluded and included with nothing on disk", func(m *machine, failing, other *process) {
 			failing.Change("db-1", true)
 			failing.Change("db-1", false)
 		}, false},
-		{"banned here, and another database there meanwhile", func(m *machine, failing, other *process) {
+		{"excluded here, and another database there meanwhile", func(m *machine, failing, other *process) {
 			failing.failOn("lock symlink", syscall.EIO)
 			failing.Change("db-1", true)
 			other.Change("db-2", true)
@@ -318,8 +320,8 @@
 	}
 }
 
-// An older program writes the set alone.
-func TestOlderProgramTakesBack(t *testing.T) {
+// An older version writes the set alone.
+func TestOlderVersionEndsExclusion(t *testing.T) {
 	m := newMachine(t)
 	m.handOver = time.Hour
 	p := m.start().watch()
@@ -331,7 +333,7 @@
 }
 
 // Two processes that change at once lose nothing.
-func TestChangesAtOnce(t *testing.T) {
+func TestConcurrentChangesLoseNothing(t *testing.T) {
 	m := newMachine(t)
 	var all sync.WaitGroup
 	for i := range 3 {
@@ -342,9 +344,9 @@
 	m.eventually(func() bool { return len(m.entries()) == 3 }, "all are on disk")
 }
 
-// How old a ban is to a process that starts later is real time, however the wall clock is stepped in between. One whose
+// How old an exclusion is to a process that starts later is real time, however the wall clock is stepped in between. One whose
 // age cannot be told counts as long ago: nothing goes to that database.
-func TestAge(t *testing.T) {
+func TestAgeSurvivesClockSteps(t *testing.T) {
 	const passed = 10 * time.Second
 	for _, c := range []struct {
 		name    string
@@ -356,16 +358,16 @@
 		{"stepped back an hour", func(m *machine) { m.wall.Add(-int64(time.Hour)) }, passed, passed + time.Second},
 		{"stepped forward an hour", func(m *machine) { m.wall.Add(int64(time.Hour)) }, passed, passed + time.Second},
 		{"another boot", func(m *machine) { m.boot = "other" }, longAgo, 1 << 62},
-		{"an older program's entry", func(m *machine) {
+		{"an older version's entry", func(m *machine) {
 			m.write(fmt.Sprintf(`{"db-1":%d}`, time.Unix(0, m.wall.Load()).UnixMilli()))
 		}, longAgo, 1 << 62},
-		{"an older program's entry from the future", func(m *machine) {
+		{"an older version's entry from the future", func(m *machine) {
 			m.write(fmt.Sprintf(`{"db-1":%d}`, time.Unix(0, m.wall.Load()).Add(time.Hour).UnixMilli()))
 		}, longAgo, 1 << 62},
 		{"the times are damaged", func(m *machine) {
 			require.NoError(m.t, os.WriteFile(filepath.Join(m.dir, file+".changes"), []byte(`{"db-1":{"ban`), 0o600))
 		}, longAgo, 1 << 62},
-		{"said twice", func(m *machine) { m.start().watch().change("db-1", true) }, passed, passed + time.Second},
+		{"repeated", func(m *machine) { m.start().watch().change("db-1", true) }, passed, passed + time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newMachine(t)
@@ -379,7 +381,7 @@
 			next := m.start()
 			require.GreaterOrEqual(t, next.age("db-1"), c.want)
 			require.Less(t, next.age("db-1"), c.most)
-			require.NoError(t, next.watch().Change("db-1", false), "it can be taken back")
+			require.NoError(t, next.watch().Change("db-1", false), "it can be included again")
 			p.watch()
 			m.eventually(func() bool { return !p.Has("db-1") && len(m.entries()) == 0 }, "by all")
 		})
@@ -420,7 +422,7 @@
 
 // A damaged file changes nothing for those who know the set, and is written anew; one that knows nothing leaves it to
 // them.
-func TestDamagedFile(t *testing.T) {
+func TestDamagedFileIsRepaired(t *testing.T) {
 	for _, text := range []string{"", `{"db-`, "null", "[]", `{"db-1":"soon"}`, "\x00\x00\x00"} {
 		m := newMachine(t)
 		m.handOver = time.Hour
@@ -438,7 +440,7 @@
 }
 
 // A link that holds something else is removed, and what of it is a change counts.
-func TestStrangeLink(t *testing.T) {
+func TestInvalidLinkIsRemoved(t *testing.T) {
 	m := newMachine(t)
 	link := filepath.Join(m.dir, file+".pending")
 	require.NoError(t, os.Symlink("/odd + - +a +a,!,c,d,e ?db-2,1,1,0,0a1b2c3d +db-1,zz,1,,old +db%2", link))
@@ -449,10 +451,10 @@
 	require.Len(t, m.entries(), 1)
 }
 
-// The number of bans is bounded, and so is what is remembered of those that were taken back.
-func TestBounds(t *testing.T) {
+// The number of exclusions is bounded, and so is what is remembered of those that were included again.
+func TestSetAndHistoryAreBounded(t *testing.T) {
 	m := newMachine(t)
-	m.handOver = time.Hour // more are taken back meanwhile than are remembered
+	m.handOver = time.Hour // more are included again meanwhile than are remembered
 	p := m.start().watch()
 	for i := range 9 {
 		p.change(fmt.Sprint("old-", i), true)
@@ -465,7 +467,7 @@
 		require.NoError(t, p.Change(fmt.Sprint("db-", i), true))
 	}
 	require.ErrorIs(t, p.Change("db-3", true), exclusion.ErrTooMany)
-	require.NoError(t, p.Change("db-0", true), "said twice")
+	require.NoError(t, p.Change("db-0", true), "repeated")
 	require.NoError(t, p.Change("db-0", false))
 	require.NoError(t, p.Change("db-3", true))
 }
--- a/internal/exclusion/files.go
+++ b/internal/exclusion/files.go
@@ -8,52 +8,59 @@
 	"capercove/internal/filelock"
 )
 
-// Files are the file operations that the set is kept with.
+// fileMode is the mode of the files that are created.
+const fileMode = 0o600
+
+// Files are the file operations that a File uses. Their errors are those of the system calls.
 type Files interface {
+	// Stat returns a description of a file.
 	Stat(path string) (os.FileInfo, error)
-	// Read returns what a file holds, up to a number of bytes.
-	Read(path string, most int) ([]byte, error)
-	// Write makes a file of these bytes, and returns when they are on disk.
+	// Read returns the content of a file, up to a number of bytes.
+	Read(path string, maxBytes int) ([]byte, error)
+	// Write replaces the content of a file, which it creates if needed, and returns when it is on disk.
 	Write(path string, text []byte) error
+	// Rename renames a file, replacing any that has the new name.
 	Rename(from, to string) error
-	// SyncDir returns when the names in a directory are on disk.
+	// SyncDir returns when the entries of a directory are on disk.
 	SyncDir(dir string) error
+	// Remove removes a file.
 	Remove(path string) error
-	// Symlink makes a symbolic link that holds a text, Readlink reads it.
+	// Symlink creates a symbolic link whose target is a text.
 	Symlink(text, path string) error
+	// Readlink returns the target of a symbolic link.
 	Readlink(path string) (string, error)
-	// Lock takes the lock of a file within a time. Closing gives it back.
+	// Lock acquires the lock of a file within a time. Closing the result releases it.
 	Lock(path string, within time.Duration) (io.Closer, error)
 }
 
-// System are the system's file operations.
+// System implements Files by system calls.
 type System struct{}
 
 // Stat implements Files.
 func (System) Stat(path string) (os.FileInfo, error) { return os.Stat(path) }
 
 // Read implements Files.
-func (System) Read(path string, most int) ([]byte, error) {
-	f, err := os.Open(path)
+func (System) Read(path string, maxBytes int) ([]byte, error) {
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	return io.ReadAll(io.LimitReader(f, int64(most)))
+	defer func() { _ = file.Close() }() // it was only read
+	return io.ReadAll(io.LimitReader(file, int64(maxBytes)))
 }
 
 // Write implements Files.
 func (System) Write(path string, text []byte) error {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(text)
+	_, err = file.Write(text)
 	if err == nil {
-		err = f.Sync()
+		err = file.Sync()
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
@@ -63,12 +70,12 @@
 
 // SyncDir implements Files.
 func (System) SyncDir(dir string) error {
-	d, err := os.Open(dir)
+	directory, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	return d.Sync()
+	defer func() { _ = directory.Close() }() // Sync has reported all that matters
+	return directory.Sync()
 }
 
 // Remove implements Files.
@@ -82,9 +89,9 @@
 
 // Lock implements Files.
 func (System) Lock(path string, within time.Duration) (io.Closer, error) {
-	f, err := filelock.Open(path, within)
+	file, err := filelock.Open(path, within)
 	if err != nil {
-		return nil, err
+		return nil, err // not a nil *os.File in an io.Closer
 	}
-	return f, nil
+	return file, nil
 }
--- a/internal/exclusion/handover.go
+++ b/internal/exclusion/handover.go
@@ -12,62 +12,66 @@
 	"capercove/internal/clock"
 )
 
-// What could not be written yet is left for the pooler's other processes, and the later ones, in the text of a symbolic
-// link. The system makes a link whole or not at all, without a lock, a byte of a file or, while it is short, a block of
-// the disk: it is had while another process is stopped with the lock, beyond a limit of file sizes, and mostly on a
-// full disk; not on a disk that takes no new names. All processes share one link. One that finds its changes missing
-// there puts them in again, so of two that write it at once neither loses any.
+// Changes that could not be written yet are handed over to the pooler's other processes, present and future, in the
+// target of a symbolic link. The system creates a link atomically. It needs no lock and no write to a file and, if
+// the target is short, no block of the disk. So it works while a stopped process holds the lock, beyond a limit on
+// file sizes, and mostly on a full disk; it does not work on a disk that takes no new directory entries. All
+// processes share one link. A process that finds its changes missing from it adds them again, so that two concurrent
+// writers lose nothing.
 
 const (
 	pendingSuffix = ".pending"
-	linkMost      = 4095 // bytes that the system takes as a link's text
-	linkBase      = 36
-	linkFields    = 5
+	maxLinkSize   = 4095 // longest target of a symbolic link, in bytes
+	linkBase      = 36   // of the numbers in the link
+	linkFields    = 5    // of each change in the link
 )
 
-// exchangePending takes in the changes that other processes have left, and leaves the own ones. A link whose changes
-// are all on disk is removed.
+// exchangePending adopts the changes that other processes have handed over, and hands over those of this process. It
+// removes a link whose changes are all on disk.
 func (f *File) exchangePending() {
 	left := f.readPending()
 	f.adopt(left)
 	own, due := f.pendingCopy()
 	switch {
 	case len(own) == 0 && left != nil:
-		f.Files.Remove(f.path + pendingSuffix)
-	case len(own) > 0 && left.linkText() == own.linkText():
-		f.handedOver(own)
+		_ = f.Files.Remove(f.path + pendingSuffix) // retried at the next refresh
+	case len(own) > 0 && left.encodeLink() == own.encodeLink():
+		f.markShared(own)
 	case len(own) > 0 && (due || left != nil):
 		if f.writePending(own) == nil {
-			f.handedOver(own)
+			f.markShared(own)
 		}
 	}
 }
 
-// linkText writes changes as short as can be: a link of less than 60 bytes takes no block of a disk. Each is a sign for
-// a ban or its end, the name, the time by the wall clock, the time since the boot when it was said and how long before
-// it came to hold, all in base 36, and the first part of the boot's id.
-func (all changes) linkText() string {
+// encodeLink returns a short text of the changes: a link of less than 60 bytes takes no block of a disk. Each change
+// has a sign for the start or the end of an exclusion, the name, the time by the wall clock, the time of the command
+// since the boot, the time between the start of the exclusion and that command, all in base 36, and the first part of
+// the boot identifier.
+func (all changes) encodeLink() string {
 	var words []string
 	for name, c := range all {
 		sign := "-"
-		if c.Banned {
+		if c.Excluded {
 			sign = "+"
 		}
-		boot, _, _ := strings.Cut(c.Said.Boot, "-")
+		boot, _, _ := strings.Cut(c.Issued.Boot, "-")
 		before := ""
-		if age, known := c.Since.Age(c.Said); known {
+		if age, known := c.Since.Age(c.Issued); known {
 			before = strconv.FormatInt(int64(age), linkBase)
 		}
-		words = append(words, sign+strings.Join([]string{url.QueryEscape(name), strconv.FormatInt(c.Unix, linkBase),
-			strconv.FormatInt(int64(c.Said.SinceBoot), linkBase), before, boot}, ","))
+		words = append(words, sign+strings.Join([]string{
+			url.QueryEscape(name), strconv.FormatInt(c.UnixMilli, linkBase),
+			strconv.FormatInt(int64(c.Issued.SinceBoot), linkBase), before, boot,
+		}, ","))
 	}
 	slices.Sort(words)
 	return strings.Join(words, " ")
 }
 
-// parseLink reads what linkText wrote, less what is none of its words. A time of another boot is left out, as it tells
-// nothing.
-func parseLink(text, boot string) changes {
+// decodeLink parses the result of encodeLink. It ignores invalid words, and times of another boot, which cannot be
+// compared.
+func decodeLink(text, boot string) changes {
 	all := changes{}
 	own, _, _ := strings.Cut(boot, "-")
 	for _, word := range strings.Fields(text) {
@@ -76,16 +80,16 @@
 			continue
 		}
 		name, err := url.QueryUnescape(fields[0])
-		unix, unixErr := strconv.ParseInt(fields[1], linkBase, 64)
-		said, saidErr := strconv.ParseInt(fields[2], linkBase, 64)
-		if err != nil || unixErr != nil || saidErr != nil {
+		unixMilli, unixErr := strconv.ParseInt(fields[1], linkBase, 64)
+		issued, issuedErr := strconv.ParseInt(fields[2], linkBase, 64)
+		if err != nil || unixErr != nil || issuedErr != nil {
 			continue
 		}
-		c := change{Banned: word[0] == '+', Unix: unix}
+		c := change{Excluded: word[0] == '+', UnixMilli: unixMilli}
 		if own != "" && own == fields[4] {
-			c.Said = clock.Stamp{Boot: boot, SinceBoot: time.Duration(said)}
+			c.Issued = clock.Stamp{Boot: boot, SinceBoot: time.Duration(issued)}
 			if before, err := strconv.ParseInt(fields[3], linkBase, 64); err == nil {
-				c.Since = clock.Stamp{Boot: boot, SinceBoot: time.Duration(said - before)}
+				c.Since = clock.Stamp{Boot: boot, SinceBoot: time.Duration(issued - before)}
 			}
 		}
 		all[name] = c
@@ -93,18 +97,18 @@
 	return all
 }
 
-// readPending returns what is left, nil if there is no link.
+// readPending returns the changes of the link, nil if there is none.
 func (f *File) readPending() changes {
 	text, err := f.Files.Readlink(f.path + pendingSuffix)
 	if err != nil {
 		return nil
 	}
 	present, _ := f.Stamp()
-	return parseLink(text, present.Boot)
+	return decodeLink(text, present.Boot)
 }
 
-// adopt takes over what other processes have left, where it is later than what is known: it holds here, and this
-// process writes it too.
+// adopt puts those changes of other processes into force that are later than the known ones. This process writes them
+// too.
 func (f *File) adopt(left changes) {
 	if len(left) == 0 {
 		return
@@ -122,32 +126,32 @@
 	if len(later) == 0 {
 		return
 	}
-	f.expect(later)
+	f.addPending(later)
 	f.publish()
 }
 
-// handedOver notes that the changes are left, if they are still all that are pending.
-func (f *File) handedOver(own changes) {
+// markShared records that the pending changes are handed over, if these are still all of them.
+func (f *File) markShared(own changes) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.handed = maps.Equal(f.pending, own)
+	f.shared = maps.Equal(f.pending, own)
 }
 
-// writePending leaves changes. The link is replaced in one step; where renaming fails it is made anew.
+// writePending replaces the link atomically. If renaming fails, it removes the link and creates a new one.
 func (f *File) writePending(own changes) error {
-	text := own.linkText()
-	if len(text) > linkMost {
-		return fmt.Errorf("%d changes that are not on disk are too long for a link", len(own))
+	text := own.encodeLink()
+	if len(text) > maxLinkSize {
+		return fmt.Errorf("%d changes that are not on disk do not fit into a link", len(own))
 	}
 	link := f.path + pendingSuffix
-	f.Files.Remove(link + newSuffix)
+	_ = f.Files.Remove(link + newSuffix) // mostly there is none
 	if err := f.Files.Symlink(text, link+newSuffix); err != nil {
-		return err // What is left there already stays.
+		return err // the present link stays
 	}
 	if f.Files.Rename(link+newSuffix, link) == nil {
 		return nil
 	}
-	f.Files.Remove(link + newSuffix)
-	f.Files.Remove(link)
+	_ = f.Files.Remove(link + newSuffix) // neither matters: if the link is still there, Symlink fails
+	_ = f.Files.Remove(link)
 	return f.Files.Symlink(text, link)
 }
--- a/internal/exclusion/save.go
+++ b/internal/exclusion/save.go
@@ -10,20 +10,21 @@
 	"time"
 )
 
+// Suffixes of the files beside the set's.
 const (
 	changesSuffix = ".changes"
 	lockSuffix    = ".lock"
-	newSuffix     = ".new"
+	newSuffix     = ".new" // a file that is being written, until it is renamed
 )
 
-// keepSaving writes the pending changes whenever there are any, again with growing pauses while that fails.
-func (f *File) keepSaving(ctx context.Context) {
+// saveLoop writes the pending changes whenever there are any. After a failure it retries with backoff.
+func (f *File) saveLoop(ctx context.Context) {
 	failures := failureLog{file: f}
-	pause := f.Limits.BansRetry
+	backoff := f.Limits.BansRetry
 	for ctx.Err() == nil {
-		if !f.mustSave() {
-			failures.over()
-			pause = f.Limits.BansRetry
+		if !f.hasUnsaved() {
+			failures.recovered()
+			backoff = f.Limits.BansRetry
 			select {
 			case <-f.wake:
 			case <-ctx.Done():
@@ -31,33 +32,37 @@
 			continue
 		}
 		if err := f.save(); err != nil {
-			failures.add(err)
-			wait(ctx, pause)
-			pause = min(2*pause, f.Limits.BansRetryMost)
+			failures.report(err)
+			wait(ctx, backoff)
+			backoff = min(2*backoff, f.Limits.BansRetryMost)
 		}
 	}
 }
 
-func (f *File) mustSave() bool {
+// hasUnsaved reports whether there is anything to be written.
+func (f *File) hasUnsaved() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.dirty()
 }
 
-func wait(ctx context.Context, pause time.Duration) {
+// wait blocks for a time, or until the context ends.
+func wait(ctx context.Context, duration time.Duration) {
 	select {
-	case <-time.After(pause):
+	case <-time.After(duration):
 	case <-ctx.Done():
 	}
 }
 
-// save writes the pending changes over what other processes have written meanwhile.
+// save merges the pending changes into the files, which other processes may have written meanwhile.
 func (f *File) save() error {
 	lock, err := f.Files.Lock(f.path+lockSuffix, f.Limits.BansLock)
 	if err != nil {
 		return err
 	}
-	defer lock.Close() // behind the last step: nobody has written between the files and what is known of them here
+	// Released after onDisk is updated: no other process writes between the two. Closing the descriptor releases the
+	// lock whatever it returns.
+	defer func() { _ = lock.Close() }()
 	onDisk, err := f.read()
 	rewrite := errors.Is(err, os.ErrNotExist) || errors.Is(err, errDamaged)
 	if err != nil && !rewrite {
@@ -75,23 +80,23 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.onDisk, f.repair = merged, false
-	f.saves++
+	f.onDisk, f.mustRepair = merged, false
+	f.saveCount++
 	f.publish()
 	return nil
 }
 
-// write writes the changes and then the set, which alone tells who is banned. The set is written even if the changes
-// cannot be: it is what all programs obey.
+// write writes the file of changes and then the set's file, which alone decides which databases are excluded. The set
+// is written even if the changes cannot be, as all versions of the program obey it.
 func (f *File) write(all changes) error {
-	ordered := f.replace(f.path+changesSuffix, all)
-	if err := f.replace(f.path, all.banned()); err != nil {
+	changesErr := f.replace(f.path+changesSuffix, all)
+	if err := f.replace(f.path, all.excluded()); err != nil {
 		return err
 	}
-	return ordered
+	return changesErr
 }
 
-// replace puts a file of this in the place of the one before. A kill at any moment leaves the one or the other.
+// replace replaces a file by the JSON of a value atomically: a kill at any moment leaves the old file or the new one.
 func (f *File) replace(path string, content any) error {
 	text, err := json.Marshal(content)
 	if err != nil {
@@ -103,45 +108,47 @@
 	if err == nil {
 		return f.Files.SyncDir(filepath.Dir(path))
 	}
-	f.Files.Remove(path + newSuffix) // nothing half written is left lying about
+	_ = f.Files.Remove(path + newSuffix) // the next write truncates it if it is still there
 	return err
 }
 
-// failureLog logs that writing fails, and that it works again, without a line for each attempt.
+// sameFailureFactor is how many times longer the period between two log lines is while the error stays the same.
+const sameFailureFactor = 10
+
+// failureLog logs failures of writing at most once per period, and the first success after them.
 type failureLog struct {
-	file   *File
-	failed bool
-	told   string
-	at     time.Time
+	file      *File
+	failed    bool
+	lastError string
+	loggedAt  time.Time
 }
 
-func (l *failureLog) add(err error) {
-	again := l.file.Limits.LogEvery
-	if err.Error() == l.told {
-		again *= sameFailure
+// report logs a failure, unless another one was logged within the period.
+func (l *failureLog) report(err error) {
+	period := l.file.Limits.LogEvery
+	if err.Error() == l.lastError {
+		period *= sameFailureFactor
 	}
-	if l.failed && time.Since(l.at) < again {
+	if l.failed && time.Since(l.loggedAt) < period {
 		return
 	}
-	l.failed, l.told, l.at = true, err.Error(), time.Now()
+	l.failed, l.lastError, l.loggedAt = true, err.Error(), time.Now()
 	l.file.Log.Error().Err(err).Int("unsaved", l.file.Unsaved()).
-		Msg("bans: cannot be written; they hold, and are written again")
+		Msg("bans: cannot be written; they are in force, and writing is retried")
 }
 
-// sameFailure is how many times rarer an error is logged that is the same as the one before.
-const sameFailure = 10
-
-func (l *failureLog) over() {
+// recovered logs the first success after a failure.
+func (l *failureLog) recovered() {
 	if l.failed {
 		l.file.Log.Info().Msg("bans: on disk again")
 	}
 	l.failed = false
 }
 
-// pendingCopy returns the pending changes, and whether they have waited for long enough to be left for the other
-// processes.
+// pendingCopy returns the pending changes, and whether they have been pending for long enough to be handed over to the
+// other processes.
 func (f *File) pendingCopy() (pending changes, due bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return maps.Clone(f.pending), len(f.pending) > 0 && time.Since(f.since) >= f.Limits.BansHandOver
+	return maps.Clone(f.pending), len(f.pending) > 0 && time.Since(f.pendingSince) >= f.Limits.BansHandOver
 }
