--- a/internal/fdshare/beside.go
+++ b/internal/fdshare/beside.go
@@ -15,6 +15,7 @@
 	"golang.org/x/sys/unix"
 
 	"capercove/internal/clock"
+	"capercove/internal/filelock"
 )
 
 const (
@@ -97,7 +98,7 @@
 		if f, err = os.OpenFile(b.path+b.suffix, os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 			return nil, err
 		}
-		err = flock(f, unix.LOCK_EX|unix.LOCK_NB)
+		err = filelock.Acquire(f, unix.LOCK_EX, 0)
 		if err == nil && !named(f) { // another took it for one left behind
 			err = fs.ErrNotExist
 		}
@@ -121,14 +122,14 @@
 	if err != nil {
 		return nil, err
 	}
-	err = flock(f, unix.LOCK_EX|unix.LOCK_NB) // Against waiting for one that has been stopped while it held it.
-	if errors.Is(err, unix.EWOULDBLOCK) || err == nil && !named(f) {
+	err = filelock.Acquire(f, unix.LOCK_EX, 0) // Against waiting for one that has been stopped while it held it.
+	if errors.Is(err, filelock.ErrBusy) || err == nil && !named(f) {
 		f.Close()
 		return nil, ErrBusy
 	}
 	if err != nil {
 		f.Close()
-		return nil, fmt.Errorf("%s: %w", f.Name(), err)
+		return nil, err
 	}
 	return f, nil
 }
@@ -234,7 +235,7 @@
 		return Claim{}, false, err
 	}
 	defer f.Close()
-	if flock(f, unix.LOCK_SH|unix.LOCK_NB) == nil {
+	if filelock.Acquire(f, unix.LOCK_SH, 0) == nil {
 		os.Remove(path) // still locked: a process that joins under this name waits, and makes one anew
 		return Claim{}, false, nil
 	}
@@ -271,3 +272,13 @@
 
 // secured is what every process surely counts for this one, whichever copy it reads.
 func (b *Beside) secured() int { return min(b.stored[0].least, b.stored[1].least) }
+
+// named tells whether a file is still the one that its name stands for.
+func named(f *os.File) bool {
+	open, err := f.Stat()
+	if err != nil {
+		return false
+	}
+	found, err := os.Stat(f.Name())
+	return err == nil && os.SameFile(open, found)
+}
--- a/internal/fdshare/beside_test.go
+++ b/internal/fdshare/beside_test.go
@@ -296,17 +296,6 @@
 	require.Equal(t, p.Takes(), claim.Takes)
 }
 
-func TestInterruptedCallIsMadeAnew(t *testing.T) {
-	calls := 0
-	require.NoError(t, uninterrupted(func() error {
-		if calls++; calls < 4 {
-			return unix.EINTR
-		}
-		return nil
-	}))
-	require.Equal(t, 4, calls)
-}
-
 // Writes that are cut off again and again leave one copy whole: the others know what the process takes all along.
 func TestOneCopyStaysWhole(t *testing.T) {
 	const torn = 60 // bytes: behind what a claim takes
--- a/internal/filelock/filelock.go
+++ b/internal/filelock/filelock.go
@@ -17,7 +17,8 @@
 // retryEvery is the pause between two attempts to acquire a lock that is held elsewhere.
 const retryEvery = 5 * time.Millisecond
 
-// ErrBusy is wrapped by the errors of calls that did not get the lock in time, as another process holds it.
+// ErrBusy is wrapped, beside EWOULDBLOCK, by the errors of calls that did not get the lock in time, as another process
+// holds it.
 var ErrBusy = errors.New("the lock is held by another process")
 
 // Open opens a file, creates it if it does not exist, and acquires its exclusive lock within a time; 0 means a single
@@ -52,7 +53,7 @@
 		case !errors.Is(err, unix.EWOULDBLOCK):
 			return fmt.Errorf("flock %s: %w", file.Name(), err)
 		case time.Since(started) >= within:
-			return fmt.Errorf("flock %s: %w", file.Name(), ErrBusy)
+			return fmt.Errorf("flock %s: %w: %w", file.Name(), ErrBusy, err)
 		}
 		time.Sleep(min(retryEvery, within))
 	}
--- a/internal/filelock/filelock_test.go
+++ b/internal/filelock/filelock_test.go
@@ -19,6 +19,7 @@
 	require.GreaterOrEqual(t, time.Since(started), 20*time.Millisecond)
 	_, err = Open(path, 0)
 	require.ErrorIs(t, err, ErrBusy, "a single attempt")
+	require.ErrorIs(t, err, unix.EWOULDBLOCK, "the system's error")
 	time.AfterFunc(20*time.Millisecond, func() { held.Close() })
 	next, err := Open(path, time.Minute)
 	require.NoError(t, err, "acquired once it is released")
@@ -28,19 +29,22 @@
 func TestAcquireRetriesInterruptedCalls(t *testing.T) {
 	for _, c := range []struct {
 		name   string
+		within time.Duration
 		errors []error // of one call of flock after the other
 		want   error
 	}{
-		{"interrupted by signals", []error{unix.EINTR, unix.EINTR, nil}, nil},
-		{"held, then interrupted, then free", []error{unix.EWOULDBLOCK, unix.EINTR, nil}, nil},
-		{"the system has no locks left", []error{unix.EINTR, unix.ENOLCK}, unix.ENOLCK},
+		{"interrupted by signals", time.Minute, []error{unix.EINTR, unix.EINTR, nil}, nil},
+		{"a single attempt, interrupted by signals", 0, []error{unix.EINTR, unix.EINTR, unix.EINTR, nil}, nil},
+		{"a single attempt, interrupted, then held", 0, []error{unix.EINTR, unix.EWOULDBLOCK}, ErrBusy},
+		{"held, then interrupted, then free", time.Minute, []error{unix.EWOULDBLOCK, unix.EINTR, nil}, nil},
+		{"the system has no locks left", time.Minute, []error{unix.EINTR, unix.ENOLCK}, unix.ENOLCK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			file, err := Open(filepath.Join(t.TempDir(), "lock"), 0)
 			require.NoError(t, err)
 			defer file.Close()
 			calls := 0
-			err = acquire(file, unix.LOCK_EX, time.Minute, func(int, int) error {
+			err = acquire(file, unix.LOCK_EX, c.within, func(int, int) error {
 				calls++
 				return c.errors[calls-1]
 			})
