--- a/internal/fdshare/beside.go
+++ b/internal/fdshare/beside.go
@@ -19,266 +19,281 @@
 )
 
 const (
-	joinTries = 20 // to get a file of one's own while others look at it, or remove one that was left behind
-	joinPause = 5 * time.Millisecond
+	// joinAttempts bounds the attempts to create the claim's file. They fail while another process reads the file or
+	// removes it as a dead process's.
+	joinAttempts = 20
+	joinPause    = 5 * time.Millisecond // between two attempts
+	fileMode     = 0o600
+	lockSuffix   = "lock" // of the file that serializes the steps
 )
 
-// Beside is a process's place among those of its pooler. Only Takes may be called beside another call.
+// Beside is the membership of this process among those of its pooler. Takes is safe for concurrent use; Settle is not.
 type Beside struct {
-	path   string // of all files, less what tells them apart
-	suffix string // of the own claim's file
-	grant  int
-	write  writeAt
-	own    *os.File // locked for as long as the process lives: a claim whose file is not locked is nobody's
-	stored [copies]storedCopy
-	claim  Claim // as written last
-	told   bool  // hold has been called
-	takes  atomic.Int64
+	path    string // the common prefix of the files
+	suffix  string // of the own claim's file
+	grant   int
+	write   writeAt
+	own     *os.File // the own claim's file, locked until the process ends: one without lock is a dead process's
+	stored  [copies]storedCopy
+	claim   Claim // as written last
+	limited bool  // setRoom has been called
+	quota   atomic.Int64
 }
 
 // storedCopy is what this process knows of one copy of its claim on disk.
 type storedCopy struct {
-	whole bool // it is not cut off by a write that failed half way
-	least int  // that it may say the process takes, as read by any version
+	whole    bool // its last write succeeded
+	minQuota int  // the least quota that any version may read from it
 }
 
-// writeAt writes to a file. Tests hand in one that fails.
+// writeAt writes to a file at an offset. Tests pass one that fails.
 type writeAt func(f *os.File, text []byte, offset int64) (int, error)
 
-// sources are what a process is told by its system.
+// sources are what a process gets from its system.
 type sources struct {
-	suffix string // no other living process has it
+	suffix string // of the own claim's file, unique among living processes
 	wall   func() time.Time
 	stamp  clock.StampSource
 	write  writeAt
 }
 
-// Join takes a place in the directory for a process of the pooler; it claims nothing yet. It waits for no other
-// process.
+// Join makes this process a member of those of the pooler, which exchange claims in a directory. It claims nothing
+// yet, and does not wait for other processes. An error tells that the claim's file cannot be created or locked.
 func Join(dir, pooler string, grant int) (*Beside, error) {
 	system := sources{suffix: fmt.Sprint(os.Getpid()), wall: clock.Wall, stamp: clock.Now, write: (*os.File).WriteAt}
 	return join(dir, pooler, grant, system)
 }
 
-func join(dir, pooler string, grant int, s sources) (*Beside, error) {
-	stamp, err := s.stamp()
+// join is Join with the system's part as an argument.
+func join(dir, pooler string, grant int, system sources) (*Beside, error) {
+	stamp, err := system.stamp()
 	if err != nil {
-		stamp = clock.Stamp{} // Born decides
+		stamp = clock.Stamp{} // JoinedUnixNano decides
 	}
+	joined := system.wall().UnixNano() //nolint:forbidigo // an injected clock; stored for older versions
 	b := &Beside{
 		path:   filepath.Join(dir, "capercove-share-"+url.PathEscape(pooler)+"."),
-		suffix: s.suffix,
+		suffix: system.suffix,
 		grant:  grant,
-		write:  s.write,
-		claim:  Claim{Born: s.wall().UnixNano(), Joined: stamp},
+		write:  system.write,
+		claim:  Claim{JoinedUnixNano: joined, Joined: stamp},
 	}
-	b.takes.Store(int64(grant / spare))
-	if err := b.open(); err != nil {
+	b.quota.Store(int64(grant / reserveDivisor))
+	if err := b.openOwnFile(); err != nil {
 		return nil, err
 	}
 	return b, nil
 }
 
-// open makes the own claim's file, with no claim in it.
-func (b *Beside) open() (err error) {
-	if b.own, err = b.create(); err != nil {
+// openOwnFile creates the own claim's file, without a claim in it.
+func (b *Beside) openOwnFile() (err error) {
+	if b.own, err = b.createOwnFile(); err != nil {
 		return err
 	}
 	for i := range b.stored {
-		b.stored[i] = storedCopy{least: b.grant / spare}
+		b.stored[i] = storedCopy{minQuota: b.grant / reserveDivisor}
 	}
 	return nil
 }
 
-// create makes the own claim's file, empty and locked.
-func (b *Beside) create() (*os.File, error) {
+// createOwnFile creates the own claim's file, empty and locked.
+func (b *Beside) createOwnFile() (*os.File, error) {
 	var err error
-	for range joinTries {
-		var f *os.File
-		if f, err = os.OpenFile(b.path+b.suffix, os.O_CREATE|os.O_RDWR, 0o600); err != nil {
+	for range joinAttempts {
+		var file *os.File
+		if file, err = os.OpenFile(b.path+b.suffix, os.O_CREATE|os.O_RDWR, fileMode); err != nil {
 			return nil, err
 		}
-		err = filelock.Acquire(f, unix.LOCK_EX, 0)
-		if err == nil && !named(f) { // another took it for one left behind
+		err = filelock.Acquire(file, unix.LOCK_EX, 0)
+		if err == nil && !isCurrent(file) { // another process has removed it as a dead one's
 			err = fs.ErrNotExist
 		}
 		if err == nil {
-			err = f.Truncate(0)
+			err = file.Truncate(0)
 		}
 		if err == nil {
-			return f, nil
+			return file, nil
 		}
-		err = fmt.Errorf("%s: %w", f.Name(), err)
-		f.Close()
+		err = fmt.Errorf("%s: %w", file.Name(), err)
+		_ = file.Close() // nothing was written to it
 		time.Sleep(joinPause)
 	}
 	return nil, err
 }
 
-// lock takes the lock that all steps are made under. It ends with the file. A folder that has become read-only keeps
-// nobody from it.
+// lock acquires the lock that serializes the steps of all processes. Closing the file releases it. The file is opened
+// for reading only, as the directory may have become read-only. There is a single attempt, as a process may be
+// stopped while it holds the lock.
 func (b *Beside) lock() (*os.File, error) {
-	f, err := os.OpenFile(b.path+"lock", os.O_CREATE|os.O_RDONLY, 0o600)
+	file, err := os.OpenFile(b.path+lockSuffix, os.O_CREATE|os.O_RDONLY, fileMode)
 	if err != nil {
 		return nil, err
 	}
-	err = filelock.Acquire(f, unix.LOCK_EX, 0) // Against waiting for one that has been stopped while it held it.
-	if errors.Is(err, filelock.ErrBusy) || err == nil && !named(f) {
-		f.Close()
-		return nil, ErrBusy
+	err = filelock.Acquire(file, unix.LOCK_EX, 0)
+	if errors.Is(err, filelock.ErrBusy) || err == nil && !isCurrent(file) {
+		err = ErrBusy
 	}
 	if err != nil {
-		f.Close()
+		_ = file.Close() // nothing is written to it
 		return nil, err
 	}
-	return f, nil
+	return file, nil
 }
 
-// Takes is what the process may have open, as last settled. Before that it is the spare part.
-func (b *Beside) Takes() int { return int(b.takes.Load()) }
+// Takes returns the process's quota: how many descriptors it may have open. Before the first Settle it is the reserve.
+func (b *Beside) Takes() int { return int(b.quota.Load()) }
 
-// Settle makes one step: it looks at the other claims and writes its own. Uses counts what is open, and hold lets no
-// more be opened beyond that than it is given: of a smaller part before it is written, of a larger one after. While
-// another process holds the lock, all stays as it is and ErrBusy is returned. Other errors leave a part that the
-// claims of all still cover: what the process had, or the smaller one that it was to have.
-func (b *Beside) Settle(leaving bool, uses func() int, hold func(room int)) error {
-	err := b.step(leaving, uses, hold)
-	if err != nil && !b.told { // nothing binds the process yet
-		hold(b.Takes() - uses())
+// Settle makes one step: it reads the claims of the others, computes the process's quota and writes its claim.
+// countOpen returns the number of open descriptors. setRoom limits how many more may be opened; it is called before a
+// smaller quota is written, and after a larger one is.
+//
+// Settle returns ErrBusy and changes nothing while another process holds the lock. After other errors, such as those
+// of writing the claim, the quota is one that the claims of all processes still cover: the previous one, or the new
+// one if it is smaller.
+func (b *Beside) Settle(leaving bool, countOpen func() int, setRoom func(room int)) error {
+	err := b.step(leaving, countOpen, setRoom)
+	if err != nil && !b.limited { // the process has no limit yet
+		setRoom(b.Takes() - countOpen())
 	}
-	b.told = true
+	b.limited = true
 	return err
 }
 
-func (b *Beside) step(leaving bool, uses func() int, hold func(room int)) error {
+// step is Settle without the first limit after an error.
+func (b *Beside) step(leaving bool, countOpen func() int, setRoom func(room int)) error {
 	lock, err := b.lock()
 	if err != nil {
 		return err
 	}
-	defer lock.Close()
-	if err := b.stay(); err != nil {
+	defer func() { _ = lock.Close() }() // releases the lock whatever it returns
+	if err := b.ensureOwnFile(); err != nil {
 		return err
 	}
-	others, err := b.others()
+	others, err := b.readOthers()
 	if err != nil {
 		return err
 	}
 	claim := b.claim
-	claim.Uses, claim.Leaving = uses(), leaving
-	part := Part(b.grant, claim, others)
-	if part < b.Takes() {
-		hold(part - claim.Uses)
-		claim.Uses = uses() // what was opened in between is not given back either
-		part = max(part, min(claim.Takes, claim.Uses))
+	claim.InUse, claim.Leaving = countOpen(), leaving
+	quota := ComputeQuota(b.grant, claim, others)
+	if quota < b.Takes() {
+		setRoom(quota - claim.InUse)
+		claim.InUse = countOpen() // descriptors that were opened meanwhile are not closed either
+		quota = max(quota, min(claim.Quota, claim.InUse))
 	}
-	claim.Takes = part
-	err = b.put(claim)
+	claim.Quota = quota
+	err = b.writeClaim(claim)
 	if err != nil {
-		part = min(part, b.secured())
-		claim.Takes = part
+		quota = min(quota, b.securedQuota())
+		claim.Quota = quota
 		if b.stored[0].whole || b.stored[1].whole {
-			claim.Takes = b.secured()
+			claim.Quota = b.securedQuota()
 		}
 	}
-	b.claim, b.told = claim, true
-	b.takes.Store(int64(part))
-	hold(part - claim.Uses)
+	b.claim, b.limited = claim, true
+	b.quota.Store(int64(quota))
+	setRoom(quota - claim.InUse)
 	return err
 }
 
-// ErrBusy tells that another process is making its step.
-var ErrBusy = errors.New("another process is settling its share")
+// ErrBusy is returned by Settle while another process makes its step.
+var ErrBusy = errors.New("another process is settling its quota")
 
-// stay makes the own claim's file anew if it has been removed, as by a program that clears folders: the others see none
-// then.
-func (b *Beside) stay() error {
-	if named(b.own) {
+// ensureOwnFile creates the own claim's file again if it has been removed, as by a program that cleans up
+// directories. The others would not see the claim otherwise.
+func (b *Beside) ensureOwnFile() error {
+	if isCurrent(b.own) {
 		return nil
 	}
 	old := b.own
-	if err := b.open(); err != nil {
+	if err := b.openOwnFile(); err != nil {
 		b.own = old
 		return err
 	}
-	old.Close()
+	_ = old.Close() // the file is removed
 	return nil
 }
 
-// others are the claims of the other processes that live. What the dead have left behind is removed.
-func (b *Beside) others() (claims []Claim, err error) {
-	paths, err := filepath.Glob(strings.NewReplacer("*", `\*`, "?", `\?`, "[", `\[`, `\`, `\\`).Replace(b.path) + "*")
+// globEscaper escapes a path in a pattern of filepath.Glob.
+var globEscaper = strings.NewReplacer("*", `\*`, "?", `\?`, "[", `\[`, `\`, `\\`)
+
+// readOthers returns the claims of the other living processes. It removes the files of dead ones.
+func (b *Beside) readOthers() (claims []Claim, err error) {
+	paths, err := filepath.Glob(globEscaper.Replace(b.path) + "*")
 	if err != nil {
 		return nil, err
 	}
 	for _, path := range paths {
-		if path == b.own.Name() || path == b.path+"lock" {
+		if path == b.own.Name() || path == b.path+lockSuffix {
 			continue
 		}
-		c, lives, err := look(path, b.grant)
+		claim, alive, err := readClaim(path, b.grant)
 		if err != nil {
 			return nil, err
 		}
-		if lives {
-			claims = append(claims, c)
+		if alive {
+			claims = append(claims, claim)
 		}
 	}
 	return claims, nil
 }
 
-// look reads another's claim, and removes it if its process is dead.
-func look(path string, grant int) (c Claim, lives bool, err error) {
-	f, err := os.Open(path)
-	if errors.Is(err, fs.ErrNotExist) { // it has just been removed
+// readClaim reads the claim of another process, or removes its file if the process is dead.
+func readClaim(path string, grant int) (claim Claim, alive bool, err error) {
+	file, err := os.Open(path)
+	if errors.Is(err, fs.ErrNotExist) { // it was removed since the directory was read
 		return Claim{}, false, nil
 	}
 	if err != nil {
 		return Claim{}, false, err
 	}
-	defer f.Close()
-	if filelock.Acquire(f, unix.LOCK_SH, 0) == nil {
-		os.Remove(path) // still locked: a process that joins under this name waits, and makes one anew
+	defer func() { _ = file.Close() }() // it was only read
+	if filelock.Acquire(file, unix.LOCK_SH, 0) == nil {
+		// Still locked: a process that joins under this name retries and creates a new file. If removing fails, the
+		// next step removes it.
+		_ = os.Remove(path)
 		return Claim{}, false, nil
 	}
-	text, err := io.ReadAll(io.LimitReader(f, copies*copySize))
+	text, err := io.ReadAll(io.LimitReader(file, copies*copySize))
 	if err != nil {
-		return Claim{Takes: grant - grant/spare}, true, nil
+		return Claim{Quota: grant - grant/reserveDivisor}, true, nil
 	}
 	return decode(text, grant), true, nil
 }
 
-// put replaces the own claim, copy by copy. While one cannot be written, the other stays as it is. Nobody reads it
-// meanwhile, as the lock is held.
-func (b *Beside) put(c Claim) error {
-	text, err := encode(c)
+// writeClaim replaces the own claim, one copy after the other. If a copy cannot be written, the other stays as it is.
+// No process reads them meanwhile, as the lock is held.
+func (b *Beside) writeClaim(claim Claim) error {
+	text, err := encode(claim)
 	if err != nil {
 		return err
 	}
-	order := [copies]int{1, 0} // older versions read the first: it changes last
+	order := [copies]int{1, 0} // older versions read the first copy only: it changes last
 	if !b.stored[0].whole && b.stored[1].whole {
 		order = [copies]int{0, 1}
 	}
 	for _, i := range order {
 		n, err := b.write(b.own, text, int64(i*copySize))
 		if n > 0 {
-			b.stored[i] = storedCopy{whole: err == nil, least: min(b.stored[i].least, c.Takes)}
+			b.stored[i] = storedCopy{whole: err == nil, minQuota: min(b.stored[i].minQuota, claim.Quota)}
 		}
 		if err != nil {
 			return err
 		}
-		b.stored[i].least = c.Takes
+		b.stored[i].minQuota = claim.Quota
 	}
 	return nil
 }
 
-// secured is what every process surely counts for this one, whichever copy it reads.
-func (b *Beside) secured() int { return min(b.stored[0].least, b.stored[1].least) }
+// securedQuota returns the quota that every process counts at least for this one, whichever copy it reads.
+func (b *Beside) securedQuota() int { return min(b.stored[0].minQuota, b.stored[1].minQuota) }
 
-// named tells whether a file is still the one that its name stands for.
-func named(f *os.File) bool {
-	open, err := f.Stat()
+// isCurrent reports whether an open file is still the one of its name.
+func isCurrent(file *os.File) bool {
+	opened, err := file.Stat()
 	if err != nil {
 		return false
 	}
-	found, err := os.Stat(f.Name())
-	return err == nil && os.SameFile(open, found)
+	found, err := os.Stat(file.Name())
+	return err == nil && os.SameFile(opened, found)
 }
--- a/internal/fdshare/beside_test.go
+++ b/internal/fdshare/beside_test.go
@@ -17,8 +17,8 @@
 
 const (
 	testGrant  = 384
-	alone      = testGrant - testGrant/spare
-	spareGrant = testGrant / spare
+	alone      = testGrant - testGrant/reserveDivisor
+	spareGrant = testGrant / reserveDivisor
 )
 
 // process is one of several in a test. It opens no more than it was last let.
@@ -84,7 +84,7 @@
 }
 
 // An hour's step of the wall clock between two processes turns old and young round for nobody.
-func TestSteppedBetweenTwoProcesses(t *testing.T) {
+func TestWallClockStepKeepsOrderOfJoining(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			m := newMachine(t)
@@ -124,18 +124,18 @@
 			m.write = cutAt(cut)
 			err := elder.settle(false)
 			require.Equal(t, cut < copies*copySize, err != nil)
-			read, lives, err := look(elder.own.Name(), testGrant)
+			read, lives, err := readClaim(elder.own.Name(), testGrant)
 			require.NoError(t, err)
 			require.True(t, lives)
-			require.GreaterOrEqual(t, read.Takes, elder.limit, "cut %d", cut)
+			require.GreaterOrEqual(t, read.Quota, elder.limit, "cut %d", cut)
 			require.GreaterOrEqual(t, elder.limit, elder.uses)
-			require.LessOrEqual(t, read.Takes+young.Takes(), testGrant, "cut %d", cut)
+			require.LessOrEqual(t, read.Quota+young.Takes(), testGrant, "cut %d", cut)
 		}
 	}
 }
 
 // What an older version wrote is read as it was; cut off, it counts as all that one process may take.
-func TestOlderForm(t *testing.T) {
+func TestOlderFormIsRead(t *testing.T) {
 	text, err := json.Marshal(struct {
 		Born        int64
 		Uses, Takes int
@@ -143,14 +143,14 @@
 	}{1, 90, 138, false})
 	require.NoError(t, err)
 	whole := append(text, '\n')
-	require.Equal(t, Claim{Born: 1, Uses: 90, Takes: 138}, decode(whole, testGrant))
+	require.Equal(t, Claim{JoinedUnixNano: 1, InUse: 90, Quota: 138}, decode(whole, testGrant))
 	over := append(whole, "336}\n"...)
-	require.Equal(t, Claim{Born: 1, Uses: 90, Takes: 138}, decode(over, testGrant), "over a longer one")
+	require.Equal(t, Claim{JoinedUnixNano: 1, InUse: 90, Quota: 138}, decode(over, testGrant), "over a longer one")
 	for cut := 1; cut < len(text); cut++ {
-		require.Equal(t, alone, decode(text[:cut], testGrant).Takes, "cut %d", cut)
+		require.Equal(t, alone, decode(text[:cut], testGrant).Quota, "cut %d", cut)
 	}
-	require.Equal(t, spareGrant, decode(nil, testGrant).Takes, "nothing written yet")
-	record, err := encode(Claim{Born: 1, Takes: 138, Joined: clock.Stamp{Boot: "a", SinceBoot: 7}})
+	require.Equal(t, spareGrant, decode(nil, testGrant).Quota, "nothing written yet")
+	record, err := encode(Claim{JoinedUnixNano: 1, Quota: 138, Joined: clock.Stamp{Boot: "a", SinceBoot: 7}})
 	require.NoError(t, err)
 	require.Len(t, record, copySize)
 	old := struct{ Takes int }{}
@@ -158,7 +158,7 @@
 	require.Equal(t, 138, old.Takes)
 }
 
-// A process whose first claim cannot be written has the spare part, and grows once the disk works.
+// A process whose first claim cannot be written has the reserve, and grows once the disk works.
 func TestFirstClaimCannotBeWritten(t *testing.T) {
 	m := newMachine(t)
 	elder := m.start()
@@ -170,7 +170,7 @@
 		require.ErrorIs(t, young.settle(false), unix.ENOSPC)
 		require.Equal(t, spareGrant, young.limit)
 		require.ErrorIs(t, elder.settle(false), unix.ENOSPC)
-		require.Equal(t, alone, elder.limit, "it keeps its part")
+		require.Equal(t, alone, elder.limit, "it keeps its quota")
 	}
 	m.write = (*os.File).WriteAt
 	require.NoError(t, young.settle(false))
@@ -244,7 +244,7 @@
 	}
 }
 
-// One that has been stopped while it held the lock keeps no other from starting: it has the spare part at first.
+// One that has been stopped while it held the lock keeps no other from starting: it has the reserve at first.
 func TestStartBesideAHeldLock(t *testing.T) {
 	m := newMachine(t)
 	held, err := os.OpenFile(filepath.Join(m.dir, "capercove-share-n0.lock"), os.O_CREATE|os.O_RDWR, 0o600)
@@ -263,41 +263,41 @@
 	}
 }
 
-// A file that is removed while it is looked for is nobody's, and no failure.
-func TestRemovedWhileLooking(t *testing.T) {
-	_, lives, err := look(filepath.Join(t.TempDir(), "none"), testGrant)
+// A file that is removed before it is read belongs to no process, and is no error.
+func TestFileRemovedWhileReading(t *testing.T) {
+	_, lives, err := readClaim(filepath.Join(t.TempDir(), "none"), testGrant)
 	require.NoError(t, err)
 	require.False(t, lives)
 }
 
 // Whose file has been removed, as by a program that clears old ones, is seen again after its next step.
-func TestOwnFileRemoved(t *testing.T) {
+func TestRemovedOwnFileIsCreatedAgain(t *testing.T) {
 	m := newMachine(t)
 	p, other := m.start(), m.start()
 	require.NoError(t, p.settle(false))
 	require.NoError(t, os.Remove(p.own.Name()))
 	require.NoError(t, p.settle(false))
-	claims, err := other.others()
+	claims, err := other.readOthers()
 	require.NoError(t, err)
 	require.Len(t, claims, 1)
-	require.Equal(t, p.Takes(), claims[0].Takes)
+	require.Equal(t, p.Takes(), claims[0].Quota)
 }
 
 // A process of the same number, as in another container, loses nothing to one that wants its place.
-func TestPlaceIsTaken(t *testing.T) {
+func TestNameOfLivingProcessIsTaken(t *testing.T) {
 	m := newMachine(t)
 	p := m.start()
 	require.NoError(t, p.settle(false))
 	_, err := join(m.dir, "n0", testGrant, m.sources("1"))
 	require.ErrorIs(t, err, unix.EWOULDBLOCK)
-	claim, lives, err := look(p.own.Name(), testGrant)
+	claim, lives, err := readClaim(p.own.Name(), testGrant)
 	require.NoError(t, err)
 	require.True(t, lives)
-	require.Equal(t, p.Takes(), claim.Takes)
+	require.Equal(t, p.Takes(), claim.Quota)
 }
 
 // Writes that are cut off again and again leave one copy whole: the others know what the process takes all along.
-func TestOneCopyStaysWhole(t *testing.T) {
+func TestOneCopyStaysValid(t *testing.T) {
 	const torn = 60 // bytes: behind what a claim takes
 	m := newMachine(t)
 	elder := m.start()
@@ -310,8 +310,8 @@
 		elder.uses-- // it would say something else each time
 		m.write = cutAt(torn)
 		require.Error(t, elder.settle(false))
-		claim, _, err := look(elder.own.Name(), testGrant)
+		claim, _, err := readClaim(elder.own.Name(), testGrant)
 		require.NoError(t, err)
-		require.Equal(t, 20+spareGrant, claim.Takes)
+		require.Equal(t, 20+spareGrant, claim.Quota)
 	}
 }
--- a/internal/fdshare/fdshare.go
+++ b/internal/fdshare/fdshare.go
@@ -1,50 +1,59 @@
-// Package fdshare divides the descriptors that a machine grants among the processes of one pooler that stand beside
-// each other, as at an upgrade. Part decides and is pure; Beside carries it out through files in a directory that
-// all of them see.
+// Package fdshare divides the file descriptors that a machine grants to a pooler among its processes, of which there
+// are several during an upgrade. ComputeQuota decides and is pure. Beside applies it, and exchanges claims with the
+// other processes through files in a common directory.
 package fdshare
 
 import "capercove/internal/clock"
 
-// Claim is what one process says of itself.
+// Claim is what a process publishes about itself. It is stored as JSON.
 type Claim struct {
-	Born    int64       // when it joined, as Unix time in ns; decides only beside a process that tells no Joined
-	Uses    int         // descriptors open
-	Takes   int         // descriptors that it may open, all told
-	Leaving bool        // it takes nothing new, and gives back as it empties
-	Joined  clock.Stamp // when it joined; older versions do not tell it
+	// JoinedUnixNano is when the process joined, as Unix time in nanoseconds. It decides only beside a process
+	// without Joined.
+	JoinedUnixNano int64 `json:"Born"`
+	// InUse is the number of its open descriptors.
+	InUse int `json:"Uses"`
+	// Quota is the number of descriptors that it may have open.
+	Quota int `json:"Takes"`
+	// Leaving tells that the process shuts down: it accepts nothing new, and releases its quota as it drains.
+	Leaving bool `json:"Leaving"`
+	// Joined is when the process joined. Claims of older versions lack it.
+	Joined clock.Stamp `json:"Joined"`
 }
 
 const (
-	spare  = 8  // one in so many of the grant is left to a process that is yet to come
-	finish = 16 // one in so many of the grant: what a leaving process may add to finish what it has taken
+	// reserveDivisor is the divisor of the grant that gives the reserve for a process that starts next.
+	reserveDivisor = 8
+	// drainDivisor is the divisor of the grant that gives what a leaving process may open in addition, in order to
+	// finish the requests that it has accepted.
+	drainDivisor = 16
 )
 
-// younger tells whether the process of a claim joined after the other's. Where one of the two is of a version that
-// tells no Joined, both go by Born: that version does so too, and two that disagree would each wait for the other to
-// give back.
+// younger reports whether the process of a claim joined after the other's. If one of the two is of an older version,
+// which has no Joined, JoinedUnixNano decides, as in that version: if both took themselves for the younger, or for
+// the elder, they would disagree on who has to release descriptors.
 func (c Claim) younger(other Claim) bool {
 	if c.Joined.Boot != "" && c.Joined.Boot == other.Joined.Boot {
 		return c.Joined.SinceBoot > other.Joined.SinceBoot
 	}
-	return c.Born > other.Born
+	return c.JoinedUnixNano > other.JoinedUnixNano
 }
 
-// Part is how many descriptors a process may have open beside others, of a grant for all of them. The youngest takes
-// over, so what the others do not use is its own, but for the spare part: one that starts while another hangs has
-// room at once. An elder keeps what it uses and as much as the spare part beyond it, one that leaves less. Nobody
-// gives back what it uses, and nobody takes more than the others have given back: as long as each looks at the
-// others' claims and writes its own in one step, and opens no more than it claims, all stay within the grant,
-// whatever dies or stops between two steps.
-func Part(grant int, own Claim, others []Claim) int {
-	free, want := grant, grant-grant/spare
-	for _, o := range others {
-		free -= o.Takes
-		if o.younger(own) {
-			want = min(want, own.Uses+grant/spare)
+// ComputeQuota returns how many descriptors a process may have open, of a grant to it and the other processes. The
+// youngest takes over: it gets what the others do not use, except for a reserve, so that a process that starts while
+// another one hangs has descriptors at once. An elder process keeps what it uses and as much as the reserve in
+// addition, one that leaves less. No process has to close what it uses, and none gets more than the others have
+// released. If each process reads the others' claims and writes its own in one step, and opens no more than it
+// claims, all stay within the grant, even if processes die or stop between two steps.
+func ComputeQuota(grant int, own Claim, others []Claim) int {
+	free, want := grant, grant-grant/reserveDivisor
+	for _, other := range others {
+		free -= other.Quota
+		if other.younger(own) {
+			want = min(want, own.InUse+grant/reserveDivisor)
 		}
 	}
 	if own.Leaving {
-		want = min(want, own.Uses+grant/finish)
+		want = min(want, own.InUse+grant/drainDivisor)
 	}
-	return max(min(want, free), min(own.Takes, own.Uses))
+	return max(min(want, free), min(own.Quota, own.InUse))
 }
--- a/internal/fdshare/fdshare_test.go
+++ b/internal/fdshare/fdshare_test.go
@@ -21,7 +21,7 @@
 	return clock.Stamp{Boot: boot, SinceBoot: after}
 }
 
-func TestPart(t *testing.T) {
+func TestComputeQuota(t *testing.T) {
 	elder, young := int64(1), int64(2)
 	for _, c := range []struct {
 		name   string
@@ -29,66 +29,66 @@
 		others []fdshare.Claim
 		want   int
 	}{
-		{"alone: all but what one that is yet to come needs", fdshare.Claim{Uses: 20}, nil, 336},
-		{"alone and crowded", fdshare.Claim{Uses: 330, Takes: 336}, nil, 336},
+		{"alone: all but what one that is yet to come needs", fdshare.Claim{InUse: 20}, nil, 336},
+		{"alone and crowded", fdshare.Claim{InUse: 330, Quota: 336}, nil, 336},
 		{
 			"a newcomer beside one that has not seen it",
-			fdshare.Claim{Born: young, Uses: 16},
-			[]fdshare.Claim{{Born: elder, Uses: 90, Takes: 336}},
+			fdshare.Claim{JoinedUnixNano: young, InUse: 16},
+			[]fdshare.Claim{{JoinedUnixNano: elder, InUse: 90, Quota: 336}},
 			48,
 		},
 		{
 			"the elder keeps what it uses, and some room",
-			fdshare.Claim{Born: elder, Uses: 90, Takes: 336},
-			[]fdshare.Claim{{Born: young, Uses: 16, Takes: 48}},
+			fdshare.Claim{JoinedUnixNano: elder, InUse: 90, Quota: 336},
+			[]fdshare.Claim{{JoinedUnixNano: young, InUse: 16, Quota: 48}},
 			138,
 		},
-		{"however much it uses", fdshare.Claim{Born: elder, Uses: 330, Takes: 336}, []fdshare.Claim{{Born: young, Uses: 48, Takes: 48}}, 336},
+		{"however much it uses", fdshare.Claim{JoinedUnixNano: elder, InUse: 330, Quota: 336}, []fdshare.Claim{{JoinedUnixNano: young, InUse: 48, Quota: 48}}, 336},
 		{
 			"the newcomer takes what it has given back",
-			fdshare.Claim{Born: young, Uses: 20, Takes: 48},
-			[]fdshare.Claim{{Born: elder, Uses: 90, Takes: 138}},
+			fdshare.Claim{JoinedUnixNano: young, InUse: 20, Quota: 48},
+			[]fdshare.Claim{{JoinedUnixNano: elder, InUse: 90, Quota: 138}},
 			246,
 		},
 		{
 			"one that leaves",
-			fdshare.Claim{Born: elder, Uses: 40, Takes: 138, Leaving: true},
-			[]fdshare.Claim{{Born: young, Uses: 60, Takes: 246}},
+			fdshare.Claim{JoinedUnixNano: elder, InUse: 40, Quota: 138, Leaving: true},
+			[]fdshare.Claim{{JoinedUnixNano: young, InUse: 60, Quota: 246}},
 			64,
 		},
 		{
 			"the newcomer beside one that leaves",
-			fdshare.Claim{Born: young, Uses: 60, Takes: 246},
-			[]fdshare.Claim{{Born: elder, Uses: 40, Takes: 64, Leaving: true}},
+			fdshare.Claim{JoinedUnixNano: young, InUse: 60, Quota: 246},
+			[]fdshare.Claim{{JoinedUnixNano: elder, InUse: 40, Quota: 64, Leaving: true}},
 			320,
 		},
 		{
 			"a newcomer after the wall clock was stepped back",
-			fdshare.Claim{Born: elder, Uses: 20, Takes: 48, Joined: joined("a", 2)},
-			[]fdshare.Claim{{Born: young, Uses: 90, Takes: 138, Joined: joined("a", 1)}},
+			fdshare.Claim{JoinedUnixNano: elder, InUse: 20, Quota: 48, Joined: joined("a", 2)},
+			[]fdshare.Claim{{JoinedUnixNano: young, InUse: 90, Quota: 138, Joined: joined("a", 1)}},
 			246,
 		},
 		{
 			"and the elder beside it",
-			fdshare.Claim{Born: young, Uses: 90, Takes: 336, Joined: joined("a", 1)},
-			[]fdshare.Claim{{Born: elder, Uses: 16, Takes: 48, Joined: joined("a", 2)}},
+			fdshare.Claim{JoinedUnixNano: young, InUse: 90, Quota: 336, Joined: joined("a", 1)},
+			[]fdshare.Claim{{JoinedUnixNano: elder, InUse: 16, Quota: 48, Joined: joined("a", 2)}},
 			138,
 		},
 		{
 			"beside one that tells no stamp, as it decides by the wall clock too",
-			fdshare.Claim{Born: elder, Uses: 90, Takes: 336, Joined: joined("a", 2)},
-			[]fdshare.Claim{{Born: young, Uses: 16, Takes: 48}},
+			fdshare.Claim{JoinedUnixNano: elder, InUse: 90, Quota: 336, Joined: joined("a", 2)},
+			[]fdshare.Claim{{JoinedUnixNano: young, InUse: 16, Quota: 48}},
 			138,
 		},
 		{
 			"beside one of another boot, the same",
-			fdshare.Claim{Born: elder, Uses: 90, Takes: 336, Joined: joined("a", 2)},
-			[]fdshare.Claim{{Born: young, Uses: 16, Takes: 48, Joined: joined("b", 1)}},
+			fdshare.Claim{JoinedUnixNano: elder, InUse: 90, Quota: 336, Joined: joined("a", 2)},
+			[]fdshare.Claim{{JoinedUnixNano: young, InUse: 16, Quota: 48, Joined: joined("b", 1)}},
 			138,
 		},
-		{"nothing is left", fdshare.Claim{Born: 3, Uses: 10}, []fdshare.Claim{{Uses: 200, Takes: 200}, {Uses: 184, Takes: 184}}, 0},
+		{"nothing is left", fdshare.Claim{JoinedUnixNano: 3, InUse: 10}, []fdshare.Claim{{InUse: 200, Quota: 200}, {InUse: 184, Quota: 184}}, 0},
 	} {
-		require.Equal(t, c.want, fdshare.Part(grant, c.own, c.others), c.name)
+		require.Equal(t, c.want, fdshare.ComputeQuota(grant, c.own, c.others), c.name)
 	}
 }
 
@@ -105,7 +105,7 @@
 					others = append(others, c)
 				}
 			}
-			own.Takes = fdshare.Part(grant, own, others)
+			own.Quota = fdshare.ComputeQuota(grant, own, others)
 			claims[i] = own
 		}
 		for range 400 {
@@ -113,7 +113,7 @@
 			c, lives := claims[i]
 			switch what := random.IntN(10); {
 			case !lives && what < 3:
-				claims[i] = fdshare.Claim{Born: random.Int64N(1000)}
+				claims[i] = fdshare.Claim{JoinedUnixNano: random.Int64N(1000)}
 				stopped[i] = false
 			case lives && what == 0:
 				delete(claims, i) // killed
@@ -123,22 +123,22 @@
 				c.Leaving = true
 				claims[i] = c
 			case lives && !stopped[i] && what < 6: // it opens and closes, within what it last settled
-				c.Uses = random.IntN(c.Takes + 1)
+				c.InUse = random.IntN(c.Quota + 1)
 				claims[i] = c
 			case lives && !stopped[i]:
 				step(i)
 			}
 			takes := 0
 			for _, c := range claims {
-				require.LessOrEqual(t, c.Uses, c.Takes, "seed %d", seed)
-				takes += c.Takes
+				require.LessOrEqual(t, c.InUse, c.Quota, "seed %d", seed)
+				takes += c.Quota
 			}
 			require.LessOrEqual(t, takes, grant, "seed %d", seed)
 		}
 		clear(claims)
 		claims[0] = fdshare.Claim{}
 		step(0)
-		require.Equal(t, 336, claims[0].Takes, "seed %d", seed)
+		require.Equal(t, 336, claims[0].Quota, "seed %d", seed)
 	}
 }
 
@@ -154,7 +154,7 @@
 	}, 20*time.Second, time.Millisecond)
 }
 
-// TestMain is the other process, where it is asked to be one: it takes its part, says so, and stays until it is ended.
+// TestMain is the other process, where it is asked to be one: it takes its quota, prints that, and stays until it is ended.
 func TestMain(m *testing.M) {
 	dir := os.Getenv("SHARE_TEST_DIR")
 	if dir == "" {
@@ -195,7 +195,7 @@
 	require.NoError(t, err)
 	settle(t, b, false, 20)
 	require.Equal(t, 336, b.Takes())
-	other := start() // takes the spare part, and uses more than it
+	other := start() // takes the reserve, and uses more than it
 	settle(t, b, false, 20)
 	require.Equal(t, 20+grant/8, b.Takes(), "the elder makes room")
 	require.NoError(t, other.Process.Signal(syscall.SIGSTOP))
@@ -214,8 +214,8 @@
 	require.Equal(t, 20+grant/16, b.Takes(), "leaving, and what nobody holds is nobody's")
 }
 
-// A directory that is not there is an error, not a share.
-func TestNowhere(t *testing.T) {
+// A directory that is not there is an error, not a quota.
+func TestJoinFailsWithoutDirectory(t *testing.T) {
 	_, err := fdshare.Join(filepath.Join(t.TempDir(), "none"), "n0", grant)
 	require.ErrorContains(t, err, "none")
 }
--- a/internal/fdshare/record.go
+++ b/internal/fdshare/record.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// A claim's file holds two copies of the claim, each of a fixed size with a checksum, so that one stands whole whatever becomes
-// of the write of the other. A copy begins with the claim as JSON: versions that know one copy only read the first, and skip
-// what follows the JSON.
+// A claim's file holds two copies of the claim, each of a fixed size and with a checksum, so that one copy stays
+// valid if writing the other fails. A copy begins with the claim as JSON: older versions, which know one copy only,
+// read the first one and skip what follows the JSON.
 const (
 	copies       = 2
 	copySize     = 512
@@ -31,39 +31,41 @@
 	return []byte(body + checksum([]byte(body))), nil
 }
 
+// checksum returns the checksum of a copy's body, as text.
 func checksum(body []byte) string { return fmt.Sprintf("%08x\n", crc32.ChecksumIEEE(body)) }
 
-// decodeCopy returns the claim of one copy, and false where it is not whole.
-func decodeCopy(text []byte) (c Claim, whole bool) {
+// decodeCopy returns the claim of one copy, and false if the copy is incomplete or damaged.
+func decodeCopy(text []byte) (claim Claim, whole bool) {
 	if len(text) < copySize || string(text[bodySize:copySize]) != checksum(text[:bodySize]) {
 		return Claim{}, false
 	}
-	return c, json.Unmarshal(text[:bodySize], &c) == nil
+	err := json.Unmarshal(text[:bodySize], &claim)
+	return claim, err == nil
 }
 
-// decode returns what a living process whose file holds the text may have open at the most. Of two whole copies the larger
-// counts: the process goes from one to the other. A file without a whole copy is one of
-//   - an older version's, which holds one claim as JSON and no checksum;
-//   - a process's that has not been able to write yet: it uses the spare part at the most;
-//   - damaged, as by an older version whose write failed half way: all that one process may ever take counts.
+// decode returns the claim of a living process from its file. Of two whole copies the one with the larger quota
+// counts, as the process changes from one to the other. A file without a whole copy is one of
+//   - an older version's, which holds one claim as JSON without a checksum;
+//   - a process's that has not been able to write yet, which uses at most the reserve;
+//   - damaged, as by an older version whose write failed half way. It counts as the largest quota of one process.
 func decode(text []byte, grant int) Claim {
 	var largest Claim
 	found := false
 	for i := range copies {
-		c, whole := decodeCopy(text[min(len(text), i*copySize):])
-		if whole && (!found || c.Takes > largest.Takes) {
-			largest, found = c, true
+		claim, whole := decodeCopy(text[min(len(text), i*copySize):])
+		if whole && (!found || claim.Quota > largest.Quota) {
+			largest, found = claim, true
 		}
 	}
 	if found {
 		return largest
 	}
 	if len(text) == 0 || text[0] == 0 { // copies are first written from the last to the first
-		return Claim{Takes: grant / spare}
+		return Claim{Quota: grant / reserveDivisor}
 	}
 	var old Claim
 	if json.NewDecoder(bytes.NewReader(text)).Decode(&old) == nil && len(text) < copySize {
 		return old
 	}
-	return Claim{Takes: grant - grant/spare}
+	return Claim{Quota: grant - grant/reserveDivisor}
 }
