--- a/internal/store/boltfile.go
+++ b/internal/store/boltfile.go
@@ -69,9 +69,11 @@
 	if binary.LittleEndian.Uint64(b[metaChecksumAt:]) != sum.Sum64() {
 		return m, fmt.Errorf("a meta page has another checksum: %w", ErrDamaged)
 	}
-	return boltMeta{pageSize: uint64(binary.LittleEndian.Uint32(b[8:])), root: binary.LittleEndian.Uint64(b[16:]),
+	return boltMeta{
+		pageSize: uint64(binary.LittleEndian.Uint32(b[8:])), root: binary.LittleEndian.Uint64(b[16:]),
 		freelist: binary.LittleEndian.Uint64(b[32:]), pages: binary.LittleEndian.Uint64(b[40:]),
-		transaction: binary.LittleEndian.Uint64(b[48:])}, nil
+		transaction: binary.LittleEndian.Uint64(b[48:]),
+	}, nil
 }
 
 // boltFile is a file that is checked.
@@ -153,8 +155,10 @@
 
 // parsePage reads the header of a page that is there as a whole.
 func parsePage(id uint64, body []byte) page {
-	return page{id: id, flags: binary.LittleEndian.Uint16(body[8:]), count: uint64(binary.LittleEndian.Uint16(body[10:])),
-		body: body}
+	return page{
+		id: id, flags: binary.LittleEndian.Uint16(body[8:]), count: uint64(binary.LittleEndian.Uint16(body[10:])),
+		body: body,
+	}
 }
 
 // use reads a page that has one place in the file.
--- a/internal/store/deferred.go
+++ b/internal/store/deferred.go
@@ -107,8 +107,10 @@
 
 // momentary tells whether an error may pass without anybody's doing anything about the files.
 func momentary(err error) bool {
-	for _, passing := range []error{errDiskFails, unix.ENOSPC, unix.EDQUOT, unix.EFBIG, unix.EIO, unix.EROFS, unix.ENOMEM,
-		unix.EMFILE, unix.ENFILE, unix.EINTR, unix.ETIMEDOUT, unix.ESTALE, io.ErrShortWrite} {
+	for _, passing := range []error{
+		errDiskFails, unix.ENOSPC, unix.EDQUOT, unix.EFBIG, unix.EIO, unix.EROFS, unix.ENOMEM,
+		unix.EMFILE, unix.ENFILE, unix.EINTR, unix.ETIMEDOUT, unix.ESTALE, io.ErrShortWrite,
+	} {
 		if errors.Is(err, passing) {
 			return true
 		}
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -41,8 +41,10 @@
 // inMemory is the storage of a pooler without peers.
 func inMemory() *storage {
 	memory := raft.NewInmemStore()
-	return &storage{logs: memory, stable: memory, snapshots: raft.NewInmemSnapshotStore(),
-		close: func() error { return nil }}
+	return &storage{
+		logs: memory, stable: memory, snapshots: raft.NewInmemSnapshotStore(),
+		close: func() error { return nil },
+	}
 }
 
 // endure puts between raft and the files what lets it go on while the disk fails or hangs.
@@ -88,8 +90,10 @@
 
 // boltError tells errors of the disk from those that stay.
 func boltError(err error) error {
-	for _, lasting := range []error{ErrDamaged, ErrNewer, bbolt.ErrTimeout, bbolt.ErrInvalid, bbolt.ErrVersionMismatch,
-		bbolt.ErrChecksum, fs.ErrPermission, fs.ErrNotExist, unix.ENOTDIR, unix.EISDIR} {
+	for _, lasting := range []error{
+		ErrDamaged, ErrNewer, bbolt.ErrTimeout, bbolt.ErrInvalid, bbolt.ErrVersionMismatch,
+		bbolt.ErrChecksum, fs.ErrPermission, fs.ErrNotExist, unix.ENOTDIR, unix.EISDIR,
+	} {
 		if errors.Is(err, lasting) {
 			return err
 		}
--- a/internal/store/disk_process_test.go
+++ b/internal/store/disk_process_test.go
@@ -35,8 +35,10 @@
 func (w *writer) write(api string) {
 	for {
 		w.tried++
-		change := store.Change{Set: map[string]json.RawMessage{w.key: json.RawMessage(strconv.Itoa(w.tried)),
-			w.key + "pad": json.RawMessage(`"` + strings.Repeat("x", w.tried%5000) + `"`)}}
+		change := store.Change{Set: map[string]json.RawMessage{
+			w.key:         json.RawMessage(strconv.Itoa(w.tried)),
+			w.key + "pad": json.RawMessage(`"` + strings.Repeat("x", w.tried%5000) + `"`),
+		}}
 		if !call(api, "/v1/change", change, new(store.Outcome)) {
 			return
 		}
--- a/internal/store/guard_test.go
+++ b/internal/store/guard_test.go
@@ -147,8 +147,10 @@
 	require.ErrorIs(t, guarded(func() error { panic("invalid page type") }), ErrDamaged)
 }
 
-var storeLimits = limits.Limits{StoreKeys: 100, StoreValue: 1000, StoreWindow: 100, StoreEvery: 20 * time.Millisecond,
-	StoreWait: 200 * time.Millisecond, StoreCatchUp: patience}
+var storeLimits = limits.Limits{
+	StoreKeys: 100, StoreValue: 1000, StoreWindow: 100, StoreEvery: 20 * time.Millisecond,
+	StoreWait: 200 * time.Millisecond, StoreCatchUp: patience,
+}
 
 // hangingDisk is one whose writes hang from some moment on.
 type hangingDisk struct {
--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -128,8 +128,10 @@
 							api := f.API(f.Names[random.IntN(3)])
 							if tried.Add(1); i.write {
 								var answer store.Outcome
-								done = call(api, "/v1/change", store.Change{ID: i.value, If: map[string]uint64{i.key: i.at},
-									Set: map[string]json.RawMessage{i.key: json.RawMessage(i.value)}}, &answer)
+								done = call(api, "/v1/change", store.Change{
+									ID: i.value, If: map[string]uint64{i.key: i.at},
+									Set: map[string]json.RawMessage{i.key: json.RawMessage(i.value)},
+								}, &answer)
 								o = out{applied: answer.Applied, revision: answer.Revision}
 							} else {
 								var answer struct{ Values map[string]store.Value }
@@ -185,8 +187,10 @@
 	}
 	change := func(api string, at uint64, value string) (o store.Outcome) {
 		f.Beds["n0"].Eventually(func() bool {
-			return call(api, "/v1/change", store.Change{ID: value, If: map[string]uint64{"k": at},
-				Set: map[string]json.RawMessage{"k": json.RawMessage(value)}}, &o)
+			return call(api, "/v1/change", store.Change{
+				ID: value, If: map[string]uint64{"k": at},
+				Set: map[string]json.RawMessage{"k": json.RawMessage(value)},
+			}, &o)
 		}, "a majority answers")
 		require.True(t, o.Applied)
 		add(in{write: true, key: "k", at: at, value: value}, out{applied: true, revision: o.Revision})
--- a/internal/store/snapshots.go
+++ b/internal/store/snapshots.go
@@ -79,7 +79,8 @@
 
 // Create implements raft.SnapshotStore.
 func (s *snapshotDirectory) Create(version raft.SnapshotVersion, index, term uint64, configuration raft.Configuration,
-	configurationIndex uint64, transport raft.Transport) (raft.SnapshotSink, error) {
+	configurationIndex uint64, transport raft.Transport,
+) (raft.SnapshotSink, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sink, err := s.SnapshotStore.Create(version, index, term, configuration, configurationIndex, transport)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -64,10 +64,14 @@
 
 // newReplicated is a store that has not begun: it keeps what is put until then.
 func newReplicated(cfg Config, name string, l limits.Limits, log zerolog.Logger) *replicated {
-	r := &replicated{config: cfg, name: name, limits: l, log: log, apis: map[raft.ServerID]string{}, caller: caller(nil),
+	r := &replicated{
+		config: cfg, name: name, limits: l, log: log, apis: map[raft.ServerID]string{}, caller: caller(nil),
 		waiting: map[string][]byte{}, wake: make(chan struct{}, 1), done: make(chan struct{}),
-		state: state{record: newRecord(recordBounds{keys: l.StoreKeys, value: l.StoreValue, window: l.StoreWindow}),
-			changed: make(chan struct{})}}
+		state: state{
+			record:  newRecord(recordBounds{keys: l.StoreKeys, value: l.StoreValue, window: l.StoreWindow}),
+			changed: make(chan struct{}),
+		},
+	}
 	r.open = r.openDirectory
 	return r
 }
