--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -14,13 +14,14 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"go.etcd.io/bbolt"
 	"golang.org/x/sys/unix"
+
+	"capercove/internal/filelock"
 )
 
 const (
 	boltName        = "raft.db"
 	probeName       = "probe.tmp" // a file that tells whether the directory takes any
 	keptSnapshots   = 2
-	lockRetry       = 50 * time.Millisecond
 	newestLogEntry  = raft.LogConfiguration
 	currentTermName = "CurrentTerm"  // raft's name for its term in the stable store
 	lastVoteName    = "LastVoteTerm" // ... and for the term in which it last voted
@@ -155,22 +156,13 @@
 	return nil
 }
 
-// lock locks a file for this process alone, as bbolt does.
+// lock locks a file for this process alone, as bbolt does. Its error is bbolt's where another process holds the lock.
 func lock(f *os.File, wait time.Duration) error {
-	for until := time.Now().Add(wait); ; {
-		err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB)
-		switch {
-		case err == nil:
-			return nil
-		case errors.Is(err, unix.EINTR):
-			continue
-		case !errors.Is(err, unix.EWOULDBLOCK):
-			return fmt.Errorf("flock: %w", err)
-		case time.Now().After(until):
-			return bbolt.ErrTimeout
-		}
-		time.Sleep(lockRetry)
+	err := filelock.Acquire(f, unix.LOCK_EX, wait)
+	if errors.Is(err, filelock.ErrBusy) {
+		return bbolt.ErrTimeout
 	}
+	return err
 }
 
 func syncDirectory(dir string) error {
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -18,6 +18,8 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/bbolt"
+
+	"capercove/internal/filelock"
 )
 
 const (
@@ -81,6 +83,17 @@
 // A directory as earlier versions leave it is read.
 func TestOpenWhole(t *testing.T) { require.NoError(t, open(t, written(t))) }
 
+// A file that another process holds is bbolt's timeout, which the start tells the operators apart from a failing disk.
+func TestOpenHeldFile(t *testing.T) {
+	dir := written(t)
+	held, err := filelock.Open(filepath.Join(dir, boltName), 0)
+	require.NoError(t, err)
+	defer held.Close()
+	_, err = openDirectory(dir, 10*time.Millisecond, hclog.NewNullLogger())
+	require.ErrorIs(t, err, bbolt.ErrTimeout)
+	require.False(t, momentary(err))
+}
+
 // A file that was cut anywhere is refused as damaged, unless nothing is missing.
 func TestOpenCutFile(t *testing.T) {
 	dir := written(t)
