--- /dev/null
+++ b/internal/store/api.go
@@ -0,0 +1,189 @@
+package store
+
+import (
+	"cmp"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"time"
+
+	"capercove/internal/netretry"
+)
+
+// Paths of the HTTP API that poolers and clients call.
+const (
+	changePath  = "/v1/change"
+	readPath    = "/v1/read"
+	watchPath   = "/v1/watch"
+	membersPath = "/v1/members"
+)
+
+const (
+	// forwardedHeader marks a call that has been forwarded to the leader. It is not forwarded again: two poolers may
+	// take each other for the leader.
+	forwardedHeader = "Capercove-Forwarded"
+	// revisionHeader tells the revision of the values in a response.
+	revisionHeader = "Capercove-Revision"
+	// ageHeader tells how old the values in a response may be, in milliseconds.
+	ageHeader = "Capercove-Age-Ms"
+)
+
+// maxBodyValues bounds the body of a call, as a multiple of the largest value.
+const maxBodyValues = 4
+
+// serve listens at an address for calls of the HTTP API, if there is one.
+func (r *replicated) serve(addr string) error {
+	if addr == "" {
+		return nil
+	}
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", addr)
+	if err != nil {
+		return fmt.Errorf("store: api: %w", err)
+	}
+	r.serveOn(listener)
+	return nil
+}
+
+// serveOn serves the HTTP API on a listener until Close. Errors of accept do not end it.
+func (r *replicated) serveOn(listener net.Listener) {
+	started := time.Now()
+	clock := func() time.Duration { return time.Since(started) }
+	failures := netretry.NewFailures("store: accept", r.limits.LogEvery, r.log, clock)
+	listener = netretry.NewListener(listener, netretry.BackoffOf(r.limits), failures)
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /v1/store", r.getAll)
+	mux.HandleFunc("GET /v1/store/{key...}", r.getValue)
+	mux.HandleFunc("PUT /v1/store/{key...}", r.putValue)
+	mux.HandleFunc("POST "+changePath, r.postChange)
+	mux.HandleFunc("POST "+readPath, r.postRead)
+	mux.HandleFunc("GET "+watchPath, r.watch)
+	mux.HandleFunc("GET "+membersPath, r.getMembers)
+	mux.HandleFunc("POST "+membersPath, r.postMembers)
+	r.http = &http.Server{Handler: mux, ReadHeaderTimeout: r.limits.StoreWait}
+	go func() { _ = r.http.Serve(listener) }() // it returns only after Close
+}
+
+// getAll answers all values that this pooler has at hand.
+func (r *replicated) getAll(w http.ResponseWriter, _ *http.Request) {
+	r.writeAge(w)
+	_ = json.NewEncoder(w).Encode(r.All()) // the caller is gone if it fails
+}
+
+// getValue answers the value of a key that this pooler has at hand.
+func (r *replicated) getValue(w http.ResponseWriter, request *http.Request) {
+	value, ok := r.All()[request.PathValue("key")]
+	if !ok {
+		http.NotFound(w, request)
+		return
+	}
+	r.writeAge(w)
+	_, _ = w.Write(value) // the caller is gone if it fails
+}
+
+// putValue stores the value of a key unconditionally.
+func (r *replicated) putValue(w http.ResponseWriter, request *http.Request) {
+	value, err := io.ReadAll(http.MaxBytesReader(w, request.Body, int64(r.limits.StoreValue)))
+	if err != nil || !json.Valid(value) {
+		http.Error(w, "the value is not JSON, or too long", http.StatusBadRequest)
+		return
+	}
+	if err := r.set(context.WithoutCancel(request.Context()), request.PathValue("key"), value); err != nil {
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
+		return
+	}
+	w.WriteHeader(http.StatusNoContent)
+}
+
+// postChange applies a Change. As for all calls that go to raft or to the leader, what was begun is carried out if the
+// caller is gone.
+func (r *replicated) postChange(w http.ResponseWriter, request *http.Request) {
+	var change Change
+	if !r.readBody(w, request, &change) {
+		return
+	}
+	outcome, err := r.change(context.WithoutCancel(request.Context()), change, mayForward(request))
+	writeReply(w, outcome, err)
+}
+
+// postRead answers a linearizable read of the keys in the body.
+func (r *replicated) postRead(w http.ResponseWriter, request *http.Request) {
+	var keys []string
+	if !r.readBody(w, request, &keys) {
+		return
+	}
+	values, err := r.read(context.WithoutCancel(request.Context()), keys, mayForward(request))
+	writeReply(w, values, err)
+}
+
+// mayForward reports whether a call may be forwarded to the leader: only if it has not been forwarded already.
+func mayForward(request *http.Request) bool { return request.Header.Get(forwardedHeader) == "" }
+
+// watch answers the changes of the keys of a name since a revision that this pooler knows of. It waits until there are
+// some, or for the time that the caller gives.
+func (r *replicated) watch(response http.ResponseWriter, request *http.Request) {
+	after, err := strconv.ParseUint(cmp.Or(request.FormValue("after"), "0"), 10, 64)
+	wait, waitErr := strconv.ParseUint(cmp.Or(request.FormValue("wait_ms"), "0"), 10, 31)
+	if err != nil || waitErr != nil {
+		http.Error(response, "after is a revision, and wait_ms a time", http.StatusBadRequest)
+		return
+	}
+	expired := time.NewTimer(min(time.Duration(wait)*time.Millisecond, r.limits.StoreWatch))
+	defer expired.Stop()
+	for {
+		changes, next := r.state.since(after, request.FormValue("name"))
+		if len(changes.Values)+len(changes.Deleted) > 0 || changes.Whole {
+			next = nil
+		}
+		if next != nil {
+			select {
+			case <-next:
+				continue
+			case <-expired.C:
+			case <-request.Context().Done():
+				return
+			case <-r.done:
+			}
+		}
+		r.writeAge(response)
+		writeReply(response, changes, nil)
+		return
+	}
+}
+
+// writeAge tells in headers the revision of the values that this pooler has at hand, and how old they may be: the
+// time since the last contact with a leader. A leader that has been cut off considers itself the leader for half a
+// second more.
+func (r *replicated) writeAge(w http.ResponseWriter) {
+	w.Header().Set(revisionHeader, strconv.FormatUint(r.state.revision(), 10))
+	if r.Leads() {
+		w.Header().Set(ageHeader, "0")
+	} else if at := r.raft.LastContact(); !at.IsZero() {
+		w.Header().Set(ageHeader, strconv.FormatInt(time.Since(at).Milliseconds(), 10))
+	}
+}
+
+// readBody decodes the JSON body of a call. If it is invalid, it answers with status 400 and returns false.
+func (r *replicated) readBody(w http.ResponseWriter, request *http.Request, into any) bool {
+	decoder := json.NewDecoder(http.MaxBytesReader(w, request.Body, int64(maxBodyValues*r.limits.StoreValue)))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		http.Error(w, "not a call: "+err.Error(), http.StatusBadRequest)
+		return false
+	}
+	return true
+}
+
+// writeReply answers a call with a JSON value, or with status 503 and an error. After 503 it is not known whether a
+// change was applied.
+func writeReply(w http.ResponseWriter, reply any, err error) {
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(reply) // the caller is gone if it fails
+}
