--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -79,8 +79,10 @@
 // handed to the core before.
 func Start(c Config, p Pooler) *Agent {
 	now := p.Clock()
-	d := &Agent{pooler: p, config: c, kicked: make(chan struct{}, 1), words: make(chan struct{}, 1), reader: maintenance.NewFollower(now, maintenance.Rules{Lease: ms(c.LeaseMS)}),
-		held: map[string]store.Value{}, looker: looker{zones: p.Zones, fresh: p.Fresh, peaks: map[int]float64{}}}
+	d := &Agent{
+		pooler: p, config: c, kicked: make(chan struct{}, 1), words: make(chan struct{}, 1), reader: maintenance.NewFollower(now, maintenance.Rules{Lease: ms(c.LeaseMS)}),
+		held: map[string]store.Value{}, looker: looker{zones: p.Zones, fresh: p.Fresh, peaks: map[int]float64{}},
+	}
 	if c.FreshMS > 0 {
 		d.looker.fresh = ms(c.FreshMS)
 	}
@@ -269,8 +271,10 @@
 	d.mu.Lock()
 	now := d.pooler.Clock()
 	lapses := d.reader.LeaseEnd()
-	off := core.Blocks{All: !d.reader.Known(), Until: lapses, Now: map[routing.NodeID]bool{}, Worn: map[routing.NodeID]bool{}, Then: map[routing.NodeID]bool{},
-		Blind: map[routing.NodeID]bool{}}
+	off := core.Blocks{
+		All: !d.reader.Known(), Until: lapses, Now: map[routing.NodeID]bool{}, Worn: map[routing.NodeID]bool{}, Then: map[routing.NodeID]bool{},
+		Blind: map[routing.NodeID]bool{},
+	}
 	agreed := map[routing.NodeID]bool{}
 	names := slices.Sorted(maps.Keys(group))
 	for name := range d.record.Steps { // Against one that the list has dropped, and brings back at once: it is kept off all the same.
@@ -475,8 +479,10 @@
 }
 
 func (d *Agent) manner(self maintenance.Instance) maintenance.Policy {
-	return maintenance.Policy{Self: self, Hook: len(d.config.Hook) > 0 || d.config.HookURL != "", HandsOver: len(d.config.HandOver) > 0,
-		Calls: d.config.HookCalls, Lease: ms(d.config.LeaseMS), Skew: ms(d.config.SkewMS), Settle: ms(d.config.SettleMS)}
+	return maintenance.Policy{
+		Self: self, Hook: len(d.config.Hook) > 0 || d.config.HookURL != "", HandsOver: len(d.config.HandOver) > 0,
+		Calls: d.config.HookCalls, Lease: ms(d.config.LeaseMS), Skew: ms(d.config.SkewMS), Settle: ms(d.config.SettleMS),
+	}
 }
 
 func (d *Agent) whole(ctx context.Context) (maintenance.Record, error) {
--- a/internal/maintenance/agent/config.go
+++ b/internal/maintenance/agent/config.go
@@ -42,8 +42,14 @@
 		key           string
 		value         int
 		least, atMost int
-	}{{"lease_ms", c.LeaseMS, 500, 600_000}, {"skew_ms", c.SkewMS, 0, 600_000}, {"settle_ms", c.SettleMS, 0, 3_600_000},
-		{"fresh_ms", c.FreshMS, 0, 3_600_000}, {"hook_seconds", c.HookSeconds, 1, 86_400}, {"hook_calls", c.HookCalls, 1, 100}} {
+	}{
+		{"lease_ms", c.LeaseMS, 500, 600_000},
+		{"skew_ms", c.SkewMS, 0, 600_000},
+		{"settle_ms", c.SettleMS, 0, 3_600_000},
+		{"fresh_ms", c.FreshMS, 0, 3_600_000},
+		{"hook_seconds", c.HookSeconds, 1, 86_400},
+		{"hook_calls", c.HookCalls, 1, 100},
+	} {
 		if v.value < v.least || v.value > v.atMost {
 			return tables.Bad(v.key, "%d is not from %d to %d", v.value, v.least, v.atMost)
 		}
--- a/internal/maintenance/agent/look.go
+++ b/internal/maintenance/agent/look.go
@@ -28,8 +28,10 @@
 
 // see looks. The loads are in databases, each of which bears so many requests a second; 0: load is not looked at.
 func (l *looker) see(now time.Duration, f core.Figures, s gossip.State, leads bool, bears float64) maintenance.Observation {
-	seen := maintenance.Observation{Snapshot: maintenance.Snapshot{Machines: map[string]*maintenance.Machine{}, Load: map[int]float64{}}, Incarnations: map[string]uint64{},
-		Left: map[string]uint64{}, Heard: map[string]time.Duration{}}
+	seen := maintenance.Observation{
+		Snapshot: maintenance.Snapshot{Machines: map[string]*maintenance.Machine{}, Load: map[int]float64{}}, Incarnations: map[string]uint64{},
+		Left: map[string]uint64{}, Heard: map[string]time.Duration{},
+	}
 	rates := map[int]float64{}
 	reached := map[string]int{} // poolers by zone that are there
 	for _, p := range s.Poolers {
@@ -72,8 +74,10 @@
 	}
 	for _, d := range f.Databases {
 		seen.Heard[d.Name] = d.LastHeard
-		m := &maintenance.Machine{Name: d.Name, Group: d.Group, Zone: l.zone(d.Zone), Size: 1, Primary: d.Primary, Warm: !d.Cold && !cold[d.Name],
-			Unreachable: all[d.Zone] > 1 && silent[d.Zone] == all[d.Zone]}
+		m := &maintenance.Machine{
+			Name: d.Name, Group: d.Group, Zone: l.zone(d.Zone), Size: 1, Primary: d.Primary, Warm: !d.Cold && !cold[d.Name],
+			Unreachable: all[d.Zone] > 1 && silent[d.Zone] == all[d.Zone],
+		}
 		m.Up = d.Health == routing.Healthy && now-d.LastHeard < heardLately && 2*bad[d.Name] < max(2, len(seen.Live))
 		m.Fresh = d.Position > 0 && d.Behind <= l.fresh
 		seen.Machines[d.Name] = m
--- a/internal/maintenance/agent/plant_test.go
+++ b/internal/maintenance/agent/plant_test.go
@@ -21,7 +21,8 @@
 		edits []testbed.Edit
 		play  func(t *testing.T, r *run, h hook)
 	}{
-		"the lease does not bind": {[]testbed.Edit{{File: "internal/maintenance/reader.go", Old: "case now < p.LeaseEnd():", New: "case p.known || now < p.LeaseEnd():"}},
+		"the lease does not bind": {
+			[]testbed.Edit{{File: "internal/maintenance/reader.go", Old: "case now < p.LeaseEnd():", New: "case p.known || now < p.LeaseEnd():"}},
 			func(t *testing.T, r *run, h hook) { // one is cut off, and what it does not hear of is worked on
 				one := r.other(r.leader())
 				r.start("n3", two)
@@ -43,10 +44,14 @@
 					})
 				}, "the one that is cut off sends to what is worked on")
 				h.open()
-			}},
-		"a restart is forgotten": {[]testbed.Edit{{File: "internal/maintenance/agent/agent.go", Old: "return core.Blocks{All: true, ", New: "return core.Blocks{"},
-			{File: "internal/maintenance/agent/agent.go", Old: "off := core.Blocks{All: !d.reader.Known(), ", New: "off := core.Blocks{"},
-			{File: "internal/maintenance/reader.go", Old: "return p.known, false //", New: "return true, false //"}},
+			},
+		},
+		"a restart is forgotten": {
+			[]testbed.Edit{
+				{File: "internal/maintenance/agent/agent.go", Old: "return core.Blocks{All: true, ", New: "return core.Blocks{"},
+				{File: "internal/maintenance/agent/agent.go", Old: "off := core.Blocks{All: !d.reader.Known(), ", New: "off := core.Blocks{"},
+				{File: "internal/maintenance/reader.go", Old: "return p.known, false //", New: "return true, false //"},
+			},
 			func(t *testing.T, r *run, h hook) { // one that had said that it stopped comes back, and reads nothing
 				r.start("n0", two)
 				h.began(1)
@@ -56,8 +61,10 @@
 				r.passes(2000)
 				r.Net.Heal()
 				h.open()
-			}},
-		"work can be given up": {[]testbed.Edit{{File: "internal/maintenance/step.go", Old: "case s.State == InMaintenance: // Somebody", New: "case false: // Somebody"}},
+			},
+		},
+		"work can be given up": {
+			[]testbed.Edit{{File: "internal/maintenance/step.go", Old: "case s.State == InMaintenance: // Somebody", New: "case false: // Somebody"}},
 			func(t *testing.T, r *run, h hook) { // and is begun again while it still goes on
 				r.start("n0", two)
 				h.began(1)
@@ -67,7 +74,8 @@
 				r.start("n0", two)
 				h.began(2)
 				h.open()
-			}},
+			},
+		},
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
@@ -89,8 +97,10 @@
 // them, and the plan ends with nothing broken.
 func TestClocks(t *testing.T) {
 	t.Parallel()
-	program := testbed.Variant(t, testbed.Edit{File: "internal/clock/clock.go", Old: "epoch := time.Duration(start.UnixNano())",
-		New: "offset, _ := time.ParseDuration(os.Getenv(\"CLOCK_OFFSET\"))\n\tepoch := time.Duration(start.UnixNano()) + offset"})
+	program := testbed.Variant(t, testbed.Edit{
+		File: "internal/clock/clock.go", Old: "epoch := time.Duration(start.UnixNano())",
+		New: "offset, _ := time.ParseDuration(os.Getenv(\"CLOCK_OFFSET\"))\n\tepoch := time.Duration(start.UnixNano()) + offset",
+	})
 	h, line := newHook(t)
 	h.open()
 	f := testbed.NewWorks(t, 21, 4, quick+line, warmSoon)
--- a/internal/maintenance/agent/show.go
+++ b/internal/maintenance/agent/show.go
@@ -91,8 +91,10 @@
 	if verb == "plan" || verb == "start" || maintenance.Command(verb).OfMachine() {
 		names = 1
 	}
-	known := []string{"plan", "start", "status", "history", string(maintenance.Pause), string(maintenance.Resume), string(maintenance.AbortPlan), string(maintenance.SkipMachine),
-		string(maintenance.BeginWork), string(maintenance.EndWork), string(maintenance.ForgetPooler)}
+	known := []string{
+		"plan", "start", "status", "history", string(maintenance.Pause), string(maintenance.Resume), string(maintenance.AbortPlan), string(maintenance.SkipMachine),
+		string(maintenance.BeginWork), string(maintenance.EndWork), string(maintenance.ForgetPooler),
+	}
 	if !slices.Contains(known, verb) || len(rest) != names+1 {
 		return 0, false
 	}
--- a/internal/maintenance/lead_test.go
+++ b/internal/maintenance/lead_test.go
@@ -171,8 +171,10 @@
 	for _, e := range p.paper.read(t).History {
 		told = append(told, fmt.Sprint(e.Machine, " ", e.Text))
 	}
-	require.Equal(t, []string{" plan plan0 of 2 machines", "a1 agreed", "a1 free", "a1 at work", "a1 back", "a1 done", "a2 agreed", "a2 free", "a2 at work", "a2 back",
-		"a2 done", " the plan is over"}, told)
+	require.Equal(t, []string{
+		" plan plan0 of 2 machines", "a1 agreed", "a1 free", "a1 at work", "a1 back", "a1 done", "a2 agreed", "a2 free", "a2 at work", "a2 back",
+		"a2 done", " the plan is over",
+	}, told)
 	p.start(PlanSpec{Machines: []string{"a2"}, Fresh: 1})
 	require.Equal(t, uint64(3), p.until("a2", InMaintenance).Number, "numbers go on over plans")
 	require.Len(t, p.paper.read(t).Steps, 1, "steps of the plan before are gone")
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -113,8 +113,10 @@
 			load[g] = float64(n-2) * random.Float64()
 		}
 		all := slices.Sorted(maps.Keys(machines))
-		w := PlanSpec{Machines: slices.Clone(all), PerGroup: 1 + random.IntN(2), PerZone: 1 + random.IntN(3), InAll: 1 + random.IntN(4), Fresh: 1,
-			Margin: random.Float64() / 10}
+		w := PlanSpec{
+			Machines: slices.Clone(all), PerGroup: 1 + random.IntN(2), PerZone: 1 + random.IntN(3), InAll: 1 + random.IntN(4), Fresh: 1,
+			Margin: random.Float64() / 10,
+		}
 		random.Shuffle(len(w.Machines), func(i, j int) { w.Machines[i], w.Machines[j] = w.Machines[j], w.Machines[i] })
 		at, dead := map[string]State{}, map[string]bool{}
 		lead := func(from, to *Machine) { from.Primary, from.Fresh, to.Primary, to.Fresh = false, true, true, false }
