--- a/internal/maintenance/agent/hook.go
+++ b/internal/maintenance/agent/hook.go
@@ -20,6 +20,38 @@
 
 const hookSays = 300 // bytes of what a hook says that are kept
 
+// hook calls a hook, and writes how it ended. Only the pooler that called it knows; if its end cannot be written while this process
+// lives, nobody else may write it.
+func (d *Agent) hook(ctx context.Context, call maintenance.Call, self maintenance.Instance) {
+	d.pooler.Log.Info().Str("machine", call.Machine).Str("to", call.To).Uint64("number", call.Number).Msg("works: a hook is called")
+	ended := make(chan string, 1)
+	go func() { ended <- d.config.call(call) }()
+	var failed string
+	select {
+	case failed = <-ended:
+	case <-ctx.Done():
+		return
+	}
+	m := d.manner(self)
+	for ; ctx.Err() == nil; sleep(ctx, pause) {
+		r, err := d.whole(ctx)
+		if err != nil {
+			continue
+		}
+		o := m.HookResult(d.pooler.Clock(), wall(), r, call, failed)
+		if on, _, _ := o.Change(r); on == nil {
+			return // it is known, or of a try that is over
+		}
+		if !d.agree(ctx, o, r) {
+			continue
+		}
+		for _, again := range o.Calls {
+			d.ended.Go(func() { d.hook(ctx, again, self) })
+		}
+		return
+	}
+}
+
 // call calls the hook of a call and waits for its end; the text says why it failed. It is not ended with this process: work that is
 // broken off half way is worse than work of which nobody knows that it has ended.
 func (c Config) call(call maintenance.Call) (failed string) {
--- a/internal/maintenance/agent/look.go
+++ b/internal/maintenance/agent/observe.go
@@ -18,6 +18,23 @@
 	halves      = 10 * time.Minute // a peak of the load counts half after this
 )
 
+func (d *Agent) see(bears float64) maintenance.Observation {
+	f, s, leads := d.pooler.Core.Figures(), d.pooler.Fleet(), d.pooler.Store != nil && d.pooler.Store.Leads()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.looker.see(d.pooler.Clock(), f, s, leads, bears)
+}
+
+func (d *Agent) ask(databases []string) {
+	if len(databases) > 0 {
+		d.pooler.Do(func() {
+			for _, name := range databases {
+				d.pooler.Core.ProbeByName(name)
+			}
+		})
+	}
+}
+
 // looker makes of what a pooler sees, and of what the fleet's view has, what a plan is decided by.
 type looker struct {
 	zones []string
--- a/internal/maintenance/agent/show.go
+++ b/internal/maintenance/agent/operator.go
@@ -13,7 +13,6 @@
 	"slices"
 	"strconv"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
@@ -24,45 +23,6 @@
 	"capercove/internal/store"
 )
 
-// Overview is what operators see of a pooler's part.
-type Overview struct {
-	Name     string               `json:"name"`
-	Leads    bool                 `json:"leads"`            // the record
-	Record   []string             `json:"record"`           // where it is called
-	Revision uint64               `json:"revision"`         // of what this pooler has read
-	Lapses   int64                `json:"lapses_ms"`        // until the lease runs out; under 0: it has
-	Broken   string               `json:"broken,omitempty"` // why the record cannot be read
-	Off      []string             `json:"off,omitempty"`    // databases to which it sends nothing new
-	Out      map[string]int       `json:"out,omitempty"`    // requests that are out where it is to stop
-	Blind    int64                `json:"blind"`            // requests sent to what could be at work, as nothing else was left
-	Plan     maintenance.Plan     `json:"plan"`             // as this pooler has it, as the next
-	Steps    []maintenance.Step   `json:"steps"`
-	Look     maintenance.Snapshot `json:"look"`
-}
-
-// Overview is what this pooler sees and has read. It asks databases of which nothing has been heard of late, so that a later look has
-// more to see.
-func (d *Agent) Overview(bears float64) Overview {
-	seen := d.see(bears)
-	now := d.pooler.Clock()
-	var ask []string
-	for name, at := range seen.Heard {
-		if now-at > heardLately/3 {
-			ask = append(ask, name)
-		}
-	}
-	d.ask(ask)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	s := d.shown
-	s.Name, s.Leads, s.Record = d.pooler.Name, d.pooler.Store != nil && d.pooler.Store.Leads(), d.pooler.Client.At()
-	s.Revision, s.Lapses, s.Broken, s.Blind = d.at, (d.reader.LeaseEnd() - now).Milliseconds(), d.broken, d.pooler.Core.Figures().Blind
-	s.Plan, s.Steps, s.Look = d.record.Plan, d.record.PlanSteps(), seen.Snapshot
-	return s
-}
-
-// ---- Commands
-
 const (
 	callWaits = 2 * time.Second        // for a pooler, or the record
 	looks     = 5 * time.Second        // a plan that cannot be done is looked at again for so long, as evidence comes in
@@ -239,16 +199,18 @@
 	return w, nil
 }
 
-func (o *operator) order(order []maintenance.DryRunStep) {
-	t := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
-	for i, s := range order {
-		text := ""
-		if s.HandOver != "" {
-			text = "after " + s.HandOver + " has taken over"
-		}
-		fmt.Fprintf(t, "%d\t%s\tleaves %.2f\t%s\n", i+1, s.Machine, s.Leaves, text)
+func (o *operator) history(asJSON bool) error {
+	r, err := o.record()
+	if err != nil {
+		return err
+	}
+	if asJSON {
+		return json.NewEncoder(o.out).Encode(r.History)
 	}
-	t.Flush()
+	for _, e := range r.History {
+		fmt.Fprintln(o.out, strings.TrimSpace(fmt.Sprintf("%s %s: %s %s", time.UnixMilli(e.At).UTC().Format("2006-01-02 15:04:05.000"), e.By, e.Machine, e.Text)))
+	}
+	return nil
 }
 
 // Status is what status shows: the plan as a majority holds it, or as the pooler that was asked has it.
@@ -311,51 +273,3 @@
 		}
 	}
 }
-
-func (s Status) print(out io.Writer) {
-	switch {
-	case s.Plan.ID == "":
-		fmt.Fprintln(out, "no plan")
-		return
-	case !s.Agreed:
-		fmt.Fprintf(out, "as %s has it, %s\n", s.Pooler.Name, s.Why)
-	}
-	fmt.Fprintf(out, "plan %s: %s", s.Plan.ID, s.Plan.State)
-	if s.Plan.Why != "" {
-		fmt.Fprintf(out, " (%s)", s.Plan.Why)
-	}
-	fmt.Fprintln(out)
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for _, step := range s.Steps {
-		text := s.Waits[step.Machine]
-		switch {
-		case step.State == maintenance.Draining && len(s.Missed) > 0:
-			text = "not heard yet: " + strings.Join(s.Missed, " ")
-		case len(step.Unreachable) > 0:
-			text = strings.TrimSpace(text + " without " + strings.Join(step.Unreachable, " "))
-		}
-		number := ""
-		if step.Number > 0 {
-			number = strconv.FormatUint(step.Number, 10)
-		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", step.Machine, step.State, number, text)
-	}
-	t.Flush()
-	if h := s.Plan.HandOver; h != nil {
-		fmt.Fprintf(out, "%s is to take over from %s, %d\n", h.To, h.From, h.Number)
-	}
-}
-
-func (o *operator) history(asJSON bool) error {
-	r, err := o.record()
-	if err != nil {
-		return err
-	}
-	if asJSON {
-		return json.NewEncoder(o.out).Encode(r.History)
-	}
-	for _, e := range r.History {
-		fmt.Fprintln(o.out, strings.TrimSpace(fmt.Sprintf("%s %s: %s %s", time.UnixMilli(e.At).UTC().Format("2006-01-02 15:04:05.000"), e.By, e.Machine, e.Text)))
-	}
-	return nil
-}
--- a/internal/maintenance/agent/plant_test.go
+++ b/internal/maintenance/agent/plant_test.go
@@ -22,7 +22,7 @@
 		play  func(t *testing.T, r *run, h hook)
 	}{
 		"the lease does not bind": {
-			[]testbed.Edit{{File: "internal/maintenance/reader.go", Old: "case now < p.LeaseEnd():", New: "case p.known || now < p.LeaseEnd():"}},
+			[]testbed.Edit{{File: "internal/maintenance/follower.go", Old: "case now < p.LeaseEnd():", New: "case p.known || now < p.LeaseEnd():"}},
 			func(t *testing.T, r *run, h hook) { // one is cut off, and what it does not hear of is worked on
 				one := r.other(r.leader())
 				r.start("n3", two)
@@ -49,8 +49,8 @@
 		"a restart is forgotten": {
 			[]testbed.Edit{
 				{File: "internal/maintenance/agent/agent.go", Old: "return core.Blocks{All: true, ", New: "return core.Blocks{"},
-				{File: "internal/maintenance/agent/agent.go", Old: "off := core.Blocks{All: !d.reader.Known(), ", New: "off := core.Blocks{"},
-				{File: "internal/maintenance/reader.go", Old: "return p.known, false //", New: "return true, false //"},
+				{File: "internal/maintenance/agent/blocks.go", Old: "off := core.Blocks{All: !d.reader.Known(), ", New: "off := core.Blocks{"},
+				{File: "internal/maintenance/follower.go", Old: "return p.known, false //", New: "return true, false //"},
 			},
 			func(t *testing.T, r *run, h hook) { // one that had said that it stopped comes back, and reads nothing
 				r.start("n0", two)
