--- a/internal/maintenance/commands.go
+++ b/internal/maintenance/commands.go
@@ -33,7 +33,7 @@
 		}
 	}
 	o.Plan = &Plan{ID: id, Spec: w, State: Running, Number: r.Plan.Number}
-	o.tell(by, wall, "", 0, "plan %s of %d machines", id, len(order))
+	o.addHistory(by, wall, "", 0, "plan %s of %d machines", id, len(order))
 	return o, nil
 }
 
@@ -62,7 +62,7 @@
 			return o, fmt.Errorf("no pooler %q has said anything", name)
 		}
 		o.Forget = []string{name}
-		o.tell(by, wall, name, 0, "forgotten: it is gone for good")
+		o.addHistory(by, wall, name, 0, "forgotten: it is gone for good")
 		return o, nil
 	}
 	if !r.Plan.Active() {
@@ -81,7 +81,7 @@
 			return o, fmt.Errorf("the plan is %s", plan.State)
 		}
 		o.Plan = &plan
-		o.tell(by, wall, "", 0, "%s", plan.State)
+		o.addHistory(by, wall, "", 0, "%s", plan.State)
 		return o, nil
 	}
 	if !slices.Contains(r.Plan.Spec.Machines, name) {
@@ -104,6 +104,6 @@
 	if !done {
 		return o, fmt.Errorf("%s is %s", name, before)
 	}
-	o.put(by, wall, before, c.step, "")
+	o.putStep(by, wall, before, c.step, "")
 	return o, nil
 }
--- a/internal/maintenance/follower.go
+++ b/internal/maintenance/follower.go
@@ -9,21 +9,21 @@
 // request's path.
 type Follower struct {
 	rules    Rules
-	began    time.Duration
-	read     time.Duration
+	startedAt    time.Duration
+	renewedAt     time.Duration
 	known    bool   // it has read since it began
 	revision uint64 // of the newest that it has heard of
 	steps    map[string]Step
-	listed   []string // machines of the plan that are not over, in its order
+	unfinished   []string // machines of the plan that are not over, in its order
 }
 
 // NewFollower returns the reader of a pooler that has just begun, with nothing in mind.
-func NewFollower(now time.Duration, r Rules) *Follower { return &Follower{rules: r, began: now} }
+func NewFollower(now time.Duration, r Rules) *Follower { return &Follower{rules: r, startedAt: now} }
 
 // Refresh takes in the record as a majority held it at a moment after it was asked for. The lease counts from when that was: what has been
 // agreed since is not in it. Steps are in the order of the plan.
 func (p *Follower) Refresh(asked time.Duration, revision uint64, steps []Step) {
-	p.read = max(p.read, asked)
+	p.renewedAt = max(p.renewedAt, asked)
 	p.known = true
 	p.Observe(revision, steps)
 }
@@ -34,11 +34,11 @@
 		return
 	}
 	p.revision = revision
-	p.steps, p.listed = map[string]Step{}, nil
+	p.steps, p.unfinished = map[string]Step{}, nil
 	for _, s := range steps {
 		p.steps[s.Machine] = s
 		if !s.State.Finished() {
-			p.listed = append(p.listed, s.Machine)
+			p.unfinished = append(p.unfinished, s.Machine)
 		}
 	}
 }
@@ -49,9 +49,9 @@
 // LeaseEnd is when the lease runs out, if nothing is read before.
 func (p *Follower) LeaseEnd() time.Duration {
 	if !p.known {
-		return p.began + p.rules.Lease
+		return p.startedAt + p.rules.Lease
 	}
-	return p.read + p.rules.Lease
+	return p.renewedAt + p.rules.Lease
 }
 
 // MaySend tells whether anything new may be sent to a machine. The others are those of its group that could serve in its place. Blind tells
@@ -70,12 +70,12 @@
 	case !p.known:
 		return true, true
 	}
-	place := slices.Index(p.listed, machine)
+	place := slices.Index(p.unfinished, machine)
 	if place < 0 {
 		return true, false
 	}
 	for _, other := range others {
-		if k := slices.Index(p.listed, other); k < 0 || k > place && !barred(other) {
+		if k := slices.Index(p.unfinished, other); k < 0 || k > place && !barred(other) {
 			return false, false
 		}
 	}
--- a/internal/maintenance/hookresult.go
+++ b/internal/maintenance/hookresult.go
@@ -13,7 +13,7 @@
 		if plan.State == Running { // nothing further while nobody knows what has become of it
 			plan.State, plan.Why, o.Plan = Paused, text, &plan
 		}
-		o.tell(me, wall, call.Machine, call.Number, "%s", text)
+		o.addHistory(me, wall, call.Machine, call.Number, "%s", text)
 	}
 	if call.To != "" {
 		h := plan.HandOver
@@ -36,10 +36,10 @@
 	switch {
 	case failed != "" && c.step.State == InMaintenance && c.on(Event{Kind: HookStarted, Instance: m.Self}):
 		o.Calls = append(o.Calls, call)
-		o.put(me, wall, before, c.step, "")
-		o.tell(me, wall, call.Machine, call.Number, "called again, as the work failed: %s", failed)
+		o.putStep(me, wall, before, c.step, "")
+		o.addHistory(me, wall, call.Machine, call.Number, "called again, as the work failed: %s", failed)
 	case c.on(Event{Kind: HookFinished, OK: failed == ""}):
-		o.put(me, wall, before, c.step, failed)
+		o.putStep(me, wall, before, c.step, failed)
 		if failed != "" {
 			stop(fmt.Sprintf("the work on %s failed: %s", call.Machine, failed))
 		}
--- a/internal/maintenance/leader.go
+++ b/internal/maintenance/leader.go
@@ -37,8 +37,8 @@
 // Leader takes a plan through, look by look. It holds what only this pooler knows: since when it has seen what, on its own clock, as
 // no other's can be compared. A new leader begins with nothing and waits anew.
 type Leader struct {
-	manner Policy
-	seen   map[string]sight // by machine
+	policy Policy
+	tracked   map[string]stepTrack // by machine
 	window window
 }
 
@@ -49,7 +49,7 @@
 	left   time.Duration // from then on, by the wall clock as it was then
 }
 
-type sight struct {
+type stepTrack struct {
 	number uint64
 	state  State
 	at     time.Duration
@@ -57,7 +57,7 @@
 }
 
 // NewLeader returns one that has seen nothing yet.
-func NewLeader(m Policy) *Leader { return &Leader{manner: m, seen: map[string]sight{}} }
+func NewLeader(m Policy) *Leader { return &Leader{policy: m, tracked: map[string]stepTrack{}} }
 
 // evidence that is older is asked for.
 const evidence = 2 * time.Second
@@ -65,14 +65,14 @@
 // Propose decides what to do next. Wall is the Unix time, to be shown, and to find how much of the plan's time is left
 // when it is first seen. No step of the wall clock changes anything else.
 func (l *Leader) Propose(now, wall time.Duration, r Record, s Observation) (o Proposal) {
-	me := l.manner.Self.Name
+	me := l.policy.Self.Name
 	for _, name := range slices.Sorted(maps.Keys(r.Statuses)) {
 		if _, lives := s.Incarnations[name]; !lives && leftSince(r.Statuses[name].Incarnation, s.Left[name]) {
 			o.Forget = append(o.Forget, name)
 		}
 	}
 	if !r.Plan.Active() {
-		clear(l.seen)
+		clear(l.tracked)
 		return o
 	}
 	plan := r.Plan
@@ -85,7 +85,7 @@
 		last := l.see(now, step, s)
 		c.step.Since = last.at // against another leader's clock: counted from when this one saw it
 		if why, changed := l.further(c, &plan, last, r, s, &o); changed {
-			o.put(me, wall, step.State, c.step, why)
+			o.putStep(me, wall, step.State, c.step, why)
 		}
 		at[step.Machine] = c.step.State
 	}
@@ -123,26 +123,26 @@
 
 // next takes, hands over or asks back what the planner names.
 func (l *Leader) next(c *course, plan *Plan, at map[string]State, r Record, s Observation, o *Proposal, wall time.Duration) {
-	me := l.manner.Self.Name
+	me := l.policy.Self.Name
 	out := slices.ContainsFunc(plan.Spec.Machines, func(name string) bool { return at[name].Unavailable() })
 	switch d := Decide(plan.Spec, at, s.Snapshot); {
 	case d.Complete, plan.State == Aborting && !out:
 		plan.State, plan.Why, plan.HandOver = Finished, "", nil
-		o.tell(me, wall, "", 0, "the plan is over")
+		o.addHistory(me, wall, "", 0, "the plan is over")
 	case plan.State != Running:
 	case !plan.Spec.Until.IsZero() && c.now-l.window.opened > l.window.left:
 		plan.State, plan.Why = Paused, "the time for it is over"
-		o.tell(me, wall, "", 0, "%s: %s", plan.State, plan.Why)
+		o.addHistory(me, wall, "", 0, "%s: %s", plan.State, plan.Why)
 	case d.PutBack != "":
 		c.step = r.step(d.PutBack)
 		if c.on(Event{Kind: PutBack}) {
-			o.put(me, wall, at[d.PutBack], c.step, "asked back, as its group has become too small")
+			o.putStep(me, wall, at[d.PutBack], c.step, "asked back, as its group has become too small")
 		}
 	case plan.HandOver != nil:
 	case d.HandOver[0] != "":
 		plan.Number++
 		plan.HandOver = &HandOver{From: d.HandOver[0], To: d.HandOver[1], Number: plan.Number}
-		o.tell(me, wall, d.HandOver[0], plan.Number, "%s is to take over", d.HandOver[1])
+		o.addHistory(me, wall, d.HandOver[0], plan.Number, "%s is to take over", d.HandOver[1])
 	case d.Take != "" && s.Machines[d.Take].Leads:
 		o.Resign = true
 	case d.Take != "":
@@ -150,7 +150,7 @@
 		c.step = r.step(d.Take)
 		if next, err := c.step.Apply(Event{Kind: Take, Number: plan.Number}, c.now, c.fleet, c.rules); err == nil {
 			next.Incarnation = s.Machines[d.Take].Incarnation
-			o.put(me, wall, at[d.Take], next, "")
+			o.putStep(me, wall, at[d.Take], next, "")
 		}
 	}
 }
@@ -174,18 +174,18 @@
 
 // rules are those that bind all poolers: the longest lease of any.
 func (l *Leader) rules(r Record) Rules {
-	lease := l.manner.Lease
+	lease := l.policy.Lease
 	for _, word := range r.Statuses {
 		lease = max(lease, time.Duration(word.LeaseMS)*time.Millisecond)
 	}
-	return Rules{Lease: lease, Skew: l.manner.Skew, IgnoreUnreachable: r.Plan.Spec.IgnoreUnreachable, Calls: l.manner.Calls}
+	return Rules{Lease: lease, Skew: l.policy.Skew, IgnoreUnreachable: r.Plan.Spec.IgnoreUnreachable, Calls: l.policy.Calls}
 }
 
 // see keeps since when a step is as it is, and its machine is well.
-func (l *Leader) see(now time.Duration, step Step, s Observation) sight {
-	last := l.seen[step.Machine]
+func (l *Leader) see(now time.Duration, step Step, s Observation) stepTrack {
+	last := l.tracked[step.Machine]
 	if last.number != step.Number || last.state != step.State {
-		last = sight{number: step.Number, state: step.State, at: now}
+		last = stepTrack{number: step.Number, state: step.State, at: now}
 	}
 	m := s.Machines[step.Machine]
 	if well := m != nil && m.ready() && (m.Kind == Pooler && m.Incarnation > step.Incarnation || m.Kind == Database && s.Heard[m.Name] > last.at); !well {
@@ -193,7 +193,7 @@
 	} else if last.well == 0 {
 		last.well = now
 	}
-	l.seen[step.Machine] = last
+	l.tracked[step.Machine] = last
 	return last
 }
 
@@ -216,7 +216,7 @@
 }
 
 // further takes one step further, and tells whether anything has changed.
-func (l *Leader) further(c *course, plan *Plan, last sight, r Record, s Observation, o *Proposal) (why string, changed bool) {
+func (l *Leader) further(c *course, plan *Plan, last stepTrack, r Record, s Observation, o *Proposal) (why string, changed bool) {
 	name := c.step.Machine
 	if plan.State == Aborting && c.on(Event{Kind: Abort}) {
 		return "given up by the operators", true
@@ -241,17 +241,17 @@
 		}
 		return why, true
 	case Drained:
-		if !l.manner.Hook || plan.State != Running || !c.on(Event{Kind: HookStarted, Instance: l.manner.Self}) {
+		if !l.policy.Hook || plan.State != Running || !c.on(Event{Kind: HookStarted, Instance: l.policy.Self}) {
 			return "", false
 		}
 	case InMaintenance: // Whoever calls the hook writes how it ended; who is gone does not.
-		if !l.manner.Hook || c.step.HookCaller == (Instance{}) || alive(c.step.HookCaller, s) || !c.on(Event{Kind: HookStarted, Instance: l.manner.Self}) {
+		if !l.policy.Hook || c.step.HookCaller == (Instance{}) || alive(c.step.HookCaller, s) || !c.on(Event{Kind: HookStarted, Instance: l.policy.Self}) {
 			return "", false
 		}
 		o.Calls = append(o.Calls, Call{Machine: name, Number: c.step.Number})
 		return "", true
 	case Recovering:
-		return "", last.well > 0 && c.now-last.well >= l.manner.Settle && c.on(Event{Kind: Ready})
+		return "", last.well > 0 && c.now-last.well >= l.policy.Settle && c.on(Event{Kind: Ready})
 	default:
 		return "", false
 	}
@@ -273,12 +273,12 @@
 	switch to, from := s.Machines[h.To], s.Machines[h.From]; {
 	case to != nil && to.Primary && (from == nil || !from.Primary):
 		plan.HandOver = nil
-		o.tell(l.manner.Self.Name, wall, h.From, h.Number, "%s has taken over", h.To)
+		o.addHistory(l.policy.Self.Name, wall, h.From, h.Number, "%s has taken over", h.To)
 	case plan.State == Aborting || to == nil || !to.ready():
 		plan.HandOver = nil
-		o.tell(l.manner.Self.Name, wall, h.From, h.Number, "%s does not take over", h.To)
-	case l.manner.HandsOver && plan.State == Running && h.HookCalls < max(1, l.manner.Calls) && (h.HookCaller == Instance{} || !alive(h.HookCaller, s)):
-		plan.HandOver = &HandOver{From: h.From, To: h.To, Number: h.Number, HookCalls: h.HookCalls + 1, HookCaller: l.manner.Self}
+		o.addHistory(l.policy.Self.Name, wall, h.From, h.Number, "%s does not take over", h.To)
+	case l.policy.HandsOver && plan.State == Running && h.HookCalls < max(1, l.policy.Calls) && (h.HookCaller == Instance{} || !alive(h.HookCaller, s)):
+		plan.HandOver = &HandOver{From: h.From, To: h.To, Number: h.Number, HookCalls: h.HookCalls + 1, HookCaller: l.policy.Self}
 		o.Calls = append(o.Calls, Call{Machine: h.From, To: h.To, Number: h.Number})
 	}
 }
--- a/internal/maintenance/leader_test.go
+++ b/internal/maintenance/leader_test.go
@@ -140,7 +140,7 @@
 
 func (p *play) ended(c Call, failed string) Proposal {
 	r := p.paper.read(p.t)
-	o := p.leader.manner.HookResult(p.now, p.now, r, c, failed)
+	o := p.leader.policy.HookResult(p.now, p.now, r, c, failed)
 	require.True(p.t, p.paper.write(r, o))
 	return o
 }
--- a/internal/maintenance/model_test.go
+++ b/internal/maintenance/model_test.go
@@ -109,7 +109,7 @@
 		var b strings.Builder
 		fmt.Fprint(&b, a.up, a.life, a.out, w.lives[name], w.freed[name], w.step.Stopped[name], slices.Contains(w.step.Unreachable, name))
 		if r := a.reader; r != nil {
-			fmt.Fprint(&b, " ", r.known, min(w.now-r.read, 3*tick), min(w.now-r.began, 3*tick), a.blind, r.steps["m"].State, r.steps["m"].Number)
+			fmt.Fprint(&b, " ", r.known, min(w.now-r.renewedAt, 3*tick), min(w.now-r.startedAt, 3*tick), a.blind, r.steps["m"].State, r.steps["m"].Number)
 		}
 		if a.pending != nil {
 			fmt.Fprint(&b, " asked ", w.now-a.pending.asked, a.pending.step.State, a.pending.step.Number)
@@ -203,7 +203,7 @@
 			add(c)
 		}
 		if a.pending == nil {
-			if r := a.reader; !r.known || r.read < w.now || r.steps["m"].State != w.step.State {
+			if r := a.reader; !r.known || r.renewedAt < w.now || r.steps["m"].State != w.step.State {
 				c := w.clone("%s reads the record", name)
 				m.read(c.actors[i].reader, w.now, w.now, w.step)
 				add(c)
@@ -349,7 +349,7 @@
 			m.read = func(r *Follower, _, now time.Duration, s Step) { r.Refresh(now, revision(s), []Step{s}) }
 		}},
 		"the lease does not bind": {"a pooler that is cut off", func(m *made) {
-			m.may = func(r *Follower, now time.Duration) (bool, bool) { return r.MaySend(r.read, "m", []string{"other"}) }
+			m.may = func(r *Follower, now time.Duration) (bool, bool) { return r.MaySend(r.renewedAt, "m", []string{"other"}) }
 		}},
 		"one that begins does not read first": {"a crash and a restart", func(m *made) {
 			m.may = func(r *Follower, now time.Duration) (bool, bool) {
--- a/internal/maintenance/proposal.go
+++ b/internal/maintenance/proposal.go
@@ -54,12 +54,12 @@
 	return on, set, deleted
 }
 
-func (o *Proposal) tell(by string, wall time.Duration, machine string, number uint64, text string, a ...any) {
+func (o *Proposal) addHistory(by string, wall time.Duration, machine string, number uint64, text string, a ...any) {
 	o.History = append(o.History, HistoryEntry{At: wall.Milliseconds(), By: by, Machine: machine, Number: number, Text: fmt.Sprintf(text, a...)})
 }
 
-// put adds a changed step, with an entry if its state has changed.
-func (o *Proposal) put(by string, wall time.Duration, before State, s Step, why string) {
+// putStep adds a changed step, with an entry if its state has changed.
+func (o *Proposal) putStep(by string, wall time.Duration, before State, s Step, why string) {
 	if o.Steps == nil {
 		o.Steps = map[string]Step{}
 	}
@@ -69,6 +69,6 @@
 		if why != "" {
 			why = ": " + why
 		}
-		o.tell(by, wall, s.Machine, s.Number, "%s%s", s.State, why)
+		o.addHistory(by, wall, s.Machine, s.Number, "%s%s", s.State, why)
 	}
 }
--- a/internal/maintenance/record.go
+++ b/internal/maintenance/record.go
@@ -12,7 +12,7 @@
 	KeyPrefix      = "works/"
 	keyPlan        = FollowedPrefix + "plan"
 	keyStep        = FollowedPrefix + "step/" // of each machine
-	keyWord        = "works/said/"            // of each pooler
+	keyStatus        = "works/said/"            // of each pooler
 	keyHistory     = "works/history"
 
 	machinesMost = 400 // of a plan: the record has room for so many steps
@@ -20,7 +20,7 @@
 )
 
 // StatusKey is where a pooler's word stands.
-func StatusKey(pooler string) string { return keyWord + pooler }
+func StatusKey(pooler string) string { return keyStatus + pooler }
 
 // Plan is what operators have handed in, as it stands in the record.
 type Plan struct {
@@ -96,10 +96,10 @@
 			var s Step
 			e = json.Unmarshal(text, &s)
 			r.Steps[strings.TrimPrefix(key, keyStep)] = s
-		case strings.HasPrefix(key, keyWord):
+		case strings.HasPrefix(key, keyStatus):
 			var w PoolerStatus
 			e = json.Unmarshal(text, &w)
-			r.Statuses[strings.TrimPrefix(key, keyWord)] = w
+			r.Statuses[strings.TrimPrefix(key, keyStatus)] = w
 		}
 		if e != nil {
 			return r, fmt.Errorf("%s: %w", key, e)
