--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -7,193 +7,195 @@
 	"time"
 )
 
-// State is how far a machine is.
-type State uint8
-
-const (
-	Waiting       State = iota // nothing has been agreed
-	Draining                   // nobody may begin anything new there; the poolers are being told
-	Drained                    // nobody sends anything there: the work may begin
-	InMaintenance              // the hook has been started, or a person has confirmed it
-	Recovering                 // the work is over: it may be sent to again, as a cold one
-	Done                       // it is warm, has caught up and is seen well
-	Skipped                    // by the operators
-	RolledBack                 // given up and put back
-)
-
-var stateNames = [...]string{"waiting", "agreed", "free", "at work", "back", "done", "skipped", "undone"}
-
-func (s State) String() string { return stateNames[s] }
-
-func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
-
-func (s *State) UnmarshalText(text []byte) error {
-	i := slices.Index(stateNames[:], string(text))
-	if i < 0 {
-		return fmt.Errorf("no state of a step: %q", text)
-	}
-	*s = State(i)
-	return nil
-}
-
-// Unavailable tells whether the machine is missing because of the plan.
-func (s State) Unavailable() bool { return s >= Draining && s <= Recovering }
-
-// Finished tells whether nothing is left to be done about it.
-func (s State) Finished() bool { return s >= Done }
-
-// Blocked tells whether nothing new may be sent there.
-func (s State) Blocked() bool { return s >= Draining && s <= InMaintenance }
-
-// Instance is one life of a pooler: what one said before a restart does not bind the next.
+// Instance is a pooler with its incarnation: what it wrote before a restart does not bind it after that.
 type Instance struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Step is the course of one machine, as it stands in the record. It is a value: On returns the next.
+// Step is the progress of one machine, as it stands in the record. It is a value: Apply returns the next.
 type Step struct {
-	Machine     string            `json:"machine"`
-	State       State             `json:"state"`
-	Number      uint64            `json:"number"`            // fencing: each try of a step has one of its own, higher than all before
-	Since       time.Duration     `json:"since_ns"`          // of the state, on the clock of who wrote it
-	Stopped     map[string]uint64 `json:"stopped,omitempty"` // poolers that have nothing out there and begin nothing, with the incarnation that said so
-	Unreachable []string          `json:"without,omitempty"` // poolers that were not heard, and whose lease has run out
-	HookCalls   int               `json:"hooks,omitempty"`   // times the hook has been called for this number; each call has the same id
-	HookCaller  Instance          `json:"by,omitzero"`       // who called it last; the zero value: a person does the work
-	Incarnation uint64            `json:"life,omitempty"`    // of a pooler: the incarnation that was taken out
+	Machine string `json:"machine"`
+	State   State  `json:"state"`
+	// Number is the fencing number: each attempt of a step has one of its own, higher than all before.
+	Number uint64 `json:"number"`
+	// Since is when the state began, on the clock of the pooler that wrote it.
+	Since time.Duration `json:"since_ns"`
+	// Stopped are the poolers that have no request in flight to the machine and send none, with the incarnation that
+	// reported it.
+	Stopped map[string]uint64 `json:"stopped,omitempty"`
+	// Unreachable are the poolers that did not report, and whose lease has run out.
+	Unreachable []string `json:"without,omitempty"`
+	// HookCalls counts the calls of the hook for this number. Each call has the same ID.
+	HookCalls int `json:"hooks,omitempty"`
+	// HookCaller called the hook last. The zero value: a person does the work.
+	HookCaller Instance `json:"by,omitzero"`
+	// Incarnation is, of a pooler, the one that was taken out.
+	Incarnation uint64 `json:"life,omitempty"`
 }
 
-// Poolers is who could send to a machine, as the record's leader knows.
+// Poolers are those that could send to a machine, as the record's leader knows them.
 type Poolers struct {
-	Incarnations map[string]uint64 // poolers that live or went without a word, with their last incarnation
-	PlanReadBy   map[string]uint64 // ... and in which incarnation each said last that it has read the plan, which lists all its machines
+	// Incarnations has the last incarnation of each pooler that is live, or that went without leaving.
+	Incarnations map[string]uint64
+	// PlanReadBy has the incarnation in which each last reported that it has read the plan, which lists all machines.
+	PlanReadBy map[string]uint64
 }
 
-// Rules are the operators' choices and the times that all share.
+// Rules are the operators' choices and the times that all poolers share.
 type Rules struct {
-	Lease             time.Duration // a pooler that has not read the record for so long sends nothing to a machine that could be at work
-	Skew              time.Duration // clocks differ by this at the most
-	IgnoreUnreachable bool          // without a pooler that is not heard, once its lease must have run out; otherwise the step waits for it
-	Calls             int           // of a hook that fails, at the most; 0: one
-}
-
-// Event is what befalls a step.
-type Event struct {
-	Kind     EventKind
-	Number   uint64   // of the try that it is about
-	Instance Instance // Said: whose word it is; HookCall: who calls
-	OK       bool     // HookOver: the work was done
+	// Lease is how long a pooler that does not read the record may send to a machine that could be in maintenance.
+	Lease time.Duration
+	// Skew is by how much two clocks differ at the most.
+	Skew time.Duration
+	// IgnoreUnreachable lets a step go on without a pooler that does not report, once its lease must have run out.
+	// Otherwise the step waits for it.
+	IgnoreUnreachable bool
+	// Calls is how often a hook that fails is called at the most; 0: once.
+	Calls int
 }
 
-type EventKind uint8
-
-const (
-	Take          EventKind = iota // the planner's choice; Number is a new one
-	PoolerStopped                  // a pooler has stopped
-	Reevaluate                     // time has passed, or who lives has changed
-	HookStarted                    // the hook is about to be called, or a person says that the work begins
-	HookFinished                   // it has ended
-	Ready                          // the machine is warm, has caught up, and is seen well
-	Skip
-	Abort
-	PutBack // the group needs the machine: it is put back, and taken anew later
-)
+// maxCalls is how often the hook may be called for one attempt.
+func (r Rules) maxCalls() int { return max(1, r.Calls) }
 
-// Apply takes in an event. An error tells that the event does not fit, as one of an older try or a repeated one; the step stays as it is.
-func (s Step) Apply(e Event, now time.Duration, f Poolers, r Rules) (Step, error) {
-	if e.Kind != Take && e.Number != s.Number { // Against the late word of an earlier try.
-		return s, fmt.Errorf("%s: number %d is not the present one, %d", s.Machine, e.Number, s.Number)
-	}
-	odd := fmt.Errorf("%s: event %d does not fit state %q", s.Machine, e.Kind, s.State)
-	next := func(to State) Step {
-		s.State, s.Since = to, now
-		return s
+// Apply returns the step after an event. The error is an *EventError if the event does not fit, as one of an earlier
+// attempt or a repeated one; the step is then returned unchanged.
+func (s Step) Apply(event Event, now time.Duration, poolers Poolers, rules Rules) (Step, error) {
+	if event.Kind != Take && event.Number != s.Number { // It prevents that a late report of an earlier attempt counts.
+		return s, s.rejects(event, fmt.Sprintf("number %d is not the present one, %d", event.Number, s.Number))
 	}
-	switch e.Kind {
+	switch event.Kind {
 	case Take:
-		if s.State != Waiting && s.State != RolledBack && s.State != Skipped || e.Number <= s.Number {
-			return s, odd
-		}
-		s.Number, s.Stopped, s.Unreachable, s.HookCalls, s.HookCaller, s.Incarnation = e.Number, map[string]uint64{}, nil, 0, Instance{}, 0
-		return next(Draining), nil
+		return s.take(event, now)
 	case PoolerStopped:
-		if s.State != Draining {
-			return s, odd
-		}
-		if f.Incarnations[e.Instance.Name] > e.Instance.Incarnation { // Against the word of a life that is over.
-			return s, fmt.Errorf("%s: %s has restarted since it said so", s.Machine, e.Instance.Name)
-		}
-		if s.Stopped = maps.Clone(s.Stopped); s.Stopped == nil { // as it comes from the record, where an empty one is left out
-			s.Stopped = map[string]uint64{}
-		}
-		s.Stopped[e.Instance.Name] = max(s.Stopped[e.Instance.Name], e.Instance.Incarnation)
-		return s.free(now, f, r), nil
+		return s.poolerStopped(event, now, poolers, rules)
 	case Reevaluate:
-		if s.State == Draining {
-			s = s.free(now, f, r)
-		}
-		return s, nil
+		return s.reevaluate(now, poolers, rules), nil
 	case HookStarted:
-		// Called again only where the call before has not begun the work as far as is known, with the same number: who runs it must
-		// take the number for the work's name.
-		if s.State != Drained && s.State != InMaintenance || s.HookCalls >= max(1, r.Calls) {
-			return s, odd
-		}
-		s.HookCalls++
-		s.HookCaller = e.Instance
-		if s.State == Drained {
-			return next(InMaintenance), nil
-		}
-		return s, nil
+		return s.hookStarted(event, now, rules)
 	case HookFinished:
-		if s.State != InMaintenance {
-			return s, odd
-		}
-		if !e.OK && s.HookCalls < max(1, r.Calls) {
-			return s, nil // it is called again
-		}
-		return next(Recovering), nil
+		return s.hookFinished(event, now, rules)
 	case Ready:
-		if s.State != Recovering {
-			return s, odd
-		}
-		return next(Done), nil
+		return s.moveFrom(event, now, Done, Recovering)
 	case Skip:
-		if s.State != Waiting {
-			return s, odd
-		}
-		return next(Skipped), nil
+		return s.moveFrom(event, now, Skipped, Waiting)
 	case PutBack:
-		if s.State != Draining && s.State != Drained {
-			return s, odd
-		}
-		return next(Waiting), nil
+		return s.moveFrom(event, now, Waiting, Draining, Drained)
 	case Abort:
-		switch {
-		case s.State == InMaintenance: // Somebody has the machine open: it comes back when the hook ends, or a person says so.
-			return s, fmt.Errorf("%s: at work; it comes back when that is over", s.Machine)
-		case s.State == Recovering || s.State.Finished():
-			return s, odd
-		}
-		return next(RolledBack), nil
+		return s.abort(event, now)
 	}
-	return s, odd
+	return s, s.rejects(event, "")
 }
 
-// free lets the work begin once every pooler has stopped in its present life. One that is not heard is no yes: by the operators'
-// choice the step waits for it, or goes on once its lease must have run out, and that is said. Never without one that has not
-// read the plan in its present life: it does not know what could be at work, so its lease protects nothing.
-func (s Step) free(now time.Duration, f Poolers, r Rules) Step {
-	var without []string
-	for _, name := range slices.Sorted(maps.Keys(f.Incarnations)) {
-		if life := f.Incarnations[name]; s.Stopped[name] < life {
-			if !r.IgnoreUnreachable || f.PlanReadBy[name] < life || now-s.Since < r.Lease+r.Skew {
-				return s
-			}
-			without = append(without, name)
+// rejects returns the error of an event that does not fit.
+func (s Step) rejects(event Event, reason string) error {
+	return &EventError{Machine: s.Machine, Kind: event.Kind, State: s.State, Reason: reason}
+}
+
+// moved returns the step in another state.
+func (s Step) moved(to State, now time.Duration) Step {
+	s.State, s.Since = to, now
+	return s
+}
+
+// moveFrom moves the step to a state, if it is in one of those named.
+func (s Step) moveFrom(event Event, now time.Duration, to State, from ...State) (Step, error) {
+	if !slices.Contains(from, s.State) {
+		return s, s.rejects(event, "")
+	}
+	return s.moved(to, now), nil
+}
+
+// take begins a new attempt.
+func (s Step) take(event Event, now time.Duration) (Step, error) {
+	takeable := s.State == Waiting || s.State == RolledBack || s.State == Skipped
+	if !takeable || event.Number <= s.Number {
+		return s, s.rejects(event, "")
+	}
+	return Step{
+		Machine: s.Machine,
+		State:   Draining,
+		Number:  event.Number,
+		Since:   now,
+		Stopped: map[string]uint64{},
+	}, nil
+}
+
+// poolerStopped notes that a pooler has stopped, and lets the work begin if it was the last.
+func (s Step) poolerStopped(event Event, now time.Duration, poolers Poolers, rules Rules) (Step, error) {
+	if s.State != Draining {
+		return s, s.rejects(event, "")
+	}
+	reporter := event.Instance
+	if poolers.Incarnations[reporter.Name] > reporter.Incarnation { // It prevents that a report from before a restart counts.
+		return s, s.rejects(event, reporter.Name+" has restarted since it reported")
+	}
+	stopped := maps.Clone(s.Stopped)
+	if stopped == nil { // The record leaves out an empty one.
+		stopped = map[string]uint64{}
+	}
+	stopped[reporter.Name] = max(stopped[reporter.Name], reporter.Incarnation)
+	s.Stopped = stopped
+	return s.reevaluate(now, poolers, rules), nil
+}
+
+// reevaluate lets the work begin once every pooler has stopped in its present incarnation. A pooler that does not report
+// has not agreed: by the operators' choice the step waits for it, or goes on once its lease must have run out and names
+// it. It never goes on without one that has not read the plan in its present incarnation: such a pooler does not
+// know what could be in maintenance, so its lease protects nothing.
+func (s Step) reevaluate(now time.Duration, poolers Poolers, rules Rules) Step {
+	if s.State != Draining {
+		return s
+	}
+	leasesOver := now-s.Since >= rules.Lease+rules.Skew
+	var unreachable []string
+	for _, name := range slices.Sorted(maps.Keys(poolers.Incarnations)) {
+		incarnation := poolers.Incarnations[name]
+		if s.Stopped[name] >= incarnation {
+			continue
+		}
+		if !rules.IgnoreUnreachable || poolers.PlanReadBy[name] < incarnation || !leasesOver {
+			return s
 		}
+		unreachable = append(unreachable, name)
 	}
-	s.State, s.Since, s.Unreachable = Drained, now, without
-	return s
+	s.Unreachable = unreachable
+	return s.moved(Drained, now)
+}
+
+// hookStarted notes a call of the hook. It is called again only where, as far as is known, the call before has not begun
+// the work, and with the same number: whoever runs the hook must take the number as the work's name.
+func (s Step) hookStarted(event Event, now time.Duration, rules Rules) (Step, error) {
+	callable := s.State == Drained || s.State == InMaintenance
+	if !callable || s.HookCalls >= rules.maxCalls() {
+		return s, s.rejects(event, "")
+	}
+	s.HookCalls++
+	s.HookCaller = event.Instance
+	if s.State == Drained {
+		s = s.moved(InMaintenance, now)
+	}
+	return s, nil
+}
+
+// hookFinished ends the work, unless it failed and the hook may be called again.
+func (s Step) hookFinished(event Event, now time.Duration, rules Rules) (Step, error) {
+	if s.State != InMaintenance {
+		return s, s.rejects(event, "")
+	}
+	if !event.OK && s.HookCalls < rules.maxCalls() {
+		return s, nil
+	}
+	return s.moved(Recovering, now), nil
+}
+
+// abort rolls the step back, unless the work has begun.
+func (s Step) abort(event Event, now time.Duration) (Step, error) {
+	switch {
+	case s.State == InMaintenance: // Somebody works on the machine: it comes back when the hook ends, or a person says so.
+		return s, s.rejects(event, "the work has begun; the machine comes back when it is over")
+	case s.State == Recovering || s.State.Finished():
+		return s, s.rejects(event, "")
+	}
+	return s.moved(RolledBack, now), nil
 }
