--- a/internal/maintenance/dryrun.go
+++ b/internal/maintenance/dryrun.go
@@ -1,6 +1,7 @@
 package maintenance
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 )
@@ -8,42 +9,54 @@
 // DryRunStep is one step of a dry run.
 type DryRunStep struct {
 	Machine  string
-	HandOver string  // who takes over first, of a primary
+	HandOver string  // of a primary: the replica that takes over first
 	Leaves   float64 // what its group could do beyond its load meanwhile
 }
 
-// DryRun plays the wish through as if all went well, one after the other, and returns the order. If it cannot be done, why names each
-// machine that is left and its constraint; those in the order are the nearest wish that can.
-func DryRun(w PlanSpec, look Snapshot) (order []DryRunStep, why error) {
-	now := Snapshot{Machines: map[string]*Machine{}, Load: look.Load}
-	for name, m := range look.Machines {
-		c := *m
-		now.Machines[name] = &c
-	}
-	at := map[string]State{}
-	for range 2*len(w.Machines) + 1 {
-		d := Decide(w, at, now)
-		switch {
-		case d.Complete:
+// DryRun plays the plan through as if all went well, one machine after the other, and returns the order. If the plan cannot
+// be done, the error names each machine that is left with its constraint, and the order is as far as the plan goes.
+func DryRun(spec PlanSpec, snapshot Snapshot) (order []DryRunStep, err error) {
+	now := snapshot.clone()
+	states := map[string]State{}
+	for range 2*len(spec.Machines) + 1 {
+		p := &planner{spec: spec, states: states, snapshot: now}
+		switch decision := Decide(spec, states, now); {
+		case decision.Complete:
 			return order, nil
-		case d.HandOver[0] != "":
-			from, to := now.Machines[d.HandOver[0]], now.Machines[d.HandOver[1]]
+		case decision.HandOver[0] != "":
+			from, to := now.Machines[decision.HandOver[0]], now.Machines[decision.HandOver[1]]
 			from.Primary, from.Fresh, to.Primary = false, true, true
-			order = append(order, DryRunStep{from.Name, to.Name, (&planner{w, at, now}).spare(from)})
-			at[from.Name] = Done // it was the last of its group
-		case d.Take != "":
-			m := now.Machines[d.Take]
-			order = append(order, DryRunStep{m.Name, "", (&planner{w, at, now}).spare(m)})
-			at[m.Name] = Done
+			order = append(order, DryRunStep{Machine: from.Name, HandOver: to.Name, Leaves: p.spare(from)})
+			states[from.Name] = Done // it was the last of its group
+		case decision.Take != "":
+			machine := now.Machines[decision.Take]
+			order = append(order, DryRunStep{Machine: machine.Name, Leaves: p.spare(machine)})
+			states[machine.Name] = Done
 		default:
-			var lines []string
-			for _, name := range w.Machines {
-				if text := d.Reasons[name]; text != "" {
-					lines = append(lines, name+": "+text)
-				}
-			}
-			return order, fmt.Errorf("%d of %d machines cannot be taken: %s", len(lines), len(w.Machines), strings.Join(lines, "; "))
+			return order, notPossible(spec, decision.Reasons)
+		}
+	}
+	return order, errors.New("the plan does not end") // a fault of this program
+}
+
+// clone returns a copy whose machines can be changed.
+func (s Snapshot) clone() Snapshot {
+	copied := Snapshot{Machines: map[string]*Machine{}, Load: s.Load}
+	for name, machine := range s.Machines {
+		value := *machine
+		copied.Machines[name] = &value
+	}
+	return copied
+}
+
+// notPossible is the error that names the constraint of each machine that is left.
+func notPossible(spec PlanSpec, reasons map[string]string) error {
+	var lines []string
+	for _, name := range spec.Machines {
+		if reason := reasons[name]; reason != "" {
+			lines = append(lines, name+": "+reason)
 		}
 	}
-	return order, fmt.Errorf("the plan does not end") // a fault of this program
+	all := strings.Join(lines, "; ")
+	return fmt.Errorf("%d of %d machines cannot be taken: %s", len(lines), len(spec.Machines), all)
 }
--- a/internal/maintenance/follower.go
+++ b/internal/maintenance/follower.go
@@ -8,13 +8,13 @@
 // Follower is a pooler's part: where it may send, by what it has read of the record. It knows its own lease alone, and asks nobody on a
 // request's path.
 type Follower struct {
-	rules    Rules
-	startedAt    time.Duration
-	renewedAt     time.Duration
-	known    bool   // it has read since it began
-	revision uint64 // of the newest that it has heard of
-	steps    map[string]Step
-	unfinished   []string // machines of the plan that are not over, in its order
+	rules      Rules
+	startedAt  time.Duration
+	renewedAt  time.Duration
+	known      bool   // it has read since it began
+	revision   uint64 // of the newest that it has heard of
+	steps      map[string]Step
+	unfinished []string // machines of the plan that are not over, in its order
 }
 
 // NewFollower returns the reader of a pooler that has just begun, with nothing in mind.
--- a/internal/maintenance/leader.go
+++ b/internal/maintenance/leader.go
@@ -37,9 +37,9 @@
 // Leader takes a plan through, look by look. It holds what only this pooler knows: since when it has seen what, on its own clock, as
 // no other's can be compared. A new leader begins with nothing and waits anew.
 type Leader struct {
-	policy Policy
-	tracked   map[string]stepTrack // by machine
-	window window
+	policy  Policy
+	tracked map[string]stepTrack // by machine
+	window  window
 }
 
 // window is the time in which machines of a plan may be taken.
--- a/internal/maintenance/model_test.go
+++ b/internal/maintenance/model_test.go
@@ -349,7 +349,9 @@
 			m.read = func(r *Follower, _, now time.Duration, s Step) { r.Refresh(now, revision(s), []Step{s}) }
 		}},
 		"the lease does not bind": {"a pooler that is cut off", func(m *made) {
-			m.may = func(r *Follower, now time.Duration) (bool, bool) { return r.MaySend(r.renewedAt, "m", []string{"other"}) }
+			m.may = func(r *Follower, now time.Duration) (bool, bool) {
+				return r.MaySend(r.renewedAt, "m", []string{"other"})
+			}
 		}},
 		"one that begins does not read first": {"a crash and a restart", func(m *made) {
 			m.may = func(r *Follower, now time.Duration) (bool, bool) {
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -1,8 +1,10 @@
-// Package maintenance decides in what order machines are taken out for work, and takes each through its course. It is pure: no clock,
-// goroutine or I/O. What is agreed stands in a record elsewhere; here it is a value that is handed in and returned.
+// Package maintenance decides in what order machines are taken out of service for maintenance, and takes each through the
+// states of that. It is pure: no clock, goroutine or I/O. What is agreed stands in a replicated record, which is handed in
+// and returned as a value.
 package maintenance
 
 import (
+	"errors"
 	"fmt"
 	"time"
 )
@@ -10,23 +12,24 @@
 // Kind is what a machine is.
 type Kind uint8
 
+// The kinds of machines.
 const (
 	Database Kind = iota
 	Pooler
 )
 
-// Machine is one that may be taken out, as it is seen now by enough poolers.
+// Machine is one that may be taken out of service, as enough poolers see it now.
 type Machine struct {
 	Name        string  `json:"name"`
 	Kind        Kind    `json:"kind"`
 	Group       int     `json:"group"` // of a database
 	Zone        string  `json:"zone,omitempty"`
 	Size        float64 `json:"size"` // what it can do when warm, in the unit of the load
-	Up          bool    `json:"up"`   // it is seen well
+	Up          bool    `json:"up"`   // it is seen healthy
 	Warm        bool    `json:"warm"`
-	Fresh       bool    `json:"fresh,omitempty"`   // a replica: near enough to its primary to serve every class, and to take over
+	Fresh       bool    `json:"fresh,omitempty"`   // a replica close enough to its primary to serve all classes and take over
 	Primary     bool    `json:"primary,omitempty"` // of a database
-	Leads       bool    `json:"leads,omitempty"`   // of a pooler: the record's leader
+	Leads       bool    `json:"leads,omitempty"`   // of a pooler: it is the record's leader
 	Unreachable bool    `json:"cut,omitempty"`     // its zone cannot be reached: what is seen of it says nothing
 	Incarnation uint64  `json:"life,omitempty"`    // of a pooler: its present incarnation
 }
@@ -36,51 +39,76 @@
 	return m.Up && m.Warm && !m.Unreachable && (m.Kind == Pooler || m.Primary || m.Fresh)
 }
 
-// PlanSpec is what operators hand in.
+// PlanSpec is what operators ask for.
 type PlanSpec struct {
-	Machines []string `toml:"machines" json:"machines"` // in the order in which they would have them, all else being equal
-	// Most are out at once of each kind, those that died by themselves among them; 0: one.
-	PerGroup          int       `toml:"per_group" json:"per_group,omitempty"`
-	PerZone           int       `toml:"per_zone" json:"per_zone,omitempty"`
-	InAll             int       `toml:"in_all" json:"in_all,omitempty"`
-	Margin            float64   `toml:"margin" json:"margin,omitempty"` // share of what is left that must stay free, such as 0.2
-	Fresh             int       `toml:"fresh" json:"fresh,omitempty"`   // replicas that keep up and are left in each group, at the least
-	Capacity          float64   `toml:"bears" json:"bears,omitempty"`   // requests a second that one database can do; 0: load is not looked at
-	Until             time.Time `toml:"until" json:"until,omitzero"`    // nothing further is taken after this; zero: no end
-	IgnoreUnreachable bool      `toml:"go_on" json:"go_on,omitempty"`   // without poolers that are not heard, once their lease must have run out
+	// Machines are in the order that the operators prefer where nothing else decides.
+	Machines []string `toml:"machines" json:"machines"`
+	// PerGroup, PerZone and InAll are how many machines of a kind are out of service at once at the most, those that
+	// failed by themselves among them; 0: one.
+	PerGroup int `toml:"per_group" json:"per_group,omitempty"`
+	PerZone  int `toml:"per_zone" json:"per_zone,omitempty"`
+	InAll    int `toml:"in_all" json:"in_all,omitempty"`
+	// Margin is the share of the remaining capacity that must stay free, such as 0.2.
+	Margin float64 `toml:"margin" json:"margin,omitempty"`
+	// Fresh is how many replicas that keep up are left in each group at the least.
+	Fresh int `toml:"fresh" json:"fresh,omitempty"`
+	// Capacity is how many requests a second one database can do; 0: the load does not count.
+	Capacity float64 `toml:"bears" json:"bears,omitempty"`
+	// Until is the time after which no further machine is taken; zero: no end.
+	Until time.Time `toml:"until" json:"until,omitzero"`
+	// IgnoreUnreachable lets the plan go on without poolers that do not report, once their lease must have run out.
+	IgnoreUnreachable bool `toml:"go_on" json:"go_on,omitempty"`
 }
 
-// Check finds what is wrong with a wish. Known are the machines that there are; nil: that is not looked at.
-func (w PlanSpec) Check(known map[string]*Machine) error {
-	seen := map[string]bool{}
-	for i, name := range w.Machines {
+// Check finds what is wrong with a specification; the error names the key. Known are the machines that exist; nil: names
+// are not looked at.
+func (s PlanSpec) Check(known map[string]*Machine) error {
+	if err := s.checkMachines(known); err != nil {
+		return err
+	}
+	for _, count := range []struct {
+		key   string
+		value int
+	}{
+		{"per_group", s.PerGroup},
+		{"per_zone", s.PerZone},
+		{"in_all", s.InAll},
+		{"fresh", s.Fresh},
+	} {
+		if count.value < 0 {
+			return fmt.Errorf("%s: %d is under 0", count.key, count.value)
+		}
+	}
+	if !(s.Capacity >= 0) { // also if it is not a number
+		return fmt.Errorf("bears: %v is under 0", s.Capacity)
+	}
+	if !(s.Margin >= 0 && s.Margin < 1) {
+		return fmt.Errorf("margin: %v is no share under 1", s.Margin)
+	}
+	return nil
+}
+
+// checkMachines finds machines that are unknown or listed twice.
+func (s PlanSpec) checkMachines(known map[string]*Machine) error {
+	listed := map[string]bool{}
+	for i, name := range s.Machines {
 		if known != nil && known[name] == nil {
 			return fmt.Errorf("machines[%d]: nobody is named %q", i, name)
 		}
-		if seen[name] {
+		if listed[name] {
 			return fmt.Errorf("machines[%d]: %q is there twice", i, name)
 		}
-		seen[name] = true
-	}
-	if len(w.Machines) == 0 {
-		return fmt.Errorf("machines: there are none")
-	}
-	for key, n := range map[string]int{"per_group": w.PerGroup, "per_zone": w.PerZone, "in_all": w.InAll, "fresh": w.Fresh} {
-		if n < 0 {
-			return fmt.Errorf("%s: %d is under 0", key, n)
-		}
-	}
-	if !(w.Capacity >= 0) {
-		return fmt.Errorf("bears: %v is under 0", w.Capacity)
+		listed[name] = true
 	}
-	if !(w.Margin >= 0 && w.Margin < 1) {
-		return fmt.Errorf("margin: %v is no share under 1", w.Margin)
+	if len(s.Machines) == 0 {
+		return errors.New("machines: there are none")
 	}
 	return nil
 }
 
-// Snapshot is what is known now.
+// Snapshot is what is known of all machines now.
 type Snapshot struct {
 	Machines map[string]*Machine `json:"machines"`
-	Load     map[int]float64     `json:"load"` // of each group: what is expected for the time of the work, at the least what is asked now
+	// Load is what is expected of each group during the maintenance, and not less than what is asked of it now.
+	Load map[int]float64 `json:"load"`
 }
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -134,7 +134,7 @@
 				p := &planner{w, at, look}
 				out, group, fresh := 0, 0, 0
 				for _, o := range machines {
-					if p.out(o) {
+					if p.unavailable(o) {
 						out++
 						if o.Group == m.Group {
 							group++
--- a/internal/maintenance/planner.go
+++ b/internal/maintenance/planner.go
@@ -11,192 +11,247 @@
 type Decision struct {
 	Take     string            // may be taken out now; empty: none
 	HandOver [2]string         // a primary that is next, and the replica that is to take over first
-	PutBack  string            // is out, and is asked back as its group has become too small
+	PutBack  string            // is out, and is put back as its group has become too small
 	Reasons  map[string]string // why each of the others is not taken
 	Complete bool              // nothing is left to be done
 }
 
-// Decide decides what may be done, given how far each machine of the wish is. It is called again at each change, as what is taken out
-// changes all that is left. Equal inputs give equal decisions.
-func Decide(w PlanSpec, at map[string]State, look Snapshot) Decision {
-	d := Decision{Reasons: map[string]string{}, Complete: true}
-	p := &planner{wish: w, at: at, look: look}
-	var left []*Machine
-	for _, name := range w.Machines {
-		if s := at[name]; !s.Finished() {
-			d.Complete = false
-			if m := look.Machines[name]; s == Waiting && m != nil {
-				left = append(left, m)
-			} else if m == nil {
-				d.Reasons[name] = "it is not known any more"
-			}
-		}
-	}
-	d.PutBack = p.back()
-	slices.SortStableFunc(left, p.before)
-	for _, m := range left {
-		why, to := p.forbids(m, left)
+// Decide decides what may be done, given how far each machine of the plan is. It is to be called again at each change, as
+// taking out one machine changes what holds for all others. Equal inputs give equal decisions.
+func Decide(spec PlanSpec, states map[string]State, snapshot Snapshot) Decision {
+	decision := Decision{Reasons: map[string]string{}, Complete: true}
+	p := &planner{spec: spec, states: states, snapshot: snapshot}
+	var waiting []*Machine
+	for _, name := range spec.Machines {
+		state := states[name]
+		if state.Finished() {
+			continue
+		}
+		decision.Complete = false
+		switch machine := snapshot.Machines[name]; {
+		case machine == nil:
+			decision.Reasons[name] = "it is not known any more"
+		case state == Waiting:
+			waiting = append(waiting, machine)
+		}
+	}
+	decision.PutBack = p.putBack()
+	slices.SortStableFunc(waiting, p.compare)
+	for _, machine := range waiting {
+		reason, successor := p.constraint(machine, waiting)
 		switch {
-		case d.PutBack != "":
-			why = fmt.Sprintf("%s is asked back first", d.PutBack)
-		case why == "" && (d.Take != "" || d.HandOver[0] != ""):
-			why = "another is next"
-		case why == "" && to != "":
-			d.HandOver = [2]string{m.Name, to}
-			why = fmt.Sprintf("%s has to take over first", to)
-		case why == "":
-			d.Take = m.Name
+		case decision.PutBack != "":
+			reason = fmt.Sprintf("%s is asked back first", decision.PutBack)
+		case reason != "":
+		case decision.Take != "" || decision.HandOver[0] != "":
+			reason = "another is next"
+		case successor != "":
+			decision.HandOver = [2]string{machine.Name, successor}
+			reason = fmt.Sprintf("%s has to take over first", successor)
+		default:
+			decision.Take = machine.Name
 			continue
 		}
-		d.Reasons[m.Name] = why
+		decision.Reasons[machine.Name] = reason
 	}
-	return d
+	return decision
 }
 
+// planner holds what a decision is made by.
 type planner struct {
-	wish PlanSpec
-	at   map[string]State
-	look Snapshot
+	spec     PlanSpec
+	states   map[string]State
+	snapshot Snapshot
 }
 
-// out tells whether a machine is out, be it by itself. One that has come back counts once it is ready.
-func (p *planner) out(m *Machine) bool { return p.at[m.Name].Unavailable() || !m.ready() }
+// unavailable tells whether a machine is out of service, because of the plan or by itself. One that recovers counts as
+// available only once its step is done and it is ready.
+func (p *planner) unavailable(m *Machine) bool { return p.states[m.Name].Unavailable() || !m.ready() }
 
-// before orders those that are left: databases before poolers, replicas before their primary, the record's leader last, groups
-// with the most to spare first, then as they were wished.
-func (p *planner) before(a, b *Machine) int {
-	late := func(m *Machine) int {
-		if m.Primary || m.Leads {
-			return 1
-		}
-		return 0
+// compare orders the machines that wait: databases before poolers, replicas before their primary, the record's leader
+// last, groups with the most spare capacity first, then by group. The sort keeps the operators' order among equals.
+func (p *planner) compare(a, b *Machine) int {
+	return cmp.Or(
+		cmp.Compare(a.Kind, b.Kind),
+		cmp.Compare(leadership(a), leadership(b)),
+		-cmp.Compare(p.spare(a), p.spare(b)),
+		cmp.Compare(a.Group, b.Group),
+	)
+}
+
+// leadership is 1 for a machine that others follow, and 0 for all others.
+func leadership(m *Machine) int {
+	if m.Primary || m.Leads {
+		return 1
 	}
-	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(late(a), late(b)), -cmp.Compare(p.spare(a), p.spare(b)),
-		cmp.Compare(a.Group, b.Group))
+	return 0
 }
 
-// group are the machines that do the work of one, itself among them: the databases of its group, or all poolers.
-func (p *planner) group(m *Machine) (all []*Machine) {
-	for _, name := range slices.Sorted(maps.Keys(p.look.Machines)) {
-		if o := p.look.Machines[name]; o.Kind == m.Kind && (m.Kind == Pooler || o.Group == m.Group) {
-			all = append(all, o)
+// group returns the machines that share the work of one, itself among them: the databases of its group, or all poolers.
+func (p *planner) group(m *Machine) (members []*Machine) {
+	for _, name := range slices.Sorted(maps.Keys(p.snapshot.Machines)) {
+		if other := p.snapshot.Machines[name]; sameGroup(m, other) {
+			members = append(members, other)
 		}
 	}
-	return all
+	return members
 }
 
-// spare is what the group of a machine could do beyond its load without it.
+// sameGroup tells whether two machines share their work.
+func sameGroup(a, b *Machine) bool {
+	return a.Kind == b.Kind && (a.Kind == Pooler || a.Group == b.Group)
+}
+
+// spare returns what the group of a machine could do beyond its load without that machine.
 func (p *planner) spare(m *Machine) float64 {
-	sum := 0.0
-	for _, o := range p.group(m) {
-		if o != m && !p.out(o) {
-			sum += o.Size
+	capacity := 0.0
+	for _, other := range p.group(m) {
+		if other != m && !p.unavailable(other) {
+			capacity += other.Size
 		}
 	}
 	if m.Kind == Pooler {
-		return sum
+		return capacity
 	}
-	return sum*(1-p.wish.Margin) - p.look.Load[m.Group]
+	return capacity*(1-p.spec.Margin) - p.snapshot.Load[m.Group]
 }
 
-// forbids names the constraint that keeps a machine from being taken now, or else, of a primary, who has to take over first.
-func (p *planner) forbids(m *Machine, left []*Machine) (why, handOver string) {
+// constraint names what keeps a machine from being taken now, or else, of a primary, the replica that is to take over
+// first.
+func (p *planner) constraint(m *Machine, waiting []*Machine) (reason, successor string) {
 	if m.Unreachable {
 		return fmt.Sprintf("zone %s cannot be reached", m.Zone), ""
 	}
-	all, zone, group := 0, 0, 0
-	for _, o := range p.look.Machines {
-		if o == m || o.Kind != m.Kind || !p.out(o) { // a pooler that is gone keeps no database from being taken, nor the other way round
+	if reason := p.limitReached(m); reason != "" {
+		return reason, ""
+	}
+	if m.Kind == Pooler {
+		return p.poolerConstraint(m, waiting), ""
+	}
+	return p.databaseConstraint(m, waiting)
+}
+
+// limitReached names the limit on unavailable machines that is reached without this one. Each kind counts by itself: a
+// pooler that is gone keeps no database from being taken, nor the other way round.
+func (p *planner) limitReached(m *Machine) string {
+	inAll, inZone, inGroup := 0, 0, 0
+	for _, other := range p.snapshot.Machines {
+		if other == m || other.Kind != m.Kind || !p.unavailable(other) {
 			continue
 		}
-		all++
-		if o.Zone == m.Zone {
-			zone++
+		inAll++
+		if other.Zone == m.Zone {
+			inZone++
 		}
-		if o.Kind == Database && o.Group == m.Group {
-			group++
+		if other.Kind == Database && other.Group == m.Group {
+			inGroup++
 		}
 	}
-	for _, c := range []struct {
-		what       string
-		have, most int
-	}{{"in all", all, p.wish.InAll}, {"of zone " + m.Zone, zone, p.wish.PerZone}, {fmt.Sprintf("of group %d", m.Group), group, p.wish.PerGroup}} {
-		if most := max(1, c.most); c.have >= most {
-			return fmt.Sprintf("%d %s are out, %d at the most", c.have, c.what, most), ""
+	for _, limit := range []struct {
+		where       string
+		count, most int
+	}{
+		{"in all", inAll, p.spec.InAll},
+		{"of zone " + m.Zone, inZone, p.spec.PerZone},
+		{fmt.Sprintf("of group %d", m.Group), inGroup, p.spec.PerGroup},
+	} {
+		if most := max(1, limit.most); limit.count >= most {
+			return fmt.Sprintf("%d %s are out, %d at the most", limit.count, limit.where, most)
 		}
 	}
-	if m.Kind == Pooler {
-		if p.spare(m) <= 0 {
-			return "no other pooler is left", ""
-		}
-		for _, o := range left {
-			if o.Kind == Pooler && o != m && m.Leads {
-				return "it leads the record, and goes last", ""
-			}
-		}
-		return "", ""
+	return ""
+}
+
+// poolerConstraint names what keeps a pooler from being taken.
+func (p *planner) poolerConstraint(m *Machine, waiting []*Machine) string {
+	if p.spare(m) <= 0 {
+		return "no other pooler is left"
 	}
-	fresh, near := 0, ""
-	for _, o := range p.group(m) {
-		if o == m || p.out(o) || o.Primary {
-			continue
-		}
-		if fresh++; near == "" || p.later(o, p.look.Machines[near]) {
-			near = o.Name
-		}
+	otherWaits := slices.ContainsFunc(waiting, func(other *Machine) bool { return other.Kind == Pooler && other != m })
+	if m.Leads && otherWaits {
+		return "it leads the record, and goes last"
 	}
-	need := p.wish.Fresh
+	return ""
+}
+
+// databaseConstraint names what keeps a database from being taken, or else the successor of a primary.
+func (p *planner) databaseConstraint(m *Machine, waiting []*Machine) (reason, successor string) {
+	fresh, successor := p.freshReplicas(m)
+	needed := p.spec.Fresh
 	if m.Primary {
-		for _, o := range left {
-			if o != m && o.Kind == Database && o.Group == m.Group {
-				return fmt.Sprintf("replica %s goes before its primary", o.Name), ""
-			}
-		}
-		if near == "" {
-			return "no replica is near enough to take over", ""
+		if reason := primaryConstraint(m, waiting, successor); reason != "" {
+			return reason, ""
 		}
-		need++ // the one that takes over is a replica no more
+		needed++ // the one that takes over is a replica no more
 	}
-	if fresh < need {
-		return fmt.Sprintf("%d replicas of group %d that keep up would be left, %d at the least", fresh, m.Group, need), ""
+	if fresh < needed {
+		const text = "%d replicas of group %d that keep up would be left, %d at the least"
+		return fmt.Sprintf(text, fresh, m.Group, needed), ""
 	}
 	if spare := p.spare(m); spare < 0 {
-		return fmt.Sprintf("what is left of group %d would be short of %.2f for the load of %.2f", m.Group, -spare, p.look.Load[m.Group]), ""
+		const text = "what is left of group %d would be short of %.2f for the load of %.2f"
+		return fmt.Sprintf(text, m.Group, -spare, p.snapshot.Load[m.Group]), ""
 	}
-	if m.Primary {
-		return "", near
+	if !m.Primary {
+		return "", ""
 	}
-	return "", ""
+	return "", successor
 }
 
-// later tells whether one is the better one to take over: rather one whose own work is done, so that no second hand-over follows.
-func (p *planner) later(a, b *Machine) bool {
-	return p.at[a.Name].Finished() && !p.at[b.Name].Finished()
+// primaryConstraint names what keeps a primary from being handed over.
+func primaryConstraint(m *Machine, waiting []*Machine, successor string) string {
+	for _, other := range waiting {
+		if other != m && sameGroup(m, other) {
+			return fmt.Sprintf("replica %s goes before its primary", other.Name)
+		}
+	}
+	if successor == "" {
+		return "no replica is near enough to take over"
+	}
+	return ""
 }
 
-// back names the machine to ask back where a group has become too small since it was taken: of those that can still come back the
-// one that was not at work yet, by name.
-func (p *planner) back() string {
-	var free, work string
-	for _, name := range slices.Sorted(maps.Keys(p.at)) {
-		m := p.look.Machines[name]
-		if m == nil || m.Kind == Pooler || !p.at[name].Unavailable() || p.at[name] >= Recovering {
+// freshReplicas counts the other replicas of a database's group that keep up, and names the one that had best take over:
+// one whose own maintenance is done, so that no second hand-over follows, or else the first by name.
+func (p *planner) freshReplicas(m *Machine) (count int, successor string) {
+	for _, other := range p.group(m) {
+		if other == m || other.Primary || p.unavailable(other) {
 			continue
 		}
-		out := 0
-		for _, o := range p.group(m) {
-			if p.out(o) {
-				out++
-			}
+		count++
+		if successor == "" || p.states[other.Name].Finished() && !p.states[successor].Finished() {
+			successor = other.Name
 		}
-		if out <= max(1, p.wish.PerGroup) && p.spare(m) >= 0 {
+	}
+	return count, successor
+}
+
+// putBack names the machine to put back where a group has become too small since it was taken; empty: none. Of those that
+// can still come back it prefers one whose work has not begun, then the first by name.
+func (p *planner) putBack() string {
+	var notBegun, inMaintenance string
+	for _, name := range slices.Sorted(maps.Keys(p.states)) {
+		machine, state := p.snapshot.Machines[name], p.states[name]
+		if machine == nil || machine.Kind == Pooler || !state.Blocked() || !p.groupTooSmall(machine) {
 			continue
 		}
-		if p.at[name] == InMaintenance {
-			work = cmp.Or(work, name)
+		if state == InMaintenance {
+			inMaintenance = cmp.Or(inMaintenance, name)
 		} else {
-			free = cmp.Or(free, name)
+			notBegun = cmp.Or(notBegun, name)
+		}
+	}
+	return cmp.Or(notBegun, inMaintenance)
+}
+
+// groupTooSmall tells whether more members of a machine's group are unavailable than the plan allows, or the others
+// cannot bear the load.
+func (p *planner) groupTooSmall(m *Machine) bool {
+	unavailable := 0
+	for _, other := range p.group(m) {
+		if p.unavailable(other) {
+			unavailable++
 		}
 	}
-	return cmp.Or(free, work)
+	return unavailable > max(1, p.spec.PerGroup) || p.spare(m) < 0
 }
--- a/internal/maintenance/record.go
+++ b/internal/maintenance/record.go
@@ -12,7 +12,7 @@
 	KeyPrefix      = "works/"
 	keyPlan        = FollowedPrefix + "plan"
 	keyStep        = FollowedPrefix + "step/" // of each machine
-	keyStatus        = "works/said/"            // of each pooler
+	keyStatus      = "works/said/"            // of each pooler
 	keyHistory     = "works/history"
 
 	machinesMost = 400 // of a plan: the record has room for so many steps
