--- a/internal/maintenance/commands.go
+++ b/internal/maintenance/commands.go
@@ -1,109 +1,136 @@
 package maintenance
 
 import (
+	"errors"
 	"fmt"
+	"math"
 	"slices"
 	"time"
 )
 
-// Start hands in a plan. Its machines are ordered as the dry run has them.
-func Start(wall time.Duration, r Record, id, by string, w PlanSpec, look Snapshot) (o Proposal, err error) {
-	if r.Plan.ID == id { // a repeated call
-		return o, nil
+// Start hands in a plan. Its machines are ordered as the dry run has them. A repeated call with the same ID changes
+// nothing. The error says why the plan cannot be started.
+func Start(
+	wall time.Duration, record Record, id, operator string, spec PlanSpec, snapshot Snapshot,
+) (proposal Proposal, err error) {
+	if record.Plan.ID == id {
+		return proposal, nil
 	}
-	if r.Plan.Active() {
-		return o, fmt.Errorf("plan %s is %s: abort it first, or wait for its end", r.Plan.ID, r.Plan.State)
+	if record.Plan.Active() {
+		const text = "plan %s is %s: abort it first, or wait for its end"
+		return proposal, fmt.Errorf(text, record.Plan.ID, record.Plan.State)
 	}
-	if err := w.Check(look.Machines); err != nil {
-		return o, err
+	if err := spec.Check(snapshot.Machines); err != nil {
+		return proposal, err
 	}
-	order, err := DryRun(w, look)
+	order, err := DryRun(spec, snapshot)
 	if err != nil {
-		return o, err
+		return proposal, err
 	}
-	w.Machines = nil
-	o.Steps = map[string]Step{}
-	for _, stage := range order {
-		w.Machines = append(w.Machines, stage.Machine)
-		o.Steps[stage.Machine] = Step{Machine: stage.Machine}
+	spec.Machines = nil
+	proposal.Steps = map[string]Step{}
+	for _, step := range order {
+		spec.Machines = append(spec.Machines, step.Machine)
+		proposal.Steps[step.Machine] = Step{Machine: step.Machine}
 	}
-	for name := range r.Steps {
-		if _, again := o.Steps[name]; !again {
-			o.Drop = append(o.Drop, name)
+	for name := range record.Steps {
+		if _, again := proposal.Steps[name]; !again {
+			proposal.Drop = append(proposal.Drop, name)
 		}
 	}
-	o.Plan = &Plan{ID: id, Spec: w, State: Running, Number: r.Plan.Number}
-	o.addHistory(by, wall, "", 0, "plan %s of %d machines", id, len(order))
-	return o, nil
+	proposal.Plan = &Plan{ID: id, Spec: spec, State: Running, Number: record.Plan.Number}
+	proposal.addHistory(operator, wall, "", 0, "plan %s of %d machines", id, len(order))
+	return proposal, nil
 }
 
 // Command is what operators may do about a plan or one machine of it.
 type Command string
 
+// The commands, by the words that operators type.
 const (
 	Pause        Command = "pause"
 	Resume       Command = "resume"
 	AbortPlan    Command = "abort"
 	SkipMachine  Command = "skip"   // a machine that waits
-	BeginWork    Command = "begin"  // a person works on a machine that is free
+	BeginWork    Command = "begin"  // a person works on a machine that is drained
 	EndWork      Command = "end"    // the work is over
 	ForgetPooler Command = "forget" // a pooler that is gone for good, and never left
 )
 
-// OfMachine tells whether the verb wants the name of a machine, or of a pooler.
-func (v Command) OfMachine() bool {
-	return slices.Contains([]Command{SkipMachine, BeginWork, EndWork, ForgetPooler}, v)
+// OfMachine tells whether the command takes the name of a machine, or of a pooler.
+func (c Command) OfMachine() bool {
+	return slices.Contains([]Command{SkipMachine, BeginWork, EndWork, ForgetPooler}, c)
 }
 
-// Execute is what an operator wants to do; an error says why it cannot be done.
-func Execute(wall time.Duration, r Record, v Command, name, by string) (o Proposal, err error) {
-	if v == ForgetPooler {
-		if _, known := r.Statuses[name]; !known {
-			return o, fmt.Errorf("no pooler %q has said anything", name)
-		}
-		o.Forget = []string{name}
-		o.addHistory(by, wall, name, 0, "forgotten: it is gone for good")
-		return o, nil
+// Execute returns what a command of an operator changes. Name is of the machine, if the command takes one. The error says
+// why the command cannot be done.
+func Execute(wall time.Duration, record Record, command Command, name, operator string) (Proposal, error) {
+	switch {
+	case command == ForgetPooler:
+		return forgetPooler(wall, record, name, operator)
+	case !record.Plan.Active():
+		return Proposal{}, errors.New("there is no plan")
+	case command.OfMachine():
+		return changeStep(wall, record, command, name, operator)
+	default:
+		return changePlan(wall, record, command, operator)
 	}
-	if !r.Plan.Active() {
-		return o, fmt.Errorf("there is no plan")
+}
+
+// forgetPooler deletes the status of a pooler.
+func forgetPooler(wall time.Duration, record Record, name, operator string) (proposal Proposal, err error) {
+	if _, known := record.Statuses[name]; !known {
+		return proposal, fmt.Errorf("no pooler %q has said anything", name)
 	}
-	if !v.OfMachine() {
-		plan := r.Plan
-		switch {
-		case v == Pause && plan.State == Running:
-			plan.State, plan.Why = Paused, "by "+by
-		case v == Resume && plan.State == Paused:
-			plan.State, plan.Why = Running, ""
-		case v == AbortPlan && plan.State != Aborting:
-			plan.State, plan.Why = Aborting, "by "+by
-		default:
-			return o, fmt.Errorf("the plan is %s", plan.State)
-		}
-		o.Plan = &plan
-		o.addHistory(by, wall, "", 0, "%s", plan.State)
-		return o, nil
+	proposal.Forget = []string{name}
+	proposal.addHistory(operator, wall, name, 0, "forgotten: it is gone for good")
+	return proposal, nil
+}
+
+// changePlan pauses, resumes or aborts the plan.
+func changePlan(wall time.Duration, record Record, command Command, operator string) (proposal Proposal, err error) {
+	plan := record.Plan
+	switch {
+	case command == Pause && plan.State == Running:
+		plan.State, plan.Why = Paused, "by "+operator
+	case command == Resume && plan.State == Paused:
+		plan.State, plan.Why = Running, ""
+	case command == AbortPlan && plan.State != Aborting:
+		plan.State, plan.Why = Aborting, "by "+operator
+	default:
+		return proposal, fmt.Errorf("the plan is %s", plan.State)
 	}
-	if !slices.Contains(r.Plan.Spec.Machines, name) {
-		return o, fmt.Errorf("the plan has no machine %q", name)
+	proposal.Plan = &plan
+	proposal.addHistory(operator, wall, "", 0, "%s", plan.State)
+	return proposal, nil
+}
+
+// changeStep skips a machine, or says that a person's work on it begins or has ended. No count of hook calls limits what a
+// person may say.
+func changeStep(
+	wall time.Duration, record Record, command Command, name, operator string,
+) (proposal Proposal, err error) {
+	if !slices.Contains(record.Plan.Spec.Machines, name) {
+		return proposal, fmt.Errorf("the plan has no machine %q", name)
 	}
-	c := &course{step: r.step(name), now: wall, rules: Rules{Calls: 1 << 30}} // a person may say what no count of calls lets a hook do
-	before := c.step.State
+	step := record.step(name)
+	before := step.State
+	progress := &progress{step: step, now: wall, rules: Rules{Calls: math.MaxInt}}
 	done := false
-	switch v {
+	switch command {
 	case SkipMachine:
-		done = c.on(Event{Kind: Skip})
+		done = progress.apply(Event{Kind: Skip})
 	case BeginWork:
-		done = before == Drained && c.on(Event{Kind: HookStarted})
+		done = before == Drained && progress.apply(Event{Kind: HookStarted})
 	case EndWork:
 		if before == Drained {
-			c.on(Event{Kind: HookStarted})
+			progress.apply(Event{Kind: HookStarted})
 		}
-		done = c.on(Event{Kind: HookFinished, OK: true})
+		done = progress.apply(Event{Kind: HookFinished, OK: true})
 	}
 	if !done {
-		return o, fmt.Errorf("%s is %s", name, before)
+		return proposal, fmt.Errorf("%s is %s", name, before)
 	}
-	o.putStep(by, wall, before, c.step, "")
-	return o, nil
+	proposal.putStep(operator, wall, before, progress.step, "")
+	return proposal, nil
 }
--- a/internal/maintenance/hookresult.go
+++ b/internal/maintenance/hookresult.go
@@ -5,44 +5,78 @@
 	"time"
 )
 
-// HookResult is what the pooler that called a hook writes when the call has ended, for a reason if it failed: nobody else knows. It is
-// called again if Calls says so. A call of a try that is over changes nothing.
-func (m Policy) HookResult(now, wall time.Duration, r Record, call Call, failed string) (o Proposal) {
-	plan, me := r.Plan, m.Self.Name
-	stop := func(text string) {
-		if plan.State == Running { // nothing further while nobody knows what has become of it
-			plan.State, plan.Why, o.Plan = Paused, text, &plan
-		}
-		o.addHistory(me, wall, call.Machine, call.Number, "%s", text)
-	}
+// HookResult returns what the pooler that called a hook writes when the call has ended; nobody else knows. Failed is the
+// reason if it failed, and empty if it did not. The hook is to be called again if the proposal's Calls say so. A call of
+// an attempt that is over changes nothing.
+func (p Policy) HookResult(now, wall time.Duration, record Record, call Call, failed string) Proposal {
+	result := &hookResult{policy: p, now: now, wall: wall, plan: record.Plan, call: call, failed: failed}
 	if call.To != "" {
-		h := plan.HandOver
-		switch {
-		case h == nil || h.Number != call.Number || h.HookCaller != m.Self || failed == "": // that it is done shows by itself
-		case h.HookCalls < max(1, m.Calls):
-			plan.HandOver, o.Plan = &HandOver{From: h.From, To: h.To, Number: h.Number, HookCalls: h.HookCalls + 1, HookCaller: m.Self}, &plan
-			o.Calls = append(o.Calls, call)
-		default:
-			plan.HandOver, o.Plan = nil, &plan
-			stop(fmt.Sprintf("%s did not take over from %s: %s", h.To, h.From, failed))
-		}
-		return o
+		result.ofHandOver()
+	} else {
+		result.ofWork(record.step(call.Machine))
+	}
+	return result.proposal
+}
+
+// hookResult is the making of the proposal at the end of a call.
+type hookResult struct {
+	policy   Policy
+	now      time.Duration
+	wall     time.Duration
+	plan     Plan
+	call     Call
+	failed   string
+	proposal Proposal
+}
+
+// ofHandOver is of a call that let a replica take over. That it succeeded shows by what is observed.
+func (h *hookResult) ofHandOver() {
+	handOver := h.plan.HandOver
+	if handOver == nil || handOver.Number != h.call.Number || handOver.HookCaller != h.policy.Self || h.failed == "" {
+		return
 	}
-	c := &course{step: r.step(call.Machine), now: now, rules: Rules{Calls: m.Calls}}
-	if c.step.Number != call.Number || c.step.HookCaller != m.Self {
-		return o
+	h.proposal.Plan = &h.plan
+	if handOver.HookCalls < h.policy.maxCalls() {
+		again := handOver.calledBy(h.policy.Self)
+		h.plan.HandOver = &again
+		h.proposal.Calls = append(h.proposal.Calls, h.call)
+		return
 	}
-	before := c.step.State
+	h.plan.HandOver = nil
+	h.pausePlan(fmt.Sprintf("%s did not take over from %s: %s", handOver.To, handOver.From, h.failed))
+}
+
+// ofWork is of a call that did the maintenance of a machine.
+func (h *hookResult) ofWork(step Step) {
+	if step.Number != h.call.Number || step.HookCaller != h.policy.Self {
+		return
+	}
+	self, before := h.policy.Self, step.State
+	progress := &progress{step: step, now: h.now, rules: Rules{Calls: h.policy.Calls}}
+	again := h.failed != "" && before == InMaintenance
 	switch {
-	case failed != "" && c.step.State == InMaintenance && c.on(Event{Kind: HookStarted, Instance: m.Self}):
-		o.Calls = append(o.Calls, call)
-		o.putStep(me, wall, before, c.step, "")
-		o.addHistory(me, wall, call.Machine, call.Number, "called again, as the work failed: %s", failed)
-	case c.on(Event{Kind: HookFinished, OK: failed == ""}):
-		o.putStep(me, wall, before, c.step, failed)
-		if failed != "" {
-			stop(fmt.Sprintf("the work on %s failed: %s", call.Machine, failed))
+	case again && progress.apply(Event{Kind: HookStarted, Instance: self}):
+		h.proposal.Calls = append(h.proposal.Calls, h.call)
+		h.proposal.putStep(self.Name, h.wall, before, progress.step, "")
+		h.addHistory("called again, as the work failed: " + h.failed)
+	case progress.apply(Event{Kind: HookFinished, OK: h.failed == ""}):
+		h.proposal.putStep(self.Name, h.wall, before, progress.step, h.failed)
+		if h.failed != "" {
+			h.pausePlan(fmt.Sprintf("the work on %s failed: %s", h.call.Machine, h.failed))
 		}
 	}
-	return o
+}
+
+// pausePlan lets nothing further be taken while nobody knows what has become of the work.
+func (h *hookResult) pausePlan(reason string) {
+	if h.plan.State == Running {
+		h.plan.State, h.plan.Why = Paused, reason
+		h.proposal.Plan = &h.plan
+	}
+	h.addHistory(reason)
+}
+
+// addHistory adds an entry about the call.
+func (h *hookResult) addHistory(text string) {
+	h.proposal.addHistory(h.policy.Self.Name, h.wall, h.call.Machine, h.call.Number, "%s", text)
 }
--- a/internal/maintenance/record.go
+++ b/internal/maintenance/record.go
@@ -32,15 +32,22 @@
 	HandOver *HandOver `json:"hand_over,omitempty"`
 }
 
-// HandOver is of a primary that is next, under way.
+// HandOver is one from a primary that is next to a replica, under way.
 type HandOver struct {
 	From       string   `json:"from"`
 	To         string   `json:"to"`
 	Number     uint64   `json:"number"`
-	HookCalls  int      `json:"hooks,omitempty"` // times the hook has been called
+	HookCalls  int      `json:"hooks,omitempty"` // how often the hook has been called
 	HookCaller Instance `json:"by,omitzero"`     // who called it last; the zero value: nobody yet, or a person does it
 }
 
+// calledBy returns the hand-over after one more call of the hook.
+func (h HandOver) calledBy(caller Instance) HandOver {
+	h.HookCalls++
+	h.HookCaller = caller
+	return h
+}
+
 // PlanState is how far a plan is.
 type PlanState string
 
--- /dev/null
+++ b/internal/maintenance/round.go
@@ -0,0 +1,238 @@
+package maintenance
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+)
+
+// round is the making of one proposal.
+type round struct {
+	leader      *Leader
+	policy      Policy
+	now         time.Duration
+	wall        time.Duration
+	record      Record
+	observation Observation
+	poolers     Poolers
+	rules       Rules
+
+	plan     Plan             // as it will be proposed
+	states   map[string]State // of the plan's machines, as they will be proposed
+	proposal Proposal
+}
+
+// forgetDeparted proposes to forget the statuses of poolers that have left.
+func (r *round) forgetDeparted() {
+	for _, name := range slices.Sorted(maps.Keys(r.record.Statuses)) {
+		_, known := r.observation.Incarnations[name]
+		if !known && leftSince(r.record.Statuses[name].Incarnation, r.observation.Left[name]) {
+			r.proposal.Forget = append(r.proposal.Forget, name)
+		}
+	}
+}
+
+// advanceSteps takes each step as far as it can go now.
+func (r *round) advanceSteps() {
+	for _, step := range r.record.PlanSteps() {
+		track := r.leader.track(r.now, step, r.observation)
+		before := step.State
+		step.Since = track.since // counted from when this leader saw it, as another's clock cannot be compared
+		progress := r.progress(step)
+		if reason, changed := r.advance(progress, track); changed {
+			r.proposal.putStep(r.policy.Self.Name, r.wall, before, progress.step, reason)
+		}
+		r.states[step.Machine] = progress.step.State
+	}
+}
+
+// progress returns the means to apply events to a step in this round.
+func (r *round) progress(step Step) *progress {
+	return &progress{step: step, now: r.now, poolers: r.poolers, rules: r.rules}
+}
+
+// progress is a step to which events are applied.
+type progress struct {
+	step    Step
+	now     time.Duration
+	poolers Poolers
+	rules   Rules
+}
+
+// apply applies an event of the step's present attempt, and tells whether it fitted.
+func (p *progress) apply(event Event) bool {
+	event.Number = p.step.Number
+	next, err := p.step.Apply(event, p.now, p.poolers, p.rules)
+	if err == nil {
+		p.step = next
+	}
+	return err == nil
+}
+
+// advance takes one step as far as it can go now, and tells whether anything has changed, and for what reason.
+func (r *round) advance(p *progress, track stepTrack) (reason string, changed bool) {
+	if r.plan.State == Aborting && p.apply(Event{Kind: Abort}) {
+		return "given up by the operators", true
+	}
+	switch p.step.State {
+	case Draining:
+		return r.advanceDraining(p)
+	case Drained:
+		return "", r.plan.State == Running && r.callHook(p)
+	case InMaintenance:
+		// The instance that called the hook writes how it ended; one that is gone does not.
+		caller := p.step.HookCaller
+		return "", caller != Instance{} && !r.observation.live(caller) && r.callHook(p)
+	case Recovering:
+		settled := track.healthySince > 0 && r.now-track.healthySince >= r.policy.Settle
+		return "", settled && p.apply(Event{Kind: Ready})
+	default:
+		return "", false
+	}
+}
+
+// advanceDraining takes in which poolers have stopped, and lets the work begin once all have.
+func (r *round) advanceDraining(p *progress) (reason string, changed bool) {
+	name := p.step.Machine
+	if machine := r.observation.Machines[name]; machine != nil && machine.Kind == Pooler {
+		p.poolers = Poolers{} // poolers do not send to it
+	}
+	for _, pooler := range slices.Sorted(maps.Keys(r.record.Statuses)) {
+		status := r.record.Statuses[pooler]
+		reported := status.Stopped[name] == p.step.Number && p.step.Stopped[pooler] < status.Incarnation
+		reporter := Instance{Name: pooler, Incarnation: status.Incarnation}
+		if reported && p.apply(Event{Kind: PoolerStopped, Instance: reporter}) {
+			changed = true
+		}
+	}
+	p.apply(Event{Kind: Reevaluate})
+	if p.step.State != Drained {
+		return "", changed
+	}
+	if len(p.step.Unreachable) > 0 {
+		reason = fmt.Sprintf("without the word of %v, whose lease has run out", p.step.Unreachable)
+	}
+	return reason, true
+}
+
+// callHook proposes to call the hook for a step, if there is one and it may be called.
+func (r *round) callHook(p *progress) bool {
+	if !r.policy.Hook || !p.apply(Event{Kind: HookStarted, Instance: r.policy.Self}) {
+		return false
+	}
+	r.proposal.Calls = append(r.proposal.Calls, Call{Machine: p.step.Machine, Number: p.step.Number})
+	return true
+}
+
+// advanceHandOver takes the hand-over from a primary that is next as far as it can go now.
+func (r *round) advanceHandOver() {
+	handOver := r.plan.HandOver
+	if handOver == nil {
+		return
+	}
+	from, to := r.observation.Machines[handOver.From], r.observation.Machines[handOver.To]
+	switch {
+	case to != nil && to.Primary && (from == nil || !from.Primary):
+		r.endHandOver("%s has taken over")
+	case r.plan.State == Aborting || to == nil || !to.ready():
+		r.endHandOver("%s does not take over")
+	case r.mayCallHandOver(handOver):
+		call := handOver.calledBy(r.policy.Self)
+		r.plan.HandOver = &call
+		r.proposal.Calls = append(r.proposal.Calls, Call{Machine: call.From, To: call.To, Number: call.Number})
+	}
+}
+
+// endHandOver ends the hand-over; the format of the history's entry takes the name of the replica.
+func (r *round) endHandOver(format string) {
+	handOver := r.plan.HandOver
+	r.plan.HandOver = nil
+	r.addHistory(handOver.From, handOver.Number, format, handOver.To)
+}
+
+// mayCallHandOver tells whether the hook that hands over may be called now.
+func (r *round) mayCallHandOver(handOver *HandOver) bool {
+	if !r.policy.HandsOver || r.plan.State != Running || handOver.HookCalls >= r.policy.maxCalls() {
+		return false
+	}
+	return handOver.HookCaller == Instance{} || !r.observation.live(handOver.HookCaller)
+}
+
+// schedule takes, hands over or puts back what the planner names.
+func (r *round) schedule() {
+	unavailable := func(name string) bool { return r.states[name].Unavailable() }
+	rolledBack := r.plan.State == Aborting && !slices.ContainsFunc(r.plan.Spec.Machines, unavailable)
+	decision := Decide(r.plan.Spec, r.states, r.observation.Snapshot)
+	switch {
+	case decision.Complete || rolledBack:
+		r.plan.State, r.plan.Why, r.plan.HandOver = Finished, "", nil
+		r.addHistory("", 0, "the plan is over")
+	case r.plan.State != Running:
+	case r.leader.windowOver(r.now, r.plan):
+		r.plan.State, r.plan.Why = Paused, "the time for it is over"
+		r.addHistory("", 0, "%s: %s", r.plan.State, r.plan.Why)
+	case decision.PutBack != "":
+		r.putBack(decision.PutBack)
+	case r.plan.HandOver != nil:
+	case decision.HandOver[0] != "":
+		r.beginHandOver(decision.HandOver[0], decision.HandOver[1])
+	case decision.Take != "":
+		r.take(decision.Take)
+	}
+}
+
+// putBack puts back a machine that its group needs.
+func (r *round) putBack(name string) {
+	progress := r.progress(r.record.step(name))
+	if progress.apply(Event{Kind: PutBack}) {
+		const reason = "asked back, as its group has become too small"
+		r.proposal.putStep(r.policy.Self.Name, r.wall, r.states[name], progress.step, reason)
+	}
+}
+
+// beginHandOver lets a replica take over from a primary that is next.
+func (r *round) beginHandOver(from, to string) {
+	r.plan.Number++
+	r.plan.HandOver = &HandOver{From: from, To: to, Number: r.plan.Number}
+	r.addHistory(from, r.plan.Number, "%s is to take over", to)
+}
+
+// take takes a machine out of service. A pooler that leads the record lets another lead first.
+func (r *round) take(name string) {
+	machine := r.observation.Machines[name]
+	if machine.Leads {
+		r.proposal.Resign = true
+		return
+	}
+	r.plan.Number++
+	event := Event{Kind: Take, Number: r.plan.Number}
+	next, err := r.record.step(name).Apply(event, r.now, r.poolers, r.rules)
+	if err != nil {
+		return
+	}
+	next.Incarnation = machine.Incarnation
+	r.proposal.putStep(r.policy.Self.Name, r.wall, r.states[name], next, "")
+}
+
+// proposeChangedPlan proposes the plan if it has changed.
+func (r *round) proposeChangedPlan() {
+	before := r.record.Plan
+	if r.plan.State != before.State || r.plan.Number != before.Number || r.plan.HandOver != before.HandOver {
+		r.proposal.Plan = &r.plan
+	}
+}
+
+// proposeProbes names the databases whose evidence has become old, but those that are blocked.
+func (r *round) proposeProbes() {
+	for _, name := range slices.Sorted(maps.Keys(r.observation.Heard)) {
+		if r.now-r.observation.Heard[name] > evidenceAge && !r.states[name].Blocked() {
+			r.proposal.Probe = append(r.proposal.Probe, name)
+		}
+	}
+}
+
+// addHistory adds an entry by this pooler.
+func (r *round) addHistory(machine string, number uint64, format string, args ...any) {
+	r.proposal.addHistory(r.policy.Self.Name, r.wall, machine, number, format, args...)
+}
