--- a/internal/maintenance/agent/plant_test.go
+++ b/internal/maintenance/agent/plant_test.go
@@ -22,7 +22,7 @@
 		play  func(t *testing.T, r *run, h hook)
 	}{
 		"the lease does not bind": {
-			[]testbed.Edit{{File: "internal/maintenance/follower.go", Old: "case now < p.LeaseEnd():", New: "case p.known || now < p.LeaseEnd():"}},
+			[]testbed.Edit{{File: "internal/maintenance/follower.go", Old: "case now < f.LeaseEnd():", New: "case f.known || now < f.LeaseEnd():"}},
 			func(t *testing.T, r *run, h hook) { // one is cut off, and what it does not hear of is worked on
 				one := r.other(r.leader())
 				r.start("n3", two)
@@ -50,7 +50,7 @@
 			[]testbed.Edit{
 				{File: "internal/maintenance/agent/agent.go", Old: "return core.Blocks{All: true, ", New: "return core.Blocks{"},
 				{File: "internal/maintenance/agent/blocks.go", Old: "off := core.Blocks{All: !d.reader.Known(), ", New: "off := core.Blocks{"},
-				{File: "internal/maintenance/follower.go", Old: "return p.known, false //", New: "return true, false //"},
+				{File: "internal/maintenance/follower.go", Old: "return f.known, false //", New: "return true, false //"},
 			},
 			func(t *testing.T, r *run, h hook) { // one that had said that it stopped comes back, and reads nothing
 				r.start("n0", two)
@@ -64,7 +64,7 @@
 			},
 		},
 		"work can be given up": {
-			[]testbed.Edit{{File: "internal/maintenance/step.go", Old: "case s.State == InMaintenance: // Somebody", New: "case false: // Somebody"}},
+			[]testbed.Edit{{File: "internal/maintenance/step.go", Old: "case s.State == InMaintenance: // The machine", New: "case false: // The machine"}},
 			func(t *testing.T, r *run, h hook) { // and is begun again while it still goes on
 				r.start("n0", two)
 				h.began(1)
--- a/internal/maintenance/commands.go
+++ b/internal/maintenance/commands.go
@@ -62,8 +62,8 @@
 	return slices.Contains([]Command{SkipMachine, BeginWork, EndWork, ForgetPooler}, c)
 }
 
-// Execute returns what a command of an operator changes. Name is of the machine, if the command takes one. The error says
-// why the command cannot be done.
+// Execute returns what a command of an operator changes. Name is of the machine, if the command takes one. The
+// error says why the command cannot be done.
 func Execute(wall time.Duration, record Record, command Command, name, operator string) (Proposal, error) {
 	switch {
 	case command == ForgetPooler:
@@ -105,8 +105,8 @@
 	return proposal, nil
 }
 
-// changeStep skips a machine, or says that a person's work on it begins or has ended. No count of hook calls limits what a
-// person may say.
+// changeStep skips a machine, or says that a person's work on it begins or has ended. No count of hook calls limits
+// what a person may say.
 func changeStep(
 	wall time.Duration, record Record, command Command, name, operator string,
 ) (proposal Proposal, err error) {
--- a/internal/maintenance/dryrun.go
+++ b/internal/maintenance/dryrun.go
@@ -13,8 +13,9 @@
 	Leaves   float64 // what its group could do beyond its load meanwhile
 }
 
-// DryRun plays the plan through as if all went well, one machine after the other, and returns the order. If the plan cannot
-// be done, the error names each machine that is left with its constraint, and the order is as far as the plan goes.
+// DryRun plays the plan through as if all went well, one machine after the other, and returns the order. If the
+// plan cannot be done, the error names each machine that is left with its constraint, and the order is as far as
+// the plan goes.
 func DryRun(spec PlanSpec, snapshot Snapshot) (order []DryRunStep, err error) {
 	now := snapshot.clone()
 	states := map[string]State{}
@@ -23,8 +24,8 @@
 		switch decision := Decide(spec, states, now); {
 		case decision.Complete:
 			return order, nil
-		case decision.HandOver[0] != "":
-			from, to := now.Machines[decision.HandOver[0]], now.Machines[decision.HandOver[1]]
+		case decision.HandOver != Succession{}:
+			from, to := now.Machines[decision.HandOver.From], now.Machines[decision.HandOver.To]
 			from.Primary, from.Fresh, to.Primary = false, true, true
 			order = append(order, DryRunStep{Machine: from.Name, HandOver: to.Name, Leaves: p.spare(from)})
 			states[from.Name] = Done // it was the last of its group
--- a/internal/maintenance/follower.go
+++ b/internal/maintenance/follower.go
@@ -5,91 +5,98 @@
 	"time"
 )
 
-// Follower is a pooler's part: where it may send, by what it has read of the record. It knows its own lease alone, and asks nobody on a
-// request's path.
+// Follower is a pooler's view of the record: it decides where the pooler may send, by what it has read. It knows
+// its own lease alone, and asks nobody on a request's path.
 type Follower struct {
 	rules      Rules
 	startedAt  time.Duration
-	renewedAt  time.Duration
-	known      bool   // it has read since it began
-	revision   uint64 // of the newest that it has heard of
+	renewedAt  time.Duration // when the newest read was asked for
+	known      bool          // it has read the record since it started
+	revision   uint64        // the newest that it has observed
 	steps      map[string]Step
-	unfinished []string // machines of the plan that are not over, in its order
+	unfinished []string // machines of the plan that are not finished, in the plan's order
 }
 
-// NewFollower returns the reader of a pooler that has just begun, with nothing in mind.
-func NewFollower(now time.Duration, r Rules) *Follower { return &Follower{rules: r, startedAt: now} }
+// NewFollower returns the follower of a pooler that has just started, which knows nothing.
+func NewFollower(now time.Duration, rules Rules) *Follower {
+	return &Follower{rules: rules, startedAt: now}
+}
 
-// Refresh takes in the record as a majority held it at a moment after it was asked for. The lease counts from when that was: what has been
-// agreed since is not in it. Steps are in the order of the plan.
-func (p *Follower) Refresh(asked time.Duration, revision uint64, steps []Step) {
-	p.renewedAt = max(p.renewedAt, asked)
-	p.known = true
-	p.Observe(revision, steps)
+// Refresh takes in the record as a majority held it at a moment after it was asked for, and renews the lease. The
+// lease counts from when it was asked for: the answer does not have what has been agreed since. Steps are in the
+// order of the plan.
+func (f *Follower) Refresh(askedAt time.Duration, revision uint64, steps []Step) {
+	f.renewedAt = max(f.renewedAt, askedAt)
+	f.known = true
+	f.Observe(revision, steps)
 }
 
 // Observe takes in what has been agreed up to a revision. It renews no lease: more may have been agreed since.
-func (p *Follower) Observe(revision uint64, steps []Step) {
-	if revision < p.revision { // Against answers that overtake each other.
+func (f *Follower) Observe(revision uint64, steps []Step) {
+	if revision < f.revision { // It prevents that a late answer replaces a newer one.
 		return
 	}
-	p.revision = revision
-	p.steps, p.unfinished = map[string]Step{}, nil
-	for _, s := range steps {
-		p.steps[s.Machine] = s
-		if !s.State.Finished() {
-			p.unfinished = append(p.unfinished, s.Machine)
+	f.revision = revision
+	f.steps, f.unfinished = map[string]Step{}, nil
+	for _, step := range steps {
+		f.steps[step.Machine] = step
+		if !step.State.Finished() {
+			f.unfinished = append(f.unfinished, step.Machine)
 		}
 	}
 }
 
 // Known tells whether the record has been read.
-func (p *Follower) Known() bool { return p.known }
+func (f *Follower) Known() bool { return f.known }
 
 // LeaseEnd is when the lease runs out, if nothing is read before.
-func (p *Follower) LeaseEnd() time.Duration {
-	if !p.known {
-		return p.startedAt + p.rules.Lease
+func (f *Follower) LeaseEnd() time.Duration {
+	if !f.known {
+		return f.startedAt + f.rules.Lease
 	}
-	return p.renewedAt + p.rules.Lease
+	return f.renewedAt + f.rules.Lease
 }
 
-// MaySend tells whether anything new may be sent to a machine. The others are those of its group that could serve in its place. Blind tells
-// that this is the one case in which a request can reach a machine at work.
+// MaySend tells whether anything new may be sent to a machine. The others are those of its group that could serve
+// in its place. Blind tells that this is the one case in which a request can reach a machine in maintenance.
 //
-// While the lease holds it may, unless the machine is barred. Once it has run out, anything that the plan still lists could be at work:
-// it may send to what is not listed. Where all of a group are listed, and at a start that finds no record, something has to
-// serve all the same: of those not known to be barred the one that the plan takes last, or any if none was read; that is blind.
-func (p *Follower) MaySend(now time.Duration, machine string, others []string) (may, blind bool) {
-	barred := func(name string) bool { return p.steps[name].State.Blocked() }
+// While the lease holds it may, unless the machine is blocked. Once it has run out, every machine that the plan has
+// not finished could be in maintenance: it may send to all others. Where a whole group is unfinished, and after a
+// start that finds no record, something has to serve all the same: of those not known to be blocked the one that
+// the plan takes last, or any if no record was read; that is blind.
+func (f *Follower) MaySend(now time.Duration, machine string, others []string) (may, blind bool) {
 	switch {
-	case barred(machine):
+	case f.blocked(machine):
 		return false, false
-	case now < p.LeaseEnd():
-		return p.known, false // or else it will be read in a moment
-	case !p.known:
+	case now < f.LeaseEnd():
+		return f.known, false // a follower that has just started reads the record in a moment
+	case !f.known:
 		return true, true
 	}
-	place := slices.Index(p.unfinished, machine)
+	place := slices.Index(f.unfinished, machine)
 	if place < 0 {
 		return true, false
 	}
 	for _, other := range others {
-		if k := slices.Index(p.unfinished, other); k < 0 || k > place && !barred(other) {
+		otherPlace := slices.Index(f.unfinished, other)
+		if otherPlace < 0 || otherPlace > place && !f.blocked(other) {
 			return false, false
 		}
 	}
 	return true, true
 }
 
-// Stopped are the tries for which this pooler is to say that it has stopped: those agreed on machines where it has nothing out any
-// more.
-func (p *Follower) Stopped(out func(machine string) int) (said map[string]uint64) {
-	said = map[string]uint64{}
-	for name, s := range p.steps {
-		if s.State == Draining && out(name) == 0 {
-			said[name] = s.Number
+// blocked tells whether the record forbids to send to a machine.
+func (f *Follower) blocked(machine string) bool { return f.steps[machine].State.Blocked() }
+
+// Stopped returns the numbers of the attempts for which this pooler is to report that it has stopped, by machine:
+// of those that are draining and where it has no request in flight any more.
+func (f *Follower) Stopped(inFlight func(machine string) int) map[string]uint64 {
+	stopped := map[string]uint64{}
+	for name, step := range f.steps {
+		if step.State == Draining && inFlight(name) == 0 {
+			stopped[name] = step.Number
 		}
 	}
-	return said
+	return stopped
 }
--- a/internal/maintenance/hookresult.go
+++ b/internal/maintenance/hookresult.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// HookResult returns what the pooler that called a hook writes when the call has ended; nobody else knows. Failed is the
-// reason if it failed, and empty if it did not. The hook is to be called again if the proposal's Calls say so. A call of
-// an attempt that is over changes nothing.
+// HookResult returns what the pooler that called a hook writes when the call has ended; nobody else knows. Failed
+// is the reason if it failed, and empty if it did not. The hook is to be called again if the proposal's Calls say
+// so. A call of an attempt that is over changes nothing.
 func (p Policy) HookResult(now, wall time.Duration, record Record, call Call, failed string) Proposal {
 	result := &hookResult{policy: p, now: now, wall: wall, plan: record.Plan, call: call, failed: failed}
 	if call.To != "" {
--- a/internal/maintenance/leader.go
+++ b/internal/maintenance/leader.go
@@ -45,9 +45,9 @@
 	Number  uint64
 }
 
-// Leader takes a plan through, one proposal after the other. It holds what only this pooler knows: since when it has seen
-// what, on its own clock, as the times of another's clock cannot be compared with it. A new leader begins with nothing
-// and waits anew.
+// Leader takes a plan through, one proposal after the other. It holds what only this pooler knows: since when it
+// has seen what, on its own clock, as the times of another's clock cannot be compared with it. A new leader begins
+// with nothing and waits anew.
 type Leader struct {
 	policy  Policy
 	tracked map[string]stepTrack // by machine
@@ -78,15 +78,15 @@
 	// evidenceAge is the age from which on evidence of a database is asked for.
 	evidenceAge = 2 * time.Second
 
-	// refutedGrowth is by how much an instance's incarnation, in ms, may have grown since its status: others took it for
-	// gone, and it refuted that.
+	// refutedGrowth is by how much an instance's incarnation, in ms, may have grown since its status: others took
+	// it for gone, and it refuted that.
 	refutedGrowth = uint64(2 * time.Minute / time.Millisecond)
 )
 
-// Propose decides what to do next. Wall is the Unix time, which is shown, and tells how much of the plan's time is left
-// when the plan is first seen. No step of the wall clock changes anything else.
+// Propose decides what to do next. Wall is the Unix time, which is shown, and tells how much of the plan's time is
+// left when the plan is first seen. No step of the wall clock changes anything else.
 func (l *Leader) Propose(now, wall time.Duration, record Record, observation Observation) Proposal {
-	r := &round{
+	proposing := &round{
 		leader:      l,
 		policy:      l.policy,
 		now:         now,
@@ -96,28 +96,28 @@
 		plan:        record.Plan,
 		states:      map[string]State{},
 	}
-	r.forgetDeparted()
+	proposing.forgetDeparted()
 	if !record.Plan.Active() {
 		clear(l.tracked)
-		return r.proposal
+		return proposing.proposal
 	}
 	l.openWindow(now, wall, record.Plan)
-	r.rules = l.rules(record)
-	r.poolers = knownPoolers(record, observation, r.proposal.Forget)
-	r.advanceSteps()
-	r.advanceHandOver()
-	if len(r.proposal.Steps) == 0 { // one thing after the other, each on what was agreed before
-		r.schedule()
+	proposing.rules = l.rules(record)
+	proposing.poolers = knownPoolers(record, observation, proposing.proposal.Forget)
+	proposing.advanceSteps()
+	proposing.advanceHandOver()
+	if len(proposing.proposal.Steps) == 0 { // one thing after the other, each on what was agreed before
+		proposing.schedule()
 	}
-	r.proposeChangedPlan()
-	r.proposeProbes()
-	return r.proposal
+	proposing.proposeChangedPlan()
+	proposing.proposeProbes()
+	return proposing.proposal
 }
 
-// leftSince tells whether the instance that wrote a status is the one that has left by now, given both incarnations. They
-// begin with the Unix time: a status whose incarnation is far lower is that of a process which came later, after its
-// machine's clock was stepped back, and which may send. If that one is gone all the same, the operators have to forget
-// it.
+// leftSince tells whether the instance that wrote a status is the one that has left by now, given both
+// incarnations. They begin with the Unix time: a status whose incarnation is far lower is that of a process which
+// came later, after its machine's clock was stepped back, and which may send. If that one is gone all the same, the
+// operators have to forget it.
 func leftSince(reported, left uint64) bool { return left >= reported && left-reported <= refutedGrowth }
 
 // openWindow begins to count the time that a plan has left, once.
@@ -134,8 +134,8 @@
 	return !plan.Spec.Until.IsZero() && now-l.window.opened > l.window.left
 }
 
-// knownPoolers returns the poolers that could send to a machine: all that have ever written a status and have not left,
-// whether membership still knows them or not, and all that membership knows.
+// knownPoolers returns the poolers that could send to a machine: all that have ever written a status and have not
+// left, whether membership still knows them or not, and all that membership knows.
 func knownPoolers(record Record, observation Observation, left []string) Poolers {
 	poolers := Poolers{Incarnations: map[string]uint64{}, PlanReadBy: map[string]uint64{}}
 	maps.Copy(poolers.Incarnations, observation.Incarnations)
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -1,6 +1,6 @@
-// Package maintenance decides in what order machines are taken out of service for maintenance, and takes each through the
-// states of that. It is pure: no clock, goroutine or I/O. What is agreed stands in a replicated record, which is handed in
-// and returned as a value.
+// Package maintenance decides in what order machines are taken out of service for maintenance, and takes each
+// through the states of that. It is pure: no clock, goroutine or I/O. What is agreed stands in a replicated record,
+// which is handed in and returned as a value.
 package maintenance
 
 import (
@@ -27,7 +27,7 @@
 	Size        float64 `json:"size"` // what it can do when warm, in the unit of the load
 	Up          bool    `json:"up"`   // it is seen healthy
 	Warm        bool    `json:"warm"`
-	Fresh       bool    `json:"fresh,omitempty"`   // a replica close enough to its primary to serve all classes and take over
+	Fresh       bool    `json:"fresh,omitempty"`   // a replica that keeps up: it can serve all classes, and take over
 	Primary     bool    `json:"primary,omitempty"` // of a database
 	Leads       bool    `json:"leads,omitempty"`   // of a pooler: it is the record's leader
 	Unreachable bool    `json:"cut,omitempty"`     // its zone cannot be reached: what is seen of it says nothing
@@ -60,8 +60,8 @@
 	IgnoreUnreachable bool `toml:"go_on" json:"go_on,omitempty"`
 }
 
-// Check finds what is wrong with a specification; the error names the key. Known are the machines that exist; nil: names
-// are not looked at.
+// Check finds what is wrong with a specification; the error names the key. Known are the machines that exist; nil:
+// names are not looked at.
 func (s PlanSpec) Check(known map[string]*Machine) error {
 	if err := s.checkMachines(known); err != nil {
 		return err
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -124,8 +124,8 @@
 			look := Snapshot{Machines: machines, Load: load}
 			d := Decide(w, at, look)
 			require.Equal(t, d, Decide(w, at, look), "seed %d", seed)
-			if d.HandOver[0] != "" {
-				lead(machines[d.HandOver[0]], machines[d.HandOver[1]])
+			if d.HandOver.From != "" {
+				lead(machines[d.HandOver.From], machines[d.HandOver.To])
 			}
 			if m := machines[d.Take]; m != nil {
 				before := map[string]State{}
--- a/internal/maintenance/planner.go
+++ b/internal/maintenance/planner.go
@@ -10,17 +10,23 @@
 // Decision is what may be done next. The zero value is nothing.
 type Decision struct {
 	Take     string            // may be taken out now; empty: none
-	HandOver [2]string         // a primary that is next, and the replica that is to take over first
+	HandOver Succession        // of a primary that is next; zero: none
 	PutBack  string            // is out, and is put back as its group has become too small
 	Reasons  map[string]string // why each of the others is not taken
 	Complete bool              // nothing is left to be done
 }
 
-// Decide decides what may be done, given how far each machine of the plan is. It is to be called again at each change, as
-// taking out one machine changes what holds for all others. Equal inputs give equal decisions.
+// Succession is a primary, and the replica that is to take over from it.
+type Succession struct {
+	From string
+	To   string
+}
+
+// Decide decides what may be done, given how far each machine of the plan is. It is to be called again at each
+// change, as taking out one machine changes what holds for all others. Equal inputs give equal decisions.
 func Decide(spec PlanSpec, states map[string]State, snapshot Snapshot) Decision {
 	decision := Decision{Reasons: map[string]string{}, Complete: true}
-	p := &planner{spec: spec, states: states, snapshot: snapshot}
+	planning := &planner{spec: spec, states: states, snapshot: snapshot}
 	var waiting []*Machine
 	for _, name := range spec.Machines {
 		state := states[name]
@@ -35,18 +41,18 @@
 			waiting = append(waiting, machine)
 		}
 	}
-	decision.PutBack = p.putBack()
-	slices.SortStableFunc(waiting, p.compare)
+	decision.PutBack = planning.putBack()
+	slices.SortStableFunc(waiting, planning.compare)
 	for _, machine := range waiting {
-		reason, successor := p.constraint(machine, waiting)
+		reason, successor := planning.constraint(machine, waiting)
 		switch {
 		case decision.PutBack != "":
 			reason = fmt.Sprintf("%s is asked back first", decision.PutBack)
 		case reason != "":
-		case decision.Take != "" || decision.HandOver[0] != "":
+		case decision.Take != "" || decision.HandOver != Succession{}:
 			reason = "another is next"
 		case successor != "":
-			decision.HandOver = [2]string{machine.Name, successor}
+			decision.HandOver = Succession{From: machine.Name, To: successor}
 			reason = fmt.Sprintf("%s has to take over first", successor)
 		default:
 			decision.Take = machine.Name
@@ -64,9 +70,11 @@
 	snapshot Snapshot
 }
 
-// unavailable tells whether a machine is out of service, because of the plan or by itself. One that recovers counts as
-// available only once its step is done and it is ready.
-func (p *planner) unavailable(m *Machine) bool { return p.states[m.Name].Unavailable() || !m.ready() }
+// unavailable tells whether a machine is out of service, because of the plan or by itself. One that recovers counts
+// as available only once its step is done and it is ready.
+func (p *planner) unavailable(machine *Machine) bool {
+	return p.states[machine.Name].Unavailable() || !machine.ready()
+}
 
 // compare orders the machines that wait: databases before poolers, replicas before their primary, the record's leader
 // last, groups with the most spare capacity first, then by group. The sort keeps the operators' order among equals.
@@ -80,17 +88,18 @@
 }
 
 // leadership is 1 for a machine that others follow, and 0 for all others.
-func leadership(m *Machine) int {
-	if m.Primary || m.Leads {
+func leadership(machine *Machine) int {
+	if machine.Primary || machine.Leads {
 		return 1
 	}
 	return 0
 }
 
-// group returns the machines that share the work of one, itself among them: the databases of its group, or all poolers.
-func (p *planner) group(m *Machine) (members []*Machine) {
+// group returns the machines that share the work of one, itself among them: the databases of its group, or all
+// poolers.
+func (p *planner) group(machine *Machine) (members []*Machine) {
 	for _, name := range slices.Sorted(maps.Keys(p.snapshot.Machines)) {
-		if other := p.snapshot.Machines[name]; sameGroup(m, other) {
+		if other := p.snapshot.Machines[name]; sameGroup(machine, other) {
 			members = append(members, other)
 		}
 	}
@@ -103,47 +112,47 @@
 }
 
 // spare returns what the group of a machine could do beyond its load without that machine.
-func (p *planner) spare(m *Machine) float64 {
+func (p *planner) spare(machine *Machine) float64 {
 	capacity := 0.0
-	for _, other := range p.group(m) {
-		if other != m && !p.unavailable(other) {
+	for _, other := range p.group(machine) {
+		if other != machine && !p.unavailable(other) {
 			capacity += other.Size
 		}
 	}
-	if m.Kind == Pooler {
+	if machine.Kind == Pooler {
 		return capacity
 	}
-	return capacity*(1-p.spec.Margin) - p.snapshot.Load[m.Group]
+	return capacity*(1-p.spec.Margin) - p.snapshot.Load[machine.Group]
 }
 
 // constraint names what keeps a machine from being taken now, or else, of a primary, the replica that is to take over
 // first.
-func (p *planner) constraint(m *Machine, waiting []*Machine) (reason, successor string) {
-	if m.Unreachable {
-		return fmt.Sprintf("zone %s cannot be reached", m.Zone), ""
+func (p *planner) constraint(machine *Machine, waiting []*Machine) (reason, successor string) {
+	if machine.Unreachable {
+		return fmt.Sprintf("zone %s cannot be reached", machine.Zone), ""
 	}
-	if reason := p.limitReached(m); reason != "" {
+	if reason := p.limitReached(machine); reason != "" {
 		return reason, ""
 	}
-	if m.Kind == Pooler {
-		return p.poolerConstraint(m, waiting), ""
+	if machine.Kind == Pooler {
+		return p.poolerConstraint(machine, waiting), ""
 	}
-	return p.databaseConstraint(m, waiting)
+	return p.databaseConstraint(machine, waiting)
 }
 
-// limitReached names the limit on unavailable machines that is reached without this one. Each kind counts by itself: a
-// pooler that is gone keeps no database from being taken, nor the other way round.
-func (p *planner) limitReached(m *Machine) string {
+// limitReached names the limit on unavailable machines that is reached without this one. Each kind counts by
+// itself: a pooler that is gone keeps no database from being taken, nor the other way round.
+func (p *planner) limitReached(machine *Machine) string {
 	inAll, inZone, inGroup := 0, 0, 0
 	for _, other := range p.snapshot.Machines {
-		if other == m || other.Kind != m.Kind || !p.unavailable(other) {
+		if other == machine || other.Kind != machine.Kind || !p.unavailable(other) {
 			continue
 		}
 		inAll++
-		if other.Zone == m.Zone {
+		if other.Zone == machine.Zone {
 			inZone++
 		}
-		if other.Kind == Database && other.Group == m.Group {
+		if other.Kind == Database && other.Group == machine.Group {
 			inGroup++
 		}
 	}
@@ -152,8 +161,8 @@
 		count, most int
 	}{
 		{"in all", inAll, p.spec.InAll},
-		{"of zone " + m.Zone, inZone, p.spec.PerZone},
-		{fmt.Sprintf("of group %d", m.Group), inGroup, p.spec.PerGroup},
+		{"of zone " + machine.Zone, inZone, p.spec.PerZone},
+		{fmt.Sprintf("of group %d", machine.Group), inGroup, p.spec.PerGroup},
 	} {
 		if most := max(1, limit.most); limit.count >= most {
 			return fmt.Sprintf("%d %s are out, %d at the most", limit.count, limit.where, most)
@@ -163,45 +172,45 @@
 }
 
 // poolerConstraint names what keeps a pooler from being taken.
-func (p *planner) poolerConstraint(m *Machine, waiting []*Machine) string {
-	if p.spare(m) <= 0 {
+func (p *planner) poolerConstraint(machine *Machine, waiting []*Machine) string {
+	if p.spare(machine) <= 0 {
 		return "no other pooler is left"
 	}
-	otherWaits := slices.ContainsFunc(waiting, func(other *Machine) bool { return other.Kind == Pooler && other != m })
-	if m.Leads && otherWaits {
+	isOther := func(other *Machine) bool { return other.Kind == Pooler && other != machine }
+	if machine.Leads && slices.ContainsFunc(waiting, isOther) {
 		return "it leads the record, and goes last"
 	}
 	return ""
 }
 
 // databaseConstraint names what keeps a database from being taken, or else the successor of a primary.
-func (p *planner) databaseConstraint(m *Machine, waiting []*Machine) (reason, successor string) {
-	fresh, successor := p.freshReplicas(m)
+func (p *planner) databaseConstraint(machine *Machine, waiting []*Machine) (reason, successor string) {
+	fresh, successor := p.freshReplicas(machine)
 	needed := p.spec.Fresh
-	if m.Primary {
-		if reason := primaryConstraint(m, waiting, successor); reason != "" {
+	if machine.Primary {
+		if reason := primaryConstraint(machine, waiting, successor); reason != "" {
 			return reason, ""
 		}
 		needed++ // the one that takes over is a replica no more
 	}
 	if fresh < needed {
 		const text = "%d replicas of group %d that keep up would be left, %d at the least"
-		return fmt.Sprintf(text, fresh, m.Group, needed), ""
+		return fmt.Sprintf(text, fresh, machine.Group, needed), ""
 	}
-	if spare := p.spare(m); spare < 0 {
+	if spare := p.spare(machine); spare < 0 {
 		const text = "what is left of group %d would be short of %.2f for the load of %.2f"
-		return fmt.Sprintf(text, m.Group, -spare, p.snapshot.Load[m.Group]), ""
+		return fmt.Sprintf(text, machine.Group, -spare, p.snapshot.Load[machine.Group]), ""
 	}
-	if !m.Primary {
+	if !machine.Primary {
 		return "", ""
 	}
 	return "", successor
 }
 
 // primaryConstraint names what keeps a primary from being handed over.
-func primaryConstraint(m *Machine, waiting []*Machine, successor string) string {
+func primaryConstraint(machine *Machine, waiting []*Machine, successor string) string {
 	for _, other := range waiting {
-		if other != m && sameGroup(m, other) {
+		if other != machine && sameGroup(machine, other) {
 			return fmt.Sprintf("replica %s goes before its primary", other.Name)
 		}
 	}
@@ -211,11 +220,11 @@
 	return ""
 }
 
-// freshReplicas counts the other replicas of a database's group that keep up, and names the one that had best take over:
-// one whose own maintenance is done, so that no second hand-over follows, or else the first by name.
-func (p *planner) freshReplicas(m *Machine) (count int, successor string) {
-	for _, other := range p.group(m) {
-		if other == m || other.Primary || p.unavailable(other) {
+// freshReplicas counts the other replicas of a database's group that keep up, and names the one that had best take
+// over: one whose own maintenance is done, so that no second hand-over follows, or else the first by name.
+func (p *planner) freshReplicas(machine *Machine) (count int, successor string) {
+	for _, other := range p.group(machine) {
+		if other == machine || other.Primary || p.unavailable(other) {
 			continue
 		}
 		count++
@@ -226,8 +235,8 @@
 	return count, successor
 }
 
-// putBack names the machine to put back where a group has become too small since it was taken; empty: none. Of those that
-// can still come back it prefers one whose work has not begun, then the first by name.
+// putBack names the machine to put back where a group has become too small since it was taken; empty: none. Of
+// those that can still come back it prefers one whose work has not begun, then the first by name.
 func (p *planner) putBack() string {
 	var notBegun, inMaintenance string
 	for _, name := range slices.Sorted(maps.Keys(p.states)) {
@@ -246,12 +255,12 @@
 
 // groupTooSmall tells whether more members of a machine's group are unavailable than the plan allows, or the others
 // cannot bear the load.
-func (p *planner) groupTooSmall(m *Machine) bool {
+func (p *planner) groupTooSmall(machine *Machine) bool {
 	unavailable := 0
-	for _, other := range p.group(m) {
+	for _, other := range p.group(machine) {
 		if p.unavailable(other) {
 			unavailable++
 		}
 	}
-	return unavailable > max(1, p.spec.PerGroup) || p.spare(m) < 0
+	return unavailable > max(1, p.spec.PerGroup) || p.spare(machine) < 0
 }
--- a/internal/maintenance/proposal.go
+++ b/internal/maintenance/proposal.go
@@ -7,68 +7,84 @@
 	"time"
 )
 
-// Proposal are what is to be agreed on, if the record is still as it was read, and to be done once it is.
+// Proposal is what is to be agreed on, if the record is still as it was read, and to be done once it is.
 type Proposal struct {
-	Plan    *Plan           // changed
+	Plan    *Plan           // changed; nil: it stays
 	Steps   map[string]Step // changed
-	Drop    []string        // machines whose steps are of a plan before
+	Drop    []string        // machines whose steps belong to a plan before
 	Forget  []string        // poolers that left, or that operators know to be gone for good
-	History []HistoryEntry
-	Calls   []Call   // hooks
-	Resign  bool     // another is to lead the record, as this pooler is next
-	Probe   []string // databases of which nothing has been heard of late
+	History []HistoryEntry  // to be added
+	Calls   []Call          // hooks to call
+	Resign  bool            // another pooler is to lead the record, as this one is next
+	Probe   []string        // databases of which no evidence came of late
 }
 
-// Change is the change of the record: what is set, what is deleted, and at which revisions the keys must still be. Nothing is to be
-// changed where set and deleted are empty. The plan is always a condition: operators and leaders change it one after the other.
-func (o *Proposal) Change(r Record) (on map[string]uint64, set map[string]json.RawMessage, deleted []string) {
-	if o.Plan == nil && len(o.Steps)+len(o.Drop)+len(o.Forget) == 0 {
+// Change returns the change of the record: the revisions at which keys must still be, the values to set and the
+// keys to delete. All are nil if nothing is to be changed. The plan is always a condition: operators and leaders
+// change it one after the other.
+func (p *Proposal) Change(record Record) (
+	revisions map[string]uint64, set map[string]json.RawMessage, deleted []string,
+) {
+	if p.Plan == nil && len(p.Steps)+len(p.Drop)+len(p.Forget) == 0 {
 		return nil, nil, nil
 	}
-	on, set = map[string]uint64{keyPlan: r.revisions[keyPlan]}, map[string]json.RawMessage{}
+	revisions = map[string]uint64{keyPlan: record.revisions[keyPlan]}
+	set = map[string]json.RawMessage{}
 	put := func(key string, value any) {
 		text, err := json.Marshal(value)
 		if err != nil {
-			panic(err) // a fault of this program: there is nothing in it that cannot be written
+			panic(err) // a fault of this program: all values of the record can be written
 		}
-		on[key], set[key] = r.revisions[key], text
+		revisions[key], set[key] = record.revisions[key], text
 	}
-	if o.Plan != nil {
-		put(keyPlan, o.Plan)
+	remove := func(key string) {
+		revisions[key] = record.revisions[key]
+		deleted = append(deleted, key)
 	}
-	for name, s := range o.Steps {
-		put(keyStep+name, s)
+	if p.Plan != nil {
+		put(keyPlan, p.Plan)
 	}
-	for _, name := range o.Drop {
-		on[keyStep+name] = r.revisions[keyStep+name]
-		deleted = append(deleted, keyStep+name)
+	for name, step := range p.Steps {
+		put(keyStepPrefix+name, step)
 	}
-	for _, name := range o.Forget {
-		on[StatusKey(name)] = r.revisions[StatusKey(name)]
-		deleted = append(deleted, StatusKey(name))
+	for _, name := range p.Drop {
+		remove(keyStepPrefix + name)
 	}
-	if len(o.History) > 0 {
-		history := slices.Concat(r.History, o.History)
-		put(keyHistory, history[max(0, len(history)-historyMost):])
+	for _, name := range p.Forget {
+		remove(StatusKey(name))
 	}
-	return on, set, deleted
+	if len(p.History) > 0 {
+		history := slices.Concat(record.History, p.History)
+		put(keyHistory, history[max(0, len(history)-maxHistory):])
+	}
+	return revisions, set, deleted
 }
 
-func (o *Proposal) addHistory(by string, wall time.Duration, machine string, number uint64, text string, a ...any) {
-	o.History = append(o.History, HistoryEntry{At: wall.Milliseconds(), By: by, Machine: machine, Number: number, Text: fmt.Sprintf(text, a...)})
+// addHistory adds an entry to the history.
+func (p *Proposal) addHistory(
+	author string, wall time.Duration, machine string, number uint64, format string, args ...any,
+) {
+	p.History = append(p.History, HistoryEntry{
+		At:      wall.Milliseconds(),
+		By:      author,
+		Machine: machine,
+		Number:  number,
+		Text:    fmt.Sprintf(format, args...),
+	})
 }
 
-// putStep adds a changed step, with an entry if its state has changed.
-func (o *Proposal) putStep(by string, wall time.Duration, before State, s Step, why string) {
-	if o.Steps == nil {
-		o.Steps = map[string]Step{}
+// putStep adds a changed step, with an entry in the history if its state has changed.
+func (p *Proposal) putStep(author string, wall time.Duration, before State, step Step, reason string) {
+	if p.Steps == nil {
+		p.Steps = map[string]Step{}
 	}
-	s.Since = wall
-	o.Steps[s.Machine] = s
-	if s.State != before {
-		if why != "" {
-			why = ": " + why
-		}
-		o.addHistory(by, wall, s.Machine, s.Number, "%s%s", s.State, why)
+	step.Since = wall
+	p.Steps[step.Machine] = step
+	if step.State == before {
+		return
+	}
+	if reason != "" {
+		reason = ": " + reason
 	}
+	p.addHistory(author, wall, step.Machine, step.Number, "%s%s", step.State, reason)
 }
--- a/internal/maintenance/record.go
+++ b/internal/maintenance/record.go
@@ -6,29 +6,32 @@
 	"strings"
 )
 
-// Keys of the record. What poolers have to follow stands under one name.
+// Keys of the record in the store. What poolers have to follow stands under one prefix.
 const (
-	FollowedPrefix = "works/now/" // all that poolers follow
-	KeyPrefix      = "works/"
-	keyPlan        = FollowedPrefix + "plan"
-	keyStep        = FollowedPrefix + "step/" // of each machine
-	keyStatus      = "works/said/"            // of each pooler
-	keyHistory     = "works/history"
-
-	machinesMost = 400 // of a plan: the record has room for so many steps
-	historyMost  = 200 // entries that are kept
+	// KeyPrefix is of all keys of the record.
+	KeyPrefix = "works/"
+	// FollowedPrefix is of the keys that all poolers follow.
+	FollowedPrefix = "works/now/"
+
+	keyPlan         = FollowedPrefix + "plan"
+	keyStepPrefix   = FollowedPrefix + "step/" // of each machine
+	keyStatusPrefix = "works/said/"            // of each pooler
+	keyHistory      = "works/history"
 )
 
-// StatusKey is where a pooler's word stands.
-func StatusKey(pooler string) string { return keyStatus + pooler }
+// maxHistory is how many entries of the history are kept.
+const maxHistory = 200
+
+// StatusKey returns the key of a pooler's status.
+func StatusKey(pooler string) string { return keyStatusPrefix + pooler }
 
 // Plan is what operators have handed in, as it stands in the record.
 type Plan struct {
 	ID       string    `json:"id"`   // of the request that handed it in
 	Spec     PlanSpec  `json:"wish"` // its machines in the order of the dry run
 	State    PlanState `json:"state"`
-	Why      string    `json:"why,omitempty"` // of the state
-	Number   uint64    `json:"number"`        // the last that was given to a try, or to a hand-over, over all plans
+	Why      string    `json:"why,omitempty"` // the reason of the state
+	Number   uint64    `json:"number"`        // the last given to an attempt or a hand-over, over all plans
 	HandOver *HandOver `json:"hand_over,omitempty"`
 }
 
@@ -51,27 +54,29 @@
 // PlanState is how far a plan is.
 type PlanState string
 
+// The states of a plan, by their texts in stored records.
 const (
 	Running  PlanState = "running"
-	Paused   PlanState = "paused"   // nothing further is taken; what is out comes back
-	Aborting PlanState = "aborting" // what is not at work yet is put back
+	Paused   PlanState = "paused"   // no further machine is taken; those that are out come back
+	Aborting PlanState = "aborting" // machines whose work has not begun are put back
 	Finished PlanState = "over"
 )
 
 // Active tells whether there is a plan that is not over.
 func (p Plan) Active() bool { return p.ID != "" && p.State != Finished }
 
-// PoolerStatus is what a pooler says of itself in the record. It stands there until the pooler leaves: one that is not heard is known by it.
+// PoolerStatus is what a pooler reports of itself in the record. It stands there until the pooler leaves: a pooler
+// that does not report any more is known by it.
 type PoolerStatus struct {
 	Incarnation uint64            `json:"incarnation"`
-	Plan        string            `json:"plan"`     // the last that it has read
-	LeaseMS     int64             `json:"lease_ms"` // its own
-	Stopped     map[string]uint64 `json:"stopped,omitempty"`
+	Plan        string            `json:"plan"`              // ID of the last that it has read
+	LeaseMS     int64             `json:"lease_ms"`          // its own
+	Stopped     map[string]uint64 `json:"stopped,omitempty"` // attempts for which it has stopped, by machine
 }
 
-// HistoryEntry is a line of the history.
+// HistoryEntry is one line of the history.
 type HistoryEntry struct {
-	At      int64  `json:"at_ms"` // Unix, on the clock of who wrote it
+	At      int64  `json:"at_ms"` // Unix time in ms, on the clock of who wrote it
 	By      string `json:"by"`
 	Machine string `json:"machine,omitempty"`
 	Number  uint64 `json:"number,omitempty"`
@@ -88,34 +93,44 @@
 	revisions map[string]uint64
 }
 
-// Parse reads values of the record: the plan and its steps, and what else of the works is among them. A value that cannot be read
-// is an error, as of another version.
-func Parse(values map[string]json.RawMessage, revisions map[string]uint64) (r Record, err error) {
-	r = Record{Steps: map[string]Step{}, Statuses: map[string]PoolerStatus{}, revisions: revisions}
+// Parse reads values of the record, by key; keys of other things are skipped. A value that cannot be read, as one of
+// another version, is an error that names the key.
+func Parse(values map[string]json.RawMessage, revisions map[string]uint64) (Record, error) {
+	record := Record{Steps: map[string]Step{}, Statuses: map[string]PoolerStatus{}, revisions: revisions}
 	for key, text := range values {
-		var e error
-		switch {
-		case key == keyPlan:
-			e = json.Unmarshal(text, &r.Plan)
-		case key == keyHistory:
-			e = json.Unmarshal(text, &r.History)
-		case strings.HasPrefix(key, keyStep):
-			var s Step
-			e = json.Unmarshal(text, &s)
-			r.Steps[strings.TrimPrefix(key, keyStep)] = s
-		case strings.HasPrefix(key, keyStatus):
-			var w PoolerStatus
-			e = json.Unmarshal(text, &w)
-			r.Statuses[strings.TrimPrefix(key, keyStatus)] = w
-		}
-		if e != nil {
-			return r, fmt.Errorf("%s: %w", key, e)
+		if err := record.parseValue(key, text); err != nil {
+			return record, fmt.Errorf("%s: %w", key, err)
 		}
 	}
-	return r, nil
+	return record, nil
+}
+
+// parseValue reads the value of one key.
+func (r *Record) parseValue(key string, text json.RawMessage) error {
+	if name, is := strings.CutPrefix(key, keyStepPrefix); is {
+		return parseInto(r.Steps, name, text)
+	}
+	if name, is := strings.CutPrefix(key, keyStatusPrefix); is {
+		return parseInto(r.Statuses, name, text)
+	}
+	switch key {
+	case keyPlan:
+		return json.Unmarshal(text, &r.Plan)
+	case keyHistory:
+		return json.Unmarshal(text, &r.History)
+	}
+	return nil
+}
+
+// parseInto reads a value into a map.
+func parseInto[T any](values map[string]T, name string, text json.RawMessage) error {
+	var value T
+	err := json.Unmarshal(text, &value)
+	values[name] = value
+	return err
 }
 
-// PlanSteps are the steps of the plan, in its order.
+// PlanSteps returns the steps of the plan, in its order.
 func (r Record) PlanSteps() (steps []Step) {
 	for _, name := range r.Plan.Spec.Machines {
 		steps = append(steps, r.step(name))
@@ -123,19 +138,20 @@
 	return steps
 }
 
+// step returns the step of a machine, which waits if the record has none.
 func (r Record) step(name string) Step {
-	s, known := r.Steps[name]
+	step, known := r.Steps[name]
 	if !known {
-		s = Step{Machine: name}
+		step = Step{Machine: name}
 	}
-	return s
+	return step
 }
 
-// States is how far each machine is.
+// States returns the state of each machine of the plan.
 func (r Record) States() map[string]State {
-	at := map[string]State{}
-	for _, s := range r.PlanSteps() {
-		at[s.Machine] = s.State
+	states := map[string]State{}
+	for _, step := range r.PlanSteps() {
+		states[step.Machine] = step.State
 	}
-	return at
+	return states
 }
--- a/internal/maintenance/round.go
+++ b/internal/maintenance/round.go
@@ -71,57 +71,57 @@
 }
 
 // advance takes one step as far as it can go now, and tells whether anything has changed, and for what reason.
-func (r *round) advance(p *progress, track stepTrack) (reason string, changed bool) {
-	if r.plan.State == Aborting && p.apply(Event{Kind: Abort}) {
+func (r *round) advance(progress *progress, track stepTrack) (reason string, changed bool) {
+	if r.plan.State == Aborting && progress.apply(Event{Kind: Abort}) {
 		return "given up by the operators", true
 	}
-	switch p.step.State {
+	switch progress.step.State {
 	case Draining:
-		return r.advanceDraining(p)
+		return r.advanceDraining(progress)
 	case Drained:
-		return "", r.plan.State == Running && r.callHook(p)
+		return "", r.plan.State == Running && r.callHook(progress)
 	case InMaintenance:
 		// The instance that called the hook writes how it ended; one that is gone does not.
-		caller := p.step.HookCaller
-		return "", caller != Instance{} && !r.observation.live(caller) && r.callHook(p)
+		caller := progress.step.HookCaller
+		return "", caller != Instance{} && !r.observation.live(caller) && r.callHook(progress)
 	case Recovering:
 		settled := track.healthySince > 0 && r.now-track.healthySince >= r.policy.Settle
-		return "", settled && p.apply(Event{Kind: Ready})
+		return "", settled && progress.apply(Event{Kind: Ready})
 	default:
 		return "", false
 	}
 }
 
 // advanceDraining takes in which poolers have stopped, and lets the work begin once all have.
-func (r *round) advanceDraining(p *progress) (reason string, changed bool) {
-	name := p.step.Machine
+func (r *round) advanceDraining(progress *progress) (reason string, changed bool) {
+	name := progress.step.Machine
 	if machine := r.observation.Machines[name]; machine != nil && machine.Kind == Pooler {
-		p.poolers = Poolers{} // poolers do not send to it
+		progress.poolers = Poolers{} // poolers do not send to it
 	}
 	for _, pooler := range slices.Sorted(maps.Keys(r.record.Statuses)) {
 		status := r.record.Statuses[pooler]
-		reported := status.Stopped[name] == p.step.Number && p.step.Stopped[pooler] < status.Incarnation
+		reported := status.Stopped[name] == progress.step.Number && progress.step.Stopped[pooler] < status.Incarnation
 		reporter := Instance{Name: pooler, Incarnation: status.Incarnation}
-		if reported && p.apply(Event{Kind: PoolerStopped, Instance: reporter}) {
+		if reported && progress.apply(Event{Kind: PoolerStopped, Instance: reporter}) {
 			changed = true
 		}
 	}
-	p.apply(Event{Kind: Reevaluate})
-	if p.step.State != Drained {
+	progress.apply(Event{Kind: Reevaluate})
+	if progress.step.State != Drained {
 		return "", changed
 	}
-	if len(p.step.Unreachable) > 0 {
-		reason = fmt.Sprintf("without the word of %v, whose lease has run out", p.step.Unreachable)
+	if len(progress.step.Unreachable) > 0 {
+		reason = fmt.Sprintf("without the word of %v, whose lease has run out", progress.step.Unreachable)
 	}
 	return reason, true
 }
 
 // callHook proposes to call the hook for a step, if there is one and it may be called.
-func (r *round) callHook(p *progress) bool {
-	if !r.policy.Hook || !p.apply(Event{Kind: HookStarted, Instance: r.policy.Self}) {
+func (r *round) callHook(progress *progress) bool {
+	if !r.policy.Hook || !progress.apply(Event{Kind: HookStarted, Instance: r.policy.Self}) {
 		return false
 	}
-	r.proposal.Calls = append(r.proposal.Calls, Call{Machine: p.step.Machine, Number: p.step.Number})
+	r.proposal.Calls = append(r.proposal.Calls, Call{Machine: progress.step.Machine, Number: progress.step.Number})
 	return true
 }
 
@@ -175,8 +175,8 @@
 	case decision.PutBack != "":
 		r.putBack(decision.PutBack)
 	case r.plan.HandOver != nil:
-	case decision.HandOver[0] != "":
-		r.beginHandOver(decision.HandOver[0], decision.HandOver[1])
+	case decision.HandOver != Succession{}:
+		r.beginHandOver(decision.HandOver)
 	case decision.Take != "":
 		r.take(decision.Take)
 	}
@@ -192,10 +192,10 @@
 }
 
 // beginHandOver lets a replica take over from a primary that is next.
-func (r *round) beginHandOver(from, to string) {
+func (r *round) beginHandOver(next Succession) {
 	r.plan.Number++
-	r.plan.HandOver = &HandOver{From: from, To: to, Number: r.plan.Number}
-	r.addHistory(from, r.plan.Number, "%s is to take over", to)
+	r.plan.HandOver = &HandOver{From: next.From, To: next.To, Number: r.plan.Number}
+	r.addHistory(next.From, r.plan.Number, "%s is to take over", next.To)
 }
 
 // take takes a machine out of service. A pooler that leads the record lets another lead first.
--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -127,7 +127,8 @@
 		return s, s.rejects(event, "")
 	}
 	reporter := event.Instance
-	if poolers.Incarnations[reporter.Name] > reporter.Incarnation { // It prevents that a report from before a restart counts.
+	// It prevents that a report from before a restart counts.
+	if poolers.Incarnations[reporter.Name] > reporter.Incarnation {
 		return s, s.rejects(event, reporter.Name+" has restarted since it reported")
 	}
 	stopped := maps.Clone(s.Stopped)
@@ -139,10 +140,10 @@
 	return s.reevaluate(now, poolers, rules), nil
 }
 
-// reevaluate lets the work begin once every pooler has stopped in its present incarnation. A pooler that does not report
-// has not agreed: by the operators' choice the step waits for it, or goes on once its lease must have run out and names
-// it. It never goes on without one that has not read the plan in its present incarnation: such a pooler does not
-// know what could be in maintenance, so its lease protects nothing.
+// reevaluate lets the work begin once every pooler has stopped in its present incarnation. A pooler that does not
+// report has not agreed: by the operators' choice the step waits for it, or goes on once its lease must have run
+// out and names it. It never goes on without one that has not read the plan in its present incarnation: such a
+// pooler does not know what could be in maintenance, so its lease protects nothing.
 func (s Step) reevaluate(now time.Duration, poolers Poolers, rules Rules) Step {
 	if s.State != Draining {
 		return s
@@ -163,8 +164,8 @@
 	return s.moved(Drained, now)
 }
 
-// hookStarted notes a call of the hook. It is called again only where, as far as is known, the call before has not begun
-// the work, and with the same number: whoever runs the hook must take the number as the work's name.
+// hookStarted notes a call of the hook. It is called again only where, as far as is known, the call before has not
+// begun the work, and with the same number: whoever runs the hook must take the number as the work's name.
 func (s Step) hookStarted(event Event, now time.Duration, rules Rules) (Step, error) {
 	callable := s.State == Drained || s.State == InMaintenance
 	if !callable || s.HookCalls >= rules.maxCalls() {
@@ -192,7 +193,7 @@
 // abort rolls the step back, unless the work has begun.
 func (s Step) abort(event Event, now time.Duration) (Step, error) {
 	switch {
-	case s.State == InMaintenance: // Somebody works on the machine: it comes back when the hook ends, or a person says so.
+	case s.State == InMaintenance: // The machine comes back when the hook ends, or a person says so.
 		return s, s.rejects(event, "the work has begun; the machine comes back when it is over")
 	case s.State == Recovering || s.State.Finished():
 		return s, s.rejects(event, "")
