--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent takes the works through at one pooler: it reads what is agreed, keeps the pooler off machines that are out, says when
-// nothing is out there any more, and, at the pooler that leads the record, takes the plan further. What is decided is in package
-// works; no request waits for anything here.
+// Package agent carries out planned maintenance at one pooler: it reads what is agreed, blocks machines that are
+// out of service, reports when no request is in flight to them any more, and, at the pooler that leads the record,
+// takes the plan further. Package maintenance decides; no request waits for anything here.
 package agent
 
 import (
@@ -20,109 +20,121 @@
 )
 
 const (
-	turn     = 50 * time.Millisecond  // while something is agreed or out, this often
-	look     = 250 * time.Millisecond // the leader looks this often, where there is a plan
-	idle     = time.Second            // and this often whether there is one
-	watches  = 10 * time.Second       // a watch of the record waits so long
-	pause    = 200 * time.Millisecond // after a call of the record that failed
-	leaves   = 500 * time.Millisecond // for the word that this pooler leaves
-	renewals = 4                      // reads in a lease
+	activeInterval = 50 * time.Millisecond  // between turns while there is a plan, or the record has not been read
+	leaderInterval = 250 * time.Millisecond // between the leader's proposals where there is a plan
+	idleInterval   = time.Second            // between turns where there is no plan
+	watchTimeout   = 10 * time.Second       // of one watch of the record
+	retryPause     = 200 * time.Millisecond // after a call of the record that failed
+	leaveTimeout   = 500 * time.Millisecond // for the change that says that this pooler leaves
+	readsPerLease  = 4
 )
 
-// Pooler is what the driver works for. Core is called on the event loop only, but for its figures.
+// Pooler is what the agent works for. Core is called on the event loop only, except for its figures.
 type Pooler struct {
 	Name        string
 	Core        *core.Core
 	Do          func(func()) // runs on the event loop, soon
-	Store       store.Store  // nil: this pooler keeps none of the record
+	Store       store.Store  // nil: this pooler keeps no copy of the record
 	Client      *store.Client
 	Fleet       func() gossip.State
 	Incarnation func() uint64
-	Joined      func() bool // this process is the pooler's part of the fleet: no other of its name is, as one that ends at an upgrade
-	Zones       []string
-	Fresh       time.Duration // what the tightest class bears
-	Clock       func() time.Duration
-	Log         zerolog.Logger
+	// Joined tells whether this process is the member of its name: at an upgrade one process starts while another of
+	// its name still serves.
+	Joined func() bool
+	Zones  []string
+	Fresh  time.Duration // replication lag that the tightest class bears
+	Clock  func() time.Duration
+	Log    zerolog.Logger
 }
 
-// Agent is one pooler's.
+// Agent is the part of one pooler that carries out maintenance.
 type Agent struct {
 	pooler Pooler
 	config Config
+
 	cancel context.CancelFunc
-	ended  sync.WaitGroup
-	kicked chan struct{}
-	words  chan struct{} // there is a word
-	active atomic.Bool   // there is a plan
-	calls  atomic.Int64
-	lapsed atomic.Bool // as last logged
-	unsaid atomic.Bool // the record has no word of this pooler
-
-	mu     sync.Mutex // guards all below
-	reader *maintenance.Follower
-	held   map[string]store.Value // under maintenance.Now
-	at     uint64                 // revision of held
-	record maintenance.Record     // of held
-	broken string                 // why held cannot be read
-	looker looker
-	shown  Overview
-	asked  time.Duration            // when databases were last asked who leads
-	word   maintenance.PoolerStatus // what this pooler has to say
+	ended  sync.WaitGroup // of the goroutines and the hooks that it waits for
+
+	wake        chan struct{} // blocks are to be looked at now
+	statusReady chan struct{} // there is a status to write
+
+	active        atomic.Bool  // there is a plan
+	changes       atomic.Int64 // counts changes of the record, for their IDs
+	lapsed        atomic.Bool  // whether the lease had run out, as last logged
+	statusMissing atomic.Bool  // the record has no status of this pooler
+
+	mu         sync.Mutex // guards all below
+	follower   *maintenance.Follower
+	values     map[string]store.Value // under maintenance.FollowedPrefix
+	revision   uint64                 // of values
+	record     maintenance.Record     // of values
+	unreadable string                 // why values that were read last cannot be parsed; empty: they can
+	observer   observer
+	overview   Overview
+	probedAt   time.Duration            // when databases were last asked who is the primary
+	status     maintenance.PoolerStatus // what this pooler has to report
 }
 
-// Start begins. Until the record has been read, or for the length of a lease, the pooler keeps off all databases: Off must have been
-// handed to the core before.
-func Start(c Config, p Pooler) *Agent {
-	now := p.Clock()
-	d := &Agent{
-		pooler: p, config: c, kicked: make(chan struct{}, 1), words: make(chan struct{}, 1), reader: maintenance.NewFollower(now, maintenance.Rules{Lease: ms(c.LeaseMS)}),
-		held: map[string]store.Value{}, looker: looker{zones: p.Zones, fresh: p.Fresh, peaks: map[int]float64{}},
-	}
-	if c.FreshMS > 0 {
-		d.looker.fresh = ms(c.FreshMS)
+// Start starts the agent. Until the record has been read, or for the length of a lease, the pooler blocks all
+// databases: InitialBlocks must have been handed to the core before. The caller ends it with Stop.
+func Start(config Config, pooler Pooler) *Agent {
+	rules := maintenance.Rules{Lease: milliseconds(config.LeaseMS)}
+	a := &Agent{
+		pooler:      pooler,
+		config:      config,
+		wake:        make(chan struct{}, 1),
+		statusReady: make(chan struct{}, 1),
+		follower:    maintenance.NewFollower(pooler.Clock(), rules),
+		values:      map[string]store.Value{},
+		observer:    newObserver(config, pooler),
 	}
-	var ctx context.Context
-	ctx, d.cancel = context.WithCancel(context.Background())
-	for _, run := range []func(context.Context){d.watch, d.renew, d.act, d.say, d.lead} {
-		d.ended.Go(func() { run(ctx) })
+	ctx, cancel := context.WithCancel(context.Background())
+	a.cancel = cancel
+	for _, run := range []func(context.Context){a.watch, a.renewLease, a.keepBlocks, a.reportStatus, a.lead} {
+		a.ended.Go(func() { run(ctx) })
 	}
-	return d
+	return a
 }
 
-// InitialBlocks is what a pooler keeps off that begins now.
+// InitialBlocks returns what a pooler blocks that starts now.
 func (c Config) InitialBlocks(now time.Duration) core.Blocks {
-	return core.Blocks{All: true, Until: now + ms(c.LeaseMS)}
+	return core.Blocks{All: true, Until: now + milliseconds(c.LeaseMS)}
 }
 
-// Stop ends, once nothing is sent any more, and says in the record that this pooler has left.
-func (d *Agent) Stop() {
-	d.cancel()
-	d.ended.Wait()
-	ctx, cancel := context.WithTimeout(context.Background(), leaves)
+// Stop ends the agent, once the pooler sends nothing any more, and deletes its status from the record. It waits for
+// the agent's goroutines, but not for a hook that runs.
+func (a *Agent) Stop() {
+	a.cancel()
+	a.ended.Wait()
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	if _, err := d.pooler.Client.Change(ctx, store.Change{Delete: []string{d.key()}}); err != nil {
-		d.pooler.Log.Warn().Err(err).Msg("works: the record does not know that this pooler leaves")
+	if _, err := a.pooler.Client.Change(ctx, store.Change{Delete: []string{a.statusKey()}}); err != nil {
+		a.pooler.Log.Warn().Err(err).Msg("maintenance: the record does not know that this pooler leaves")
 	}
 }
 
-// wall is the Unix time, for what people read in the record and for the time until which they let machines be taken.
-func wall() time.Duration { return time.Duration(clock.Wall().UnixNano()) }
+// wallClock returns the Unix time, for what people read in the record and for the end of a plan's time.
+func wallClock() time.Duration {
+	return time.Duration(clock.Wall().UnixNano()) //nolint:forbidigo // it converts what clock.Wall has read
+}
 
-func sleep(ctx context.Context, t time.Duration) {
+// sleep waits, but no longer than the context.
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
-	case <-time.After(t):
+	case <-time.After(duration):
 	case <-ctx.Done():
 	}
 }
 
-func (d *Agent) kick() {
+// signal marks a channel of capacity 1, if it isn't marked yet.
+func signal(channel chan<- struct{}) {
 	select {
-	case d.kicked <- struct{}{}:
+	case channel <- struct{}{}:
 	default:
 	}
 }
 
-// id is a new one of a change.
-func (d *Agent) id() string {
-	return fmt.Sprintf("works/%s/%d/%d", d.pooler.Name, d.pooler.Incarnation(), d.calls.Add(1))
+// changeID returns a new ID of a change of the record.
+func (a *Agent) changeID() string {
+	return fmt.Sprintf("works/%s/%d/%d", a.pooler.Name, a.pooler.Incarnation(), a.changes.Add(1))
 }
--- a/internal/maintenance/agent/blocks.go
+++ b/internal/maintenance/agent/blocks.go
@@ -12,139 +12,199 @@
 	"capercove/routing"
 )
 
-// act keeps the pooler off what is out. It waits for no call of the record.
-func (d *Agent) act(ctx context.Context) {
+// keepBlocks blocks what is out of service. It waits for no call of the record.
+func (a *Agent) keepBlocks(ctx context.Context) {
 	for ctx.Err() == nil {
-		if w, known := d.keepOff(ctx); known {
-			d.mu.Lock()
-			d.word = w
-			d.mu.Unlock()
-			select {
-			case d.words <- struct{}{}:
-			default:
-			}
+		if status, known := a.updateBlocks(ctx); known {
+			a.mu.Lock()
+			a.status = status
+			a.mu.Unlock()
+			signal(a.statusReady)
 		}
-		wait := idle
-		d.mu.Lock()
-		if d.active.Load() || !d.reader.Known() {
-			wait = turn
-		}
-		d.mu.Unlock()
 		select {
-		case <-d.kicked:
-		case <-time.After(wait):
+		case <-a.wake:
+		case <-time.After(a.blocksInterval()):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// keepOff hands the pooler what it has to keep off, and returns the tries for which it has nothing out any more, with the plan that
-// they are of.
-func (d *Agent) keepOff(ctx context.Context) (w maintenance.PoolerStatus, known bool) {
-	f := d.pooler.Core.Figures()
-	groups, group := map[int][]string{}, map[string]int{}
-	for _, s := range f.Databases {
-		groups[s.Group] = append(groups[s.Group], s.Name)
-		group[s.Name] = s.Group
-	}
-	d.mu.Lock()
-	now := d.pooler.Clock()
-	lapses := d.reader.LeaseEnd()
-	off := core.Blocks{
-		All: !d.reader.Known(), Until: lapses, Now: map[routing.NodeID]bool{}, Worn: map[routing.NodeID]bool{}, Then: map[routing.NodeID]bool{},
-		Blind: map[routing.NodeID]bool{},
-	}
-	agreed := map[routing.NodeID]bool{}
-	names := slices.Sorted(maps.Keys(group))
-	for name := range d.record.Steps { // Against one that the list has dropped, and brings back at once: it is kept off all the same.
-		if _, listed := group[name]; !listed {
-			names = append(names, name)
-		}
+// blocksInterval is when to look at the blocks again.
+func (a *Agent) blocksInterval() time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.active.Load() || !a.follower.Known() {
+		return activeInterval
 	}
-	for _, name := range names {
-		id := discovery.ID(name)
-		g, listed := group[name]
-		others := slices.DeleteFunc(slices.Clone(groups[g]), func(o string) bool { return o == name })
-		if may, _ := d.reader.MaySend(now, name, others); !may {
-			off.Now[id] = true
-		}
-		may, blind := d.reader.MaySend(max(now, lapses), name, others)
-		if !may || blind && !listed {
-			off.Then[id] = true
-		} else if blind {
-			off.Blind[id] = true
-		}
-		switch d.record.Steps[name].State {
-		case maintenance.Draining:
-			agreed[id] = true
-		case maintenance.Recovering:
-			off.Worn[id] = true
+	return idleInterval
+}
+
+// databaseGroups are the databases that the pooler knows, by group.
+type databaseGroups struct {
+	names   map[int][]string // of each group
+	groupOf map[string]int   // of each database
+}
+
+// groupsOf returns the groups of databases.
+func groupsOf(databases []core.DatabaseStatus) databaseGroups {
+	groups := databaseGroups{names: map[int][]string{}, groupOf: map[string]int{}}
+	for _, database := range databases {
+		groups.names[database.Group] = append(groups.names[database.Group], database.Name)
+		groups.groupOf[database.Name] = database.Group
+	}
+	return groups
+}
+
+// others returns the other databases of the group of one.
+func (g databaseGroups) others(name string) []string {
+	members := slices.Clone(g.names[g.groupOf[name]])
+	return slices.DeleteFunc(members, func(other string) bool { return other == name })
+}
+
+// decidedBlocks are the blocks as they are decided, with what is to be done beside them.
+type decidedBlocks struct {
+	blocks   core.Blocks
+	plan     string                  // ID of the plan that they are of
+	draining map[routing.NodeID]bool // databases whose requests in flight are to be counted
+	probe    []string                // databases to ask
+}
+
+// updateBlocks hands the core what it has to block, and returns the attempts for which this pooler has nothing in
+// flight any more, with the plan that they are of; false: the agent ends.
+func (a *Agent) updateBlocks(ctx context.Context) (status maintenance.PoolerStatus, known bool) {
+	decided := a.decideBlocks(a.pooler.Core.Figures().Databases)
+	counted := make(chan map[routing.NodeID]int, 1)
+	a.pooler.Do(func() {
+		a.pooler.Core.Block(decided.blocks)
+		for _, name := range decided.probe {
+			a.pooler.Core.ProbeByName(name)
 		}
+		counted <- a.pooler.Core.AttemptsInFlight(decided.draining)
+	})
+	select {
+	case inFlight := <-counted:
+		return a.stoppedStatus(decided, inFlight), true
+	case <-ctx.Done():
+		return status, false
 	}
-	active, plan := d.record.Plan.Active(), d.record.Plan.ID
-	if lapsed := (active || off.All) && now >= lapses; lapsed != d.lapsed.Load() {
-		d.lapsed.Store(lapsed)
-		line := d.pooler.Log.Warn().Bool("lapsed", lapsed)
-		if lapsed && len(off.Blind) > 0 {
-			line = line.Int("blind", len(off.Blind)) // databases
+}
+
+// decideBlocks decides what to block now, and from the end of the lease on.
+func (a *Agent) decideBlocks(databases []core.DatabaseStatus) decidedBlocks {
+	groups := groupsOf(databases)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	now := a.pooler.Clock()
+	leaseEnd := a.follower.LeaseEnd()
+	blocks := core.Blocks{All: !a.follower.Known(), Until: leaseEnd}
+	blocks.Now, blocks.Worn = map[routing.NodeID]bool{}, map[routing.NodeID]bool{}
+	blocks.Then, blocks.Blind = map[routing.NodeID]bool{}, map[routing.NodeID]bool{}
+	draining := map[routing.NodeID]bool{}
+	names := a.blockable(groups)
+	for _, name := range names {
+		a.blockDatabase(&blocks, name, groups, now)
+		if a.record.Steps[name].State == maintenance.Draining {
+			draining[discovery.ID(name)] = true
 		}
-		line.Msg("works: the lease on the record")
 	}
-	if !active && d.reader.Known() {
-		off = core.Blocks{Worn: off.Worn}
+	active := a.record.Plan.Active()
+	a.logLapse((active || blocks.All) && now >= leaseEnd, len(blocks.Blind))
+	if !active && a.follower.Known() {
+		blocks = core.Blocks{Worn: blocks.Worn}
 	}
-	d.shown.Off = nil
+	a.overview.Off = nil
 	for _, name := range names {
-		if off.All || off.Now[discovery.ID(name)] {
-			d.shown.Off = append(d.shown.Off, name)
+		if blocks.All || blocks.Now[discovery.ID(name)] {
+			a.overview.Off = append(a.overview.Off, name)
 		}
 	}
-	ask := d.leaders(now, f.Databases, off.Now)
-	d.mu.Unlock()
-	left := make(chan map[routing.NodeID]int, 1)
-	d.pooler.Do(func() {
-		d.pooler.Core.Block(off)
-		for _, name := range ask {
-			d.pooler.Core.ProbeByName(name)
+	probe := a.databasesToProbe(now, databases, blocks.Now)
+	return decidedBlocks{blocks: blocks, plan: a.record.Plan.ID, draining: draining, probe: probe}
+}
+
+// blockable names the databases that could be blocked; mu is held. One that the endpoint list has dropped is among
+// them: the list may bring it back at any time.
+func (a *Agent) blockable(groups databaseGroups) []string {
+	names := slices.Sorted(maps.Keys(groups.groupOf))
+	for name := range a.record.Steps {
+		if _, listed := groups.groupOf[name]; !listed {
+			names = append(names, name)
 		}
-		left <- d.pooler.Core.AttemptsInFlight(agreed)
-	})
-	select {
-	case out := <-left:
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.shown.Out = map[string]int{}
-		w.Plan = plan
-		w.Stopped = d.reader.Stopped(func(name string) int {
-			id := discovery.ID(name)
-			if !agreed[id] { // it was agreed on only now
-				return 1
-			}
-			d.shown.Out[name] = out[id]
-			return out[id]
-		})
-		return w, true
-	case <-ctx.Done():
-		return w, false
 	}
+	return names
+}
+
+// blockDatabase adds one database to the blocks; mu is held.
+func (a *Agent) blockDatabase(blocks *core.Blocks, name string, groups databaseGroups, now time.Duration) {
+	id := discovery.ID(name)
+	_, listed := groups.groupOf[name]
+	others := groups.others(name)
+	if may, _ := a.follower.MaySend(now, name, others); !may {
+		blocks.Now[id] = true
+	}
+	may, blind := a.follower.MaySend(max(now, blocks.Until), name, others)
+	switch {
+	case !may || blind && !listed:
+		blocks.Then[id] = true
+	case blind:
+		blocks.Blind[id] = true
+	}
+	if a.record.Steps[name].State == maintenance.Recovering {
+		blocks.Worn[id] = true
+	}
+}
+
+// logLapse logs that the lease has run out or is renewed, once each time, with the number of databases to which
+// requests are sent blindly.
+func (a *Agent) logLapse(lapsed bool, blind int) {
+	if lapsed == a.lapsed.Load() {
+		return
+	}
+	a.lapsed.Store(lapsed)
+	line := a.pooler.Log.Warn().Bool("lapsed", lapsed)
+	if lapsed && blind > 0 {
+		line = line.Int("blind", blind)
+	}
+	line.Msg("maintenance: the lease on the record")
 }
 
-// leaders are databases to ask, as all that this pooler takes for the primary of their group is kept off: another has taken over, and it
-// has seen nothing of that yet. Mu is held.
-func (d *Agent) leaders(now time.Duration, sights []core.DatabaseStatus, off map[routing.NodeID]bool) (ask []string) {
-	if len(off) == 0 || now-d.asked < look {
+// databasesToProbe names the databases to ask where all that this pooler takes for the primary of a group is blocked:
+// another has taken over, and it has seen nothing of that yet. Mu is held.
+func (a *Agent) databasesToProbe(
+	now time.Duration, databases []core.DatabaseStatus, blocked map[routing.NodeID]bool,
+) (names []string) {
+	if len(blocked) == 0 || now-a.probedAt < leaderInterval {
 		return nil
 	}
-	d.asked = now
-	led, kept := map[int]bool{}, map[int]bool{}
-	for _, s := range sights {
-		kept[s.Group] = kept[s.Group] || off[s.ID]
-		led[s.Group] = led[s.Group] || s.Primary && !off[s.ID]
+	a.probedAt = now
+	hasPrimary, hasBlocked := map[int]bool{}, map[int]bool{}
+	for _, database := range databases {
+		if blocked[database.ID] {
+			hasBlocked[database.Group] = true
+		} else if database.Primary {
+			hasPrimary[database.Group] = true
+		}
 	}
-	for _, s := range sights {
-		if kept[s.Group] && !led[s.Group] && !off[s.ID] {
-			ask = append(ask, s.Name)
+	for _, database := range databases {
+		if hasBlocked[database.Group] && !hasPrimary[database.Group] && !blocked[database.ID] {
+			names = append(names, database.Name)
 		}
 	}
-	return ask
+	return names
+}
+
+// stoppedStatus returns the status to report, given the requests in flight to the databases that are draining.
+func (a *Agent) stoppedStatus(decided decidedBlocks, inFlight map[routing.NodeID]int) maintenance.PoolerStatus {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.overview.Out = map[string]int{}
+	stopped := a.follower.Stopped(func(name string) int {
+		id := discovery.ID(name)
+		if !decided.draining[id] { // it is draining only since the requests were counted
+			return 1
+		}
+		a.overview.Out[name] = inFlight[id]
+		return inFlight[id]
+	})
+	return maintenance.PoolerStatus{Plan: decided.plan, Stopped: stopped}
 }
--- a/internal/maintenance/agent/config.go
+++ b/internal/maintenance/agent/config.go
@@ -10,20 +10,30 @@
 
 // Config is table [works] of the operators' file.
 type Config struct {
-	Enabled     bool     `toml:"enabled"`
-	Record      []string `toml:"record"`       // API addresses of the poolers that keep the record; empty: those of [store]
-	LeaseMS     int      `toml:"lease_ms"`     // a pooler that has not read the record for so long keeps off all that a plan lists
-	SkewMS      int      `toml:"skew_ms"`      // two clocks run apart by this in a lease, at the most
-	SettleMS    int      `toml:"settle_ms"`    // a machine that is back has been seen well for so long
-	FreshMS     int      `toml:"fresh_ms"`     // a replica that is behind by more does not keep up; 0: what the tightest class bears
-	Hook        []string `toml:"hook"`         // a program that does the work, with its arguments; empty: a person does it, or hook_url
-	HookURL     string   `toml:"hook_url"`     // called with POST instead of a program
-	HandOver    []string `toml:"hand_over"`    // a program that lets a replica take over; empty: a person does
-	HookSeconds int      `toml:"hook_seconds"` // a call of a hook takes no longer
-	HookCalls   int      `toml:"hook_calls"`   // of a hook that fails, or whose caller is gone, at the most, always with the same id
+	Enabled bool `toml:"enabled"`
+	// Record has the API addresses of the poolers that keep the record; empty: those of [store].
+	Record []string `toml:"record"`
+	// LeaseMS is for how long a pooler that does not read the record may send to machines that a plan lists.
+	LeaseMS int `toml:"lease_ms"`
+	// SkewMS is by how much two clocks run apart in a lease at the most.
+	SkewMS int `toml:"skew_ms"`
+	// SettleMS is for how long a machine that is back has to be seen healthy.
+	SettleMS int `toml:"settle_ms"`
+	// FreshMS is the replication lag from which on a replica does not keep up; 0: what the tightest class bears.
+	FreshMS int `toml:"fresh_ms"`
+	// Hook is a program that does the work, with its arguments; empty: a person does it, or HookURL.
+	Hook []string `toml:"hook"`
+	// HookURL is called with POST instead of a program.
+	HookURL string `toml:"hook_url"`
+	// HandOver is a program that lets a replica take over, with its arguments; empty: a person does.
+	HandOver []string `toml:"hand_over"`
+	// HookSeconds is how long a call of a hook takes at the most.
+	HookSeconds int `toml:"hook_seconds"`
+	// HookCalls is how often a hook that fails, or whose caller is gone, is called at the most, with the same ID.
+	HookCalls int `toml:"hook_calls"`
 }
 
-// Defaults are what an empty table means.
+// Defaults returns what an empty table means.
 func Defaults() Config {
 	return Config{LeaseMS: 5000, SkewMS: 500, SettleMS: 3000, HookSeconds: 1800, HookCalls: 1}
 }
@@ -65,4 +75,4 @@
 	return nil
 }
 
-func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/maintenance/agent/hook.go
+++ b/internal/maintenance/agent/hook.go
@@ -10,6 +10,7 @@
 	"net/http"
 	"os"
 	"os/exec"
+	"slices"
 	"strconv"
 	"strings"
 	"syscall"
@@ -18,54 +19,72 @@
 	"capercove/internal/maintenance"
 )
 
-const hookSays = 300 // bytes of what a hook says that are kept
+const (
+	maxHookOutput  = 300 // bytes of what a hook writes that are kept for the error
+	statusClass    = 100 // HTTP status codes in a class
+	successClass   = 2   // of HTTP status codes
+	taskWork       = "work"
+	taskHandOver   = "hand-over"
+	workIDVariable = "CAPERCOVE_WORK" // environment variable with the number of the work
+)
+
+// startHooks calls hooks beside the caller. The agent's end waits for the goroutines, though not for the hooks.
+func (a *Agent) startHooks(ctx context.Context, calls []maintenance.Call, self maintenance.Instance) {
+	for _, call := range calls {
+		a.ended.Go(func() { a.runHook(ctx, call, self) })
+	}
+}
 
-// hook calls a hook, and writes how it ended. Only the pooler that called it knows; if its end cannot be written while this process
-// lives, nobody else may write it.
-func (d *Agent) hook(ctx context.Context, call maintenance.Call, self maintenance.Instance) {
-	d.pooler.Log.Info().Str("machine", call.Machine).Str("to", call.To).Uint64("number", call.Number).Msg("works: a hook is called")
+// runHook calls a hook, and writes how it ended. Only the pooler that called it knows; if that cannot be written
+// while this process runs, no other may write it.
+func (a *Agent) runHook(ctx context.Context, call maintenance.Call, self maintenance.Instance) {
+	a.pooler.Log.Info().Str("machine", call.Machine).Str("to", call.To).Uint64("number", call.Number).
+		Msg("maintenance: a hook is called")
 	ended := make(chan string, 1)
-	go func() { ended <- d.config.call(call) }()
-	var failed string
+	go func() { ended <- a.config.callHook(call) }() //nolint:contextcheck // the hook outlives this process
 	select {
-	case failed = <-ended:
+	case failed := <-ended:
+		a.writeHookResult(ctx, call, self, failed)
 	case <-ctx.Done():
-		return
 	}
-	m := d.manner(self)
-	for ; ctx.Err() == nil; sleep(ctx, pause) {
-		r, err := d.whole(ctx)
+}
+
+// writeHookResult writes how a hook ended, and calls it again if that is agreed.
+func (a *Agent) writeHookResult(
+	ctx context.Context, call maintenance.Call, self maintenance.Instance, failed string,
+) {
+	policy := a.policy(self)
+	for ; ctx.Err() == nil; sleep(ctx, retryPause) {
+		record, err := a.readWholeRecord(ctx)
 		if err != nil {
 			continue
 		}
-		o := m.HookResult(d.pooler.Clock(), wall(), r, call, failed)
-		if on, _, _ := o.Change(r); on == nil {
-			return // it is known, or of a try that is over
+		proposal := policy.HookResult(a.pooler.Clock(), wallClock(), record, call, failed)
+		if revisions, _, _ := proposal.Change(record); revisions == nil {
+			return // it is known, or of an attempt that is over
 		}
-		if !d.agree(ctx, o, r) {
-			continue
+		if a.agree(ctx, proposal, record) {
+			a.startHooks(ctx, proposal.Calls, self)
+			return
 		}
-		for _, again := range o.Calls {
-			d.ended.Go(func() { d.hook(ctx, again, self) })
-		}
-		return
 	}
 }
 
-// call calls the hook of a call and waits for its end; the text says why it failed. It is not ended with this process: work that is
-// broken off half way is worse than work of which nobody knows that it has ended.
-func (c Config) call(call maintenance.Call) (failed string) {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(c.HookSeconds)*time.Second)
+// callHook calls the hook and waits for its end; the text says why it failed, and is empty if it did not. The hook
+// is not ended with this process: work that is broken off half way is worse than work of which nobody knows that it
+// has ended.
+func (c Config) callHook(call maintenance.Call) (failed string) {
+	timeout := time.Duration(c.HookSeconds) * time.Second
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	verb, program := "work", c.Hook
-	if call.To != "" {
-		verb, program = "hand-over", c.HandOver
-	}
 	var err error
-	if c.HookURL != "" && call.To == "" {
-		err = post(ctx, c.HookURL, verb, call)
-	} else {
-		err = start(ctx, program, verb, call)
+	switch {
+	case call.To != "":
+		err = runProgram(ctx, c.HandOver, call.Number, taskHandOver, call.Machine, call.To)
+	case c.HookURL != "":
+		err = postHook(ctx, c.HookURL, call)
+	default:
+		err = runProgram(ctx, c.Hook, call.Number, taskWork, call.Machine)
 	}
 	switch {
 	case err == nil:
@@ -76,48 +95,54 @@
 	return err.Error()
 }
 
-// start starts a program: its own arguments, then what is to be done, the machine, and who takes over, if it is that.
-func start(ctx context.Context, program []string, verb string, call maintenance.Call) error {
-	args := append(append([]string{}, program[1:]...), verb, call.Machine)
-	if call.To != "" {
-		args = append(args, call.To)
-	}
-	out, err := os.CreateTemp("", "capercove-hook-*") // a file, as a pipe would end the program at its next word, should this process end
+// runProgram runs a program with its own arguments and then those of the task. Its output goes to a file, as a pipe
+// would end the program at its next write, should this process end.
+func runProgram(ctx context.Context, program []string, number uint64, task ...string) error {
+	output, err := os.CreateTemp("", "capercove-hook-*")
 	if err != nil {
 		return err
 	}
-	defer out.Close()
-	os.Remove(out.Name())
-	p := exec.CommandContext(ctx, program[0], args...)
-	p.Env = append(os.Environ(), "CAPERCOVE_WORK="+strconv.FormatUint(call.Number, 10))
-	p.Stdout, p.Stderr = out, out
-	p.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a signal for this process's group is not for it
-	if err := p.Run(); err != nil {
-		says := make([]byte, hookSays)
-		n, _ := out.ReadAt(says, 0)
-		return fmt.Errorf("%w: %s", err, strings.TrimSpace(string(says[:n])))
+	defer func() { _ = output.Close() }() // what it holds is only read
+	_ = os.Remove(output.Name())          // a file that is left behind does no harm
+	args := slices.Concat(program[1:], task)
+	command := exec.CommandContext(ctx, program[0], args...)
+	command.Env = append(os.Environ(), workIDVariable+"="+strconv.FormatUint(number, 10))
+	command.Stdout, command.Stderr = output, output
+	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a signal for this process's group is not for it
+	if err := command.Run(); err != nil {
+		text := make([]byte, maxHookOutput)
+		n, _ := output.ReadAt(text, 0)
+		return fmt.Errorf("%w: %s", err, strings.TrimSpace(string(text[:n])))
 	}
 	return nil
 }
 
-func post(ctx context.Context, to, verb string, call maintenance.Call) error {
-	body, err := json.Marshal(map[string]any{"id": call.Number, "do": verb, "machine": call.Machine})
+// hookRequest is the body of a hook that is called over HTTP.
+type hookRequest struct {
+	Do      string `json:"do"`
+	ID      uint64 `json:"id"`
+	Machine string `json:"machine"`
+}
+
+// postHook calls a web service to do the work. Any status but those of success is an error.
+func postHook(ctx context.Context, url string, call maintenance.Call) error {
+	body, err := json.Marshal(hookRequest{Do: taskWork, ID: call.Number, Machine: call.Machine})
 	if err != nil {
 		return err
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, to, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
 	request.Header.Set("Content-Type", "application/json")
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode/100 != 2 {
-		why, _ := io.ReadAll(io.LimitReader(answer.Body, hookSays))
-		return fmt.Errorf("%s %s", answer.Status, strings.TrimSpace(string(why)))
+	defer func() { _ = response.Body.Close() }() // nothing more is read of it
+	if response.StatusCode/statusClass != successClass {
+		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxHookOutput))
+		return fmt.Errorf("%s %s", response.Status, strings.TrimSpace(string(reason)))
 	}
 	return nil
 }
--- a/internal/maintenance/agent/leader.go
+++ b/internal/maintenance/agent/leader.go
@@ -8,87 +8,111 @@
 )
 
 // lead takes the plan further while this pooler leads the record.
-func (d *Agent) lead(ctx context.Context) {
-	if d.pooler.Store == nil {
+func (a *Agent) lead(ctx context.Context) {
+	if a.pooler.Store == nil {
 		return
 	}
-	var l *maintenance.Leader
-	self := maintenance.Instance{}
-	for ; ctx.Err() == nil; sleep(ctx, look) {
-		if !d.pooler.Store.Leads() {
-			l = nil
+	var leader *maintenance.Leader
+	var self maintenance.Instance
+	for ; ctx.Err() == nil; sleep(ctx, leaderInterval) {
+		if !a.pooler.Store.Leads() {
+			leader = nil
 			continue
 		}
-		if now := d.self(); l == nil || self != now { // it has been taken for gone
-			l, self = maintenance.NewLeader(d.manner(now)), now
+		if now := a.self(); leader == nil || self != now { // others took it for gone, and it refuted that
+			leader, self = maintenance.NewLeader(a.policy(now)), now
 		}
-		r, err := d.whole(ctx)
+		record, err := a.readWholeRecord(ctx)
 		if err != nil {
 			continue
 		}
-		s := d.see(r.Plan.Spec.Capacity)
-		o := l.Propose(d.pooler.Clock(), wall(), r, s)
-		d.ask(o.Probe)
-		if o.Resign {
-			d.pooler.Log.Info().Msg("works: another is to lead the record, as this pooler is next")
-			if err := d.pooler.Store.HandOver(); err != nil {
-				d.pooler.Log.Warn().Err(err).Msg("works: nobody takes the lead over")
-			}
-			continue
-		}
-		if d.agree(ctx, o, r) {
-			for _, call := range o.Calls {
-				d.ended.Go(func() { d.hook(ctx, call, self) })
-			}
-		}
-		if !r.Plan.Active() {
-			sleep(ctx, idle)
+		if a.leadOnce(ctx, leader, self, record) && !record.Plan.Active() {
+			sleep(ctx, idleInterval)
 		}
 	}
 }
 
-func (d *Agent) self() maintenance.Instance {
-	return maintenance.Instance{Name: d.pooler.Name, Incarnation: d.pooler.Incarnation()}
+// leadOnce makes one proposal and carries it out once it is agreed; false: another pooler is to lead.
+func (a *Agent) leadOnce(
+	ctx context.Context, leader *maintenance.Leader, self maintenance.Instance, record maintenance.Record,
+) bool {
+	observation := a.observe(record.Plan.Spec.Capacity)
+	proposal := leader.Propose(a.pooler.Clock(), wallClock(), record, observation)
+	a.probe(proposal.Probe)
+	if proposal.Resign {
+		a.resign()
+		return false
+	}
+	if a.agree(ctx, proposal, record) {
+		a.startHooks(ctx, proposal.Calls, self)
+	}
+	return true
+}
+
+// resign lets another pooler lead the record, as this one is the next to be taken out of service.
+func (a *Agent) resign() {
+	a.pooler.Log.Info().Msg("maintenance: another is to lead the record, as this pooler is next")
+	if err := a.pooler.Store.HandOver(); err != nil {
+		a.pooler.Log.Warn().Err(err).Msg("maintenance: no pooler takes over the lead")
+	}
+}
+
+// self returns this pooler with its present incarnation.
+func (a *Agent) self() maintenance.Instance {
+	return maintenance.Instance{Name: a.pooler.Name, Incarnation: a.pooler.Incarnation()}
 }
 
-func (d *Agent) manner(self maintenance.Instance) maintenance.Policy {
+// policy returns how maintenance is done by this instance.
+func (a *Agent) policy(self maintenance.Instance) maintenance.Policy {
 	return maintenance.Policy{
-		Self: self, Hook: len(d.config.Hook) > 0 || d.config.HookURL != "", HandsOver: len(d.config.HandOver) > 0,
-		Calls: d.config.HookCalls, Lease: ms(d.config.LeaseMS), Skew: ms(d.config.SkewMS), Settle: ms(d.config.SettleMS),
+		Self:      self,
+		Hook:      len(a.config.Hook) > 0 || a.config.HookURL != "",
+		HandsOver: len(a.config.HandOver) > 0,
+		Calls:     a.config.HookCalls,
+		Lease:     milliseconds(a.config.LeaseMS),
+		Skew:      milliseconds(a.config.SkewMS),
+		Settle:    milliseconds(a.config.SettleMS),
 	}
 }
 
-func (d *Agent) whole(ctx context.Context) (maintenance.Record, error) {
-	v, err := d.pooler.Client.Read(ctx, maintenance.KeyPrefix)
+// readWholeRecord reads the record, with what poolers do not follow.
+func (a *Agent) readWholeRecord(ctx context.Context) (maintenance.Record, error) {
+	read, err := a.pooler.Client.Read(ctx, maintenance.KeyPrefix)
 	if err != nil {
 		return maintenance.Record{}, err
 	}
-	return parse(v.Values)
+	return parse(read.Values)
 }
 
-// agree writes what is to be agreed on, again and again under one id until it is known whether it was; true: it was, or there is
-// nothing to write.
-func (d *Agent) agree(ctx context.Context, o maintenance.Proposal, r maintenance.Record) bool {
-	on, set, deleted := o.Change(r)
-	if on == nil {
+// agree writes a proposal, again and again under one ID until it is known whether it was agreed; true: it was, or
+// there is nothing to write.
+func (a *Agent) agree(ctx context.Context, proposal maintenance.Proposal, record maintenance.Record) bool {
+	revisions, set, deleted := proposal.Change(record)
+	if revisions == nil {
 		return true
 	}
-	c := store.Change{ID: d.id(), If: on, Set: set, Delete: deleted}
-	for ; ctx.Err() == nil; sleep(ctx, pause) {
-		outcome, err := d.pooler.Client.Change(ctx, c)
-		switch {
-		case outcome.Error != "":
-			d.pooler.Log.Error().Err(err).Msg("works: cannot be agreed on")
+	change := store.Change{ID: a.changeID(), If: revisions, Set: set, Delete: deleted}
+	for ; ctx.Err() == nil; sleep(ctx, retryPause) {
+		outcome, err := a.pooler.Client.Change(ctx, change)
+		if outcome.Error != "" {
+			a.pooler.Log.Error().Err(err).Msg("maintenance: the proposal cannot be agreed on")
 			return false
-		case err != nil: // not known yet
+		}
+		if err != nil { // it is not known yet
 			continue
 		}
 		if outcome.Applied {
-			for _, e := range o.History {
-				d.pooler.Log.Info().Str("machine", e.Machine).Uint64("number", e.Number).Str("by", e.By).Msg("works: " + e.Text)
-			}
+			a.logHistory(proposal.History)
 		}
 		return outcome.Applied
 	}
 	return false
 }
+
+// logHistory logs new entries of the history.
+func (a *Agent) logHistory(history []maintenance.HistoryEntry) {
+	for _, entry := range history {
+		a.pooler.Log.Info().Str("machine", entry.Machine).Uint64("number", entry.Number).Str("by", entry.By).
+			Msg("maintenance: " + entry.Text)
+	}
+}
--- a/internal/maintenance/agent/lease.go
+++ b/internal/maintenance/agent/lease.go
@@ -6,36 +6,46 @@
 	"capercove/internal/maintenance"
 )
 
-// renew renews the lease while there is a plan, and reads the record for the first time.
-func (d *Agent) renew(ctx context.Context) {
+// renewLease renews the lease while there is a plan, and reads the record for the first time.
+func (a *Agent) renewLease(ctx context.Context) {
 	known, failing := false, false
 	for ctx.Err() == nil {
-		if known && !d.active.Load() {
-			sleep(ctx, turn)
+		if known && !a.active.Load() {
+			sleep(ctx, activeInterval)
 			continue
 		}
-		asked := d.pooler.Clock()
-		key := d.key()
-		v, err := d.pooler.Client.Read(ctx, maintenance.FollowedPrefix, key)
+		renewed, err := a.readRecord(ctx)
 		if failed := err != nil; failed != failing && ctx.Err() == nil {
 			failing = failed
-			d.pooler.Log.Warn().Bool("failing", failing).Err(err).Msg("works: reading the record")
+			a.pooler.Log.Warn().Bool("failing", failing).Err(err).Msg("maintenance: reading the record")
 		}
 		if err != nil {
-			sleep(ctx, pause)
+			sleep(ctx, retryPause)
 			continue
 		}
-		if _, stands := v.Values[key]; !stands { // Against a word that was taken back while this pooler was taken for gone.
-			d.unsaid.Store(true)
-		}
-		delete(v.Values, key)
-		d.mu.Lock()
-		if v.Revision < d.at || d.take(v.Values, v.Revision) {
-			d.reader.Refresh(asked, d.at, d.record.PlanSteps())
-			known = true
-		}
-		d.mu.Unlock()
-		d.kick()
-		sleep(ctx, ms(d.config.LeaseMS)/renewals)
+		known = known || renewed
+		signal(a.wake)
+		sleep(ctx, milliseconds(a.config.LeaseMS)/readsPerLease)
+	}
+}
+
+// readRecord reads what is agreed, and tells whether that has renewed the lease.
+func (a *Agent) readRecord(ctx context.Context) (renewed bool, err error) {
+	askedAt := a.pooler.Clock()
+	statusKey := a.statusKey()
+	read, err := a.pooler.Client.Read(ctx, maintenance.FollowedPrefix, statusKey)
+	if err != nil {
+		return false, err
+	}
+	if _, stands := read.Values[statusKey]; !stands { // It was deleted while this pooler was taken for gone.
+		a.statusMissing.Store(true)
+	}
+	delete(read.Values, statusKey)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if read.Revision >= a.revision && !a.takeIn(read.Values, read.Revision) {
+		return false, nil
 	}
+	a.follower.Refresh(askedAt, a.revision, a.record.PlanSteps())
+	return true, nil
 }
--- a/internal/maintenance/agent/observe.go
+++ b/internal/maintenance/agent/observe.go
@@ -14,117 +14,202 @@
 )
 
 const (
-	heardLately = 6 * time.Second  // evidence of a database that is older says nothing
-	halves      = 10 * time.Minute // a peak of the load counts half after this
+	maxEvidenceAge = 6 * time.Second  // evidence of a database that is older says nothing
+	peakHalfLife   = 10 * time.Minute // a peak of the load counts half after this
+
+	// States of a member in membership's view, as texts.
+	memberLive = "live"
+	memberGone = "gone"
+	memberLeft = "left"
 )
 
-func (d *Agent) see(bears float64) maintenance.Observation {
-	f, s, leads := d.pooler.Core.Figures(), d.pooler.Fleet(), d.pooler.Store != nil && d.pooler.Store.Leads()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.looker.see(d.pooler.Clock(), f, s, leads, bears)
+// observe returns what a plan is decided by, as this pooler sees it now. Capacity is how many requests a second one
+// database can do; 0: the load does not count.
+func (a *Agent) observe(capacity float64) maintenance.Observation {
+	in := inputs{
+		now:      a.pooler.Clock(),
+		figures:  a.pooler.Core.Figures(),
+		members:  a.pooler.Fleet(),
+		leads:    a.pooler.Store != nil && a.pooler.Store.Leads(),
+		capacity: capacity,
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.observer.observe(in)
 }
 
-func (d *Agent) ask(databases []string) {
-	if len(databases) > 0 {
-		d.pooler.Do(func() {
-			for _, name := range databases {
-				d.pooler.Core.ProbeByName(name)
-			}
-		})
+// probe asks databases for evidence of their state.
+func (a *Agent) probe(databases []string) {
+	if len(databases) == 0 {
+		return
+	}
+	a.pooler.Do(func() {
+		for _, name := range databases {
+			a.pooler.Core.ProbeByName(name)
+		}
+	})
+}
+
+// observer makes observations of what a pooler sees and of membership's view.
+type observer struct {
+	zones  []string
+	maxLag time.Duration   // of a replica that keeps up
+	peaks  map[int]float64 // requests a second by group: the highest of late
+	at     time.Duration   // when the peaks were last taken; 0: never
+}
+
+// newObserver returns the observer of a pooler.
+func newObserver(config Config, pooler Pooler) observer {
+	maxLag := pooler.Fresh
+	if config.FreshMS > 0 {
+		maxLag = milliseconds(config.FreshMS)
 	}
+	return observer{zones: pooler.Zones, maxLag: maxLag, peaks: map[int]float64{}}
 }
 
-// looker makes of what a pooler sees, and of what the fleet's view has, what a plan is decided by.
-type looker struct {
-	zones []string
-	fresh time.Duration
-	peaks map[int]float64 // requests a second by group: the highest of late
-	at    time.Duration
+// inputs are what an observation is made of.
+type inputs struct {
+	now      time.Duration
+	figures  core.Figures
+	members  gossip.State
+	leads    bool    // this pooler leads the record
+	capacity float64 // requests a second that one database can do; 0: the load does not count
 }
 
-// see looks. The loads are in databases, each of which bears so many requests a second; 0: load is not looked at.
-func (l *looker) see(now time.Duration, f core.Figures, s gossip.State, leads bool, bears float64) maintenance.Observation {
-	seen := maintenance.Observation{
-		Snapshot: maintenance.Snapshot{Machines: map[string]*maintenance.Machine{}, Load: map[int]float64{}}, Incarnations: map[string]uint64{},
-		Left: map[string]uint64{}, Heard: map[string]time.Duration{},
+// observe makes an observation. Loads are in databases.
+func (o *observer) observe(in inputs) maintenance.Observation {
+	observation := maintenance.Observation{
+		Snapshot: maintenance.Snapshot{
+			Machines: map[string]*maintenance.Machine{},
+			Load:     map[int]float64{},
+		},
+		Incarnations: map[string]uint64{},
+		Left:         map[string]uint64{},
+		Heard:        map[string]time.Duration{},
 	}
-	rates := map[int]float64{}
-	reached := map[string]int{} // poolers by zone that are there
-	for _, p := range s.Poolers {
-		if p.State == "left" {
-			seen.Left[p.Name] = p.Incarnation
+	rates := observePoolers(in, &observation)
+	o.expectLoad(in.now, rates, in.capacity, observation.Load)
+	o.observeDatabases(in, &observation)
+	return observation
+}
+
+// observePoolers adds the poolers, and returns the requests a second that they report, by group.
+func observePoolers(in inputs, observation *maintenance.Observation) (rates map[int]float64) {
+	rates = map[int]float64{}
+	for _, member := range in.members.Poolers {
+		if member.State == memberLeft {
+			observation.Left[member.Name] = member.Incarnation
 			continue
 		}
-		seen.Incarnations[p.Name] = p.Incarnation
-		m := &maintenance.Machine{Name: p.Name, Kind: maintenance.Pooler, Size: 1, Warm: true, Incarnation: p.Incarnation, Leads: p.Name == s.Name && leads}
-		if p.State != "gone" {
-			seen.Live = append(seen.Live, p.Name)
-			var says peers.Self
-			if json.Unmarshal(p.Says, &says) == nil {
-				m.Zone = says.Zone
-				m.Up = p.State == "live" && !says.Stopping
-				for group, rate := range says.Groups {
-					rates[group] += float64(rate)
-				}
-			}
-			reached[m.Zone]++
+		observation.Incarnations[member.Name] = member.Incarnation
+		machine := &maintenance.Machine{
+			Name:        member.Name,
+			Kind:        maintenance.Pooler,
+			Size:        1,
+			Warm:        true,
+			Incarnation: member.Incarnation,
+			Leads:       member.Name == in.members.Name && in.leads,
+		}
+		observation.Machines[member.Name] = machine
+		if member.State == memberGone {
+			continue
+		}
+		observation.Live = append(observation.Live, member.Name)
+		var report peers.Self
+		if json.Unmarshal(member.Says, &report) != nil {
+			continue
+		}
+		machine.Zone = report.Zone
+		machine.Up = member.State == memberLive && !report.Stopping
+		for group, rate := range report.Groups {
+			rates[group] += float64(rate)
 		}
-		seen.Machines[p.Name] = m
 	}
-	l.load(now, rates, bears, seen.Load)
-	bad, cold := map[string]int{}, map[string]bool{}
-	for _, d := range s.Databases {
-		for _, w := range d.Words {
-			if w.State.Bad() {
-				bad[d.Name]++
-			}
-			cold[d.Name] = cold[d.Name] || w.Cold
+	return rates
+}
+
+// observeDatabases adds the databases.
+func (o *observer) observeDatabases(in inputs, observation *maintenance.Observation) {
+	unhealthy, warmingUp := reportedStates(in.members)
+	unreachable := unreachableZones(in.figures.Databases)
+	livePoolers := len(observation.Live)
+	for _, database := range in.figures.Databases {
+		name := database.Name
+		observation.Heard[name] = database.LastHeard
+		heardLately := in.now-database.LastHeard < maxEvidenceAge
+		majorityUnhealthy := 2*unhealthy[name] >= max(2, livePoolers)
+		observation.Machines[name] = &maintenance.Machine{
+			Name:        name,
+			Group:       database.Group,
+			Zone:        o.zoneName(database.Zone),
+			Size:        1,
+			Primary:     database.Primary,
+			Warm:        !database.Cold && !warmingUp[name],
+			Up:          database.Health == routing.Healthy && heardLately && !majorityUnhealthy,
+			Fresh:       database.Position > 0 && database.Behind <= o.maxLag,
+			Unreachable: unreachable[database.Zone],
 		}
 	}
-	silent, all := map[int]int{}, map[int]int{} // databases by zone
-	for _, d := range f.Databases {
-		all[d.Zone]++
-		if d.Health == routing.Unresponsive {
-			silent[d.Zone]++
+}
+
+// reportedStates counts the poolers that report each database as unhealthy, and tells which are reported as warming
+// up.
+func reportedStates(members gossip.State) (unhealthy map[string]int, warmingUp map[string]bool) {
+	unhealthy, warmingUp = map[string]int{}, map[string]bool{}
+	for _, database := range members.Databases {
+		for _, reported := range database.Words {
+			if reported.State.Bad() {
+				unhealthy[database.Name]++
+			}
+			if reported.Cold {
+				warmingUp[database.Name] = true
+			}
 		}
 	}
-	for _, d := range f.Databases {
-		seen.Heard[d.Name] = d.LastHeard
-		m := &maintenance.Machine{
-			Name: d.Name, Group: d.Group, Zone: l.zone(d.Zone), Size: 1, Primary: d.Primary, Warm: !d.Cold && !cold[d.Name],
-			Unreachable: all[d.Zone] > 1 && silent[d.Zone] == all[d.Zone],
+	return unhealthy, warmingUp
+}
+
+// unreachableZones tells which zones have several databases, all of them unresponsive.
+func unreachableZones(databases []core.DatabaseStatus) map[int]bool {
+	unresponsive, all := map[int]int{}, map[int]int{}
+	for _, database := range databases {
+		all[database.Zone]++
+		if database.Health == routing.Unresponsive {
+			unresponsive[database.Zone]++
 		}
-		m.Up = d.Health == routing.Healthy && now-d.LastHeard < heardLately && 2*bad[d.Name] < max(2, len(seen.Live))
-		m.Fresh = d.Position > 0 && d.Behind <= l.fresh
-		seen.Machines[d.Name] = m
 	}
-	return seen
+	unreachable := map[int]bool{}
+	for zone, count := range all {
+		unreachable[zone] = count > 1 && unresponsive[zone] == count
+	}
+	return unreachable
 }
 
-func (l *looker) zone(number int) string {
-	if number < len(l.zones) {
-		return l.zones[number]
+// zoneName returns the name of a zone.
+func (o *observer) zoneName(number int) string {
+	if number < len(o.zones) {
+		return o.zones[number]
 	}
 	return "zone " + strconv.Itoa(number)
 }
 
-// load is what is expected of each group: what is asked now, or the highest of late, which fades.
-func (l *looker) load(now time.Duration, rates map[int]float64, bears float64, into map[int]float64) {
-	fade := math.Exp2(-float64(now-l.at) / float64(halves))
-	if l.at == 0 {
+// expectLoad notes what is expected of each group, in databases of the given capacity: what is asked now, or the
+// highest of late, which fades.
+func (o *observer) expectLoad(now time.Duration, rates map[int]float64, capacity float64, load map[int]float64) {
+	fade := math.Exp2(-float64(now-o.at) / float64(peakHalfLife))
+	if o.at == 0 {
 		fade = 0
 	}
-	l.at = now
+	o.at = now
 	for group := range rates {
-		if _, known := l.peaks[group]; !known {
-			l.peaks[group] = 0
+		if _, known := o.peaks[group]; !known {
+			o.peaks[group] = 0
 		}
 	}
-	for group, peak := range l.peaks {
-		l.peaks[group] = max(rates[group], peak*fade)
-		if bears > 0 {
-			into[group] = l.peaks[group] / bears
+	for group, peak := range o.peaks {
+		o.peaks[group] = max(rates[group], peak*fade)
+		if capacity > 0 {
+			load[group] = o.peaks[group] / capacity
 		}
 	}
 }
--- a/internal/maintenance/agent/operator.go
+++ b/internal/maintenance/agent/operator.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"context"
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -24,252 +25,245 @@
 )
 
 const (
-	callWaits = 2 * time.Second        // for a pooler, or the record
-	looks     = 5 * time.Second        // a plan that cannot be done is looked at again for so long, as evidence comes in
-	watchEach = 500 * time.Millisecond // of status --watch
+	callTimeout   = 2 * time.Second        // of a call of a pooler or of the record
+	evidenceWait  = 5 * time.Second        // for evidence by which a plan can be done
+	watchInterval = 500 * time.Millisecond // of status --watch
+	changeRetries = 20                     // of a change where another's came first
 )
 
-// operator calls a pooler and the record for a command.
-type operator struct {
-	at     string
-	client *store.Client
-	shown  Overview
-	out    io.Writer
+// Exit statuses of the commands.
+const (
+	statusDone        = 0
+	statusNotPossible = 1
+	statusNoAnswer    = 2
+)
+
+// The commands that are not maintenance.Commands.
+const (
+	commandPlan    = "plan"
+	commandStart   = "start"
+	commandStatus  = "status"
+	commandHistory = "history"
+)
+
+// commands are all that there are.
+var commands = []string{
+	commandPlan, commandStart, commandStatus, commandHistory,
+	string(maintenance.Pause), string(maintenance.Resume), string(maintenance.AbortPlan),
+	string(maintenance.SkipMachine), string(maintenance.BeginWork), string(maintenance.EndWork),
+	string(maintenance.ForgetPooler),
 }
 
-// Command runs a sub-command and prints what came of it. The status is 0, 1 where it cannot be done, or 2 where nobody answers; ok is
-// false for what is no command.
-func Command(args []string, out io.Writer) (status int, ok bool) {
+// invocation is a command line.
+type invocation struct {
+	command string
+	name    string // of a file, machine or pooler, if the command takes one
+	address string // management address of a pooler
+	asJSON  bool
+	watch   bool
+}
+
+// parseInvocation parses a command line; false: it is none.
+func parseInvocation(args []string) (parsed invocation, ok bool) {
 	flags := flag.NewFlagSet("works", flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
 	asJSON, watch := flags.Bool("json", false, ""), flags.Bool("watch", false, "")
-	if len(args) == 0 || flags.Parse(args[1:]) != nil {
-		return 0, false
+	if len(args) == 0 || flags.Parse(args[1:]) != nil || !slices.Contains(commands, args[0]) {
+		return parsed, false
 	}
-	verb, rest := args[0], flags.Args()
-	names := 0 // before the address
-	if verb == "plan" || verb == "start" || maintenance.Command(verb).OfMachine() {
-		names = 1
+	parsed = invocation{command: args[0], asJSON: *asJSON, watch: *watch}
+	rest := flags.Args()
+	takesFile := parsed.command == commandPlan || parsed.command == commandStart
+	if takesFile || maintenance.Command(parsed.command).OfMachine() {
+		if len(rest) == 0 {
+			return parsed, false
+		}
+		parsed.name, rest = rest[0], rest[1:]
 	}
-	known := []string{
-		"plan", "start", "status", "history", string(maintenance.Pause), string(maintenance.Resume), string(maintenance.AbortPlan), string(maintenance.SkipMachine),
-		string(maintenance.BeginWork), string(maintenance.EndWork), string(maintenance.ForgetPooler),
+	if len(rest) != 1 {
+		return parsed, false
 	}
-	if !slices.Contains(known, verb) || len(rest) != names+1 {
-		return 0, false
+	parsed.address = rest[0]
+	return parsed, true
+}
+
+// Command runs a command of operators and prints the result. The status is 0, 1 where it cannot be done, or 2 where
+// no pooler answers; ok is false for what is no command.
+func Command(args []string, out io.Writer) (status int, ok bool) {
+	parsed, ok := parseInvocation(args)
+	if !ok {
+		return statusDone, false
 	}
-	o := &operator{at: rest[names], out: out}
-	if err := o.ask(0); err != nil {
-		fmt.Fprintln(out, err)
-		return 2, true
+	o := &operator{address: parsed.address, out: out}
+	if err := o.readOverview(0); err != nil {
+		o.println(err)
+		return statusNoAnswer, true
 	}
-	o.client = store.NewClient(o.shown.Record, callWaits, nil)
-	var err error
-	switch verb {
-	case "plan", "start":
-		err = o.plan(rest[0], verb == "start")
-	case "status":
-		return o.status(*asJSON, *watch), true
-	case "history":
-		err = o.history(*asJSON)
-	default:
-		name := ""
-		if names > 0 {
-			name = rest[0]
-		}
-		err = o.change(func(r maintenance.Record, wall time.Duration) (maintenance.Proposal, error) {
-			return maintenance.Execute(wall, r, maintenance.Command(verb), name, who())
-		})
+	o.client = store.NewClient(o.overview.Record, callTimeout, nil)
+	if parsed.command == commandStatus {
+		return o.status(parsed.asJSON, parsed.watch), true
 	}
-	if err != nil {
-		fmt.Fprintln(out, err)
-		return 1, true
+	if err := o.run(parsed); err != nil {
+		o.println(err)
+		return statusNotPossible, true
 	}
-	return 0, true
+	return statusDone, true
 }
 
-// who names the operator, for the history.
-func who() string { return cmp.Or(os.Getenv("USER"), "an operator") }
+// operator calls a pooler and the record for a command.
+type operator struct {
+	address  string
+	client   *store.Client
+	overview Overview // of the pooler, as last read
+	out      io.Writer
+}
+
+// run runs any command but status.
+func (o *operator) run(parsed invocation) error {
+	switch parsed.command {
+	case commandPlan:
+		_, err := o.plan(parsed.name)
+		return err
+	case commandStart:
+		return o.start(parsed.name)
+	case commandHistory:
+		return o.history(parsed.asJSON)
+	}
+	return o.change(func(record maintenance.Record, wall time.Duration) (maintenance.Proposal, error) {
+		command := maintenance.Command(parsed.command)
+		return maintenance.Execute(wall, record, command, parsed.name, operatorName())
+	})
+}
 
-// ask asks the pooler what it sees.
-func (o *operator) ask(bears float64) error {
-	answer, err := (&http.Client{Timeout: callWaits}).Get("http://" + o.at + "/works?bears=" + strconv.FormatFloat(bears, 'g', -1, 64))
+// operatorName names the operator, for the history.
+func operatorName() string { return cmp.Or(os.Getenv("USER"), "an operator") }
+
+// readOverview asks the pooler what it sees. Capacity is how many requests a second one database can do.
+func (o *operator) readOverview(capacity float64) error {
+	url := "http://" + o.address + "/works?bears=" + strconv.FormatFloat(capacity, 'g', -1, 64)
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, http.NoBody)
+	if err != nil {
+		return err
+	}
+	response, err := (&http.Client{Timeout: callTimeout}).Do(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		why, _ := io.ReadAll(io.LimitReader(answer.Body, hookSays))
-		return fmt.Errorf("%s: %s", o.at, strings.TrimSpace(string(why)))
+	defer func() { _ = response.Body.Close() }() // nothing more is read of it
+	if response.StatusCode != http.StatusOK {
+		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxHookOutput))
+		return fmt.Errorf("%s: %s", o.address, strings.TrimSpace(string(reason)))
 	}
-	return json.NewDecoder(answer.Body).Decode(&o.shown)
+	return json.NewDecoder(response.Body).Decode(&o.overview)
 }
 
-func (o *operator) record() (maintenance.Record, error) {
-	v, err := o.client.Read(context.Background(), maintenance.KeyPrefix)
+// readRecord reads the record as a majority holds it.
+func (o *operator) readRecord() (maintenance.Record, error) {
+	read, err := o.client.Read(context.Background(), maintenance.KeyPrefix)
 	if err != nil {
 		return maintenance.Record{}, fmt.Errorf("the record has no majority, or cannot be reached: %w", err)
 	}
-	return parse(v.Values)
+	return parse(read.Values)
 }
 
-// change makes a change on what stands in the record, anew where somebody else's came first.
-func (o *operator) change(decide func(maintenance.Record, time.Duration) (maintenance.Proposal, error)) error {
+// decision makes a proposal of the record, given the Unix time.
+type decision func(record maintenance.Record, wall time.Duration) (maintenance.Proposal, error)
+
+// change makes a change of the record, anew where another's came first.
+func (o *operator) change(decide decision) error {
 	id := fmt.Sprintf("works/operator/%d/%016x", os.Getpid(), rand.Uint64())
-	for try := range 20 {
-		r, err := o.record()
+	for attempt := range changeRetries {
+		record, err := o.readRecord()
 		if err != nil {
 			return err
 		}
-		orders, err := decide(r, wall())
+		proposal, err := decide(record, wallClock())
 		if err != nil {
 			return err
 		}
-		on, set, deleted := orders.Change(r)
-		if on == nil {
+		revisions, set, deleted := proposal.Change(record)
+		if revisions == nil {
 			return nil
 		}
-		c := store.Change{ID: fmt.Sprint(id, "/", try), If: on, Set: set, Delete: deleted}
-		outcome, err := o.client.Change(context.Background(), c)
-		if err != nil { // once more, under the same id: it is applied once
-			outcome, err = o.client.Change(context.Background(), c)
+		change := store.Change{ID: fmt.Sprint(id, "/", attempt), If: revisions, Set: set, Delete: deleted}
+		outcome, err := o.client.Change(context.Background(), change)
+		if err != nil { // once more, under the same ID: it is applied once
+			outcome, err = o.client.Change(context.Background(), change)
 		}
 		if err != nil {
 			return fmt.Errorf("it is not known whether it was agreed on: %w", err)
 		}
 		if outcome.Applied {
-			for _, e := range orders.History {
-				fmt.Fprintln(o.out, strings.TrimSpace(e.Machine+" "+e.Text))
+			for _, entry := range proposal.History {
+				o.println(strings.TrimSpace(entry.Machine + " " + entry.Text))
 			}
 			return nil
 		}
 	}
-	return fmt.Errorf("others change the plan all the time")
+	return errors.New("others change the plan all the time")
 }
 
-// plan prints the dry run of a wish, and starts it if it is to.
-func (o *operator) plan(path string, start bool) error {
-	w, err := readWish(path)
+// plan prints the dry run of the plan in a file, and returns its specification. It waits for evidence, which comes
+// in as overviews are read.
+func (o *operator) plan(path string) (spec maintenance.PlanSpec, err error) {
+	spec, err = readSpec(path)
 	if err == nil {
-		err = w.Check(nil)
+		err = spec.Check(nil)
 	}
 	if err != nil {
-		return err
+		return spec, err
 	}
-	var order []maintenance.DryRunStep
-	for begun := time.Now(); ; time.Sleep(look) { // evidence comes in as it is asked for
-		if err := o.ask(w.Capacity); err != nil {
-			return err
+	for begun := time.Now(); ; time.Sleep(leaderInterval) {
+		if err := o.readOverview(spec.Capacity); err != nil {
+			return spec, err
 		}
-		if err = w.Check(o.shown.Look.Machines); err == nil {
-			if order, err = maintenance.DryRun(w, o.shown.Look); err == nil {
-				break
-			}
+		order, err := dryRun(spec, o.overview.Look)
+		if err == nil {
+			o.printOrder(order)
+			return spec, nil
 		}
-		if time.Since(begun) > looks {
-			o.order(order)
-			return fmt.Errorf("%s: %w", path, err)
+		if time.Since(begun) > evidenceWait {
+			o.printOrder(order)
+			return spec, fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	o.order(order)
-	if !start {
-		return nil
-	}
-	id := planID(clock.Wall())
-	return o.change(func(r maintenance.Record, wall time.Duration) (maintenance.Proposal, error) {
-		return maintenance.Start(wall, r, id, who(), w, o.shown.Look)
-	})
-}
-
-// planID returns a name for a plan that begins now: the time is for people, and no other plan has the number,
-// whatever the clock says and whichever machine a plan is started from.
-func planID(now time.Time) string {
-	return fmt.Sprintf("%s-%08x", now.UTC().Format("20060102T150405"), rand.Uint32())
 }
 
-// readWish reads a file with a wish. Errors name the line and the key.
-func readWish(path string) (w maintenance.PlanSpec, err error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return w, err
-	}
-	if err := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields().Decode(&w); err != nil {
-		return w, tables.Located(path, err)
+// dryRun checks a specification and plays it through.
+func dryRun(spec maintenance.PlanSpec, snapshot maintenance.Snapshot) ([]maintenance.DryRunStep, error) {
+	if err := spec.Check(snapshot.Machines); err != nil {
+		return nil, err
 	}
-	return w, nil
+	return maintenance.DryRun(spec, snapshot)
 }
 
-func (o *operator) history(asJSON bool) error {
-	r, err := o.record()
+// start prints the dry run of the plan in a file, and hands in the plan.
+func (o *operator) start(path string) error {
+	spec, err := o.plan(path)
 	if err != nil {
 		return err
 	}
-	if asJSON {
-		return json.NewEncoder(o.out).Encode(r.History)
-	}
-	for _, e := range r.History {
-		fmt.Fprintln(o.out, strings.TrimSpace(fmt.Sprintf("%s %s: %s %s", time.UnixMilli(e.At).UTC().Format("2006-01-02 15:04:05.000"), e.By, e.Machine, e.Text)))
-	}
-	return nil
+	id := planID(clock.Wall())
+	return o.change(func(record maintenance.Record, wall time.Duration) (maintenance.Proposal, error) {
+		return maintenance.Start(wall, record, id, operatorName(), spec, o.overview.Look)
+	})
 }
 
-// Status is what status shows: the plan as a majority holds it, or as the pooler that was asked has it.
-type Status struct {
-	Agreed bool               `json:"agreed"` // a majority holds it so
-	Why    string             `json:"why,omitempty"`
-	Plan   maintenance.Plan   `json:"plan"`
-	Steps  []maintenance.Step `json:"steps"`
-	Waits  map[string]string  `json:"waits"` // why each machine waits
-	Missed []string           `json:"missed,omitempty"`
-	Pooler Overview           `json:"pooler"`
+// planID returns a name for a plan that begins now: the time is for people, and no other plan has the number,
+// whatever the clock says and whichever machine a plan is started from.
+func planID(now time.Time) string {
+	return fmt.Sprintf("%s-%08x", now.UTC().Format("20060102T150405"), rand.Uint32())
 }
 
-func (o *operator) look() (s Status) {
-	r, err := o.record()
-	s = Status{Agreed: err == nil, Plan: r.Plan, Steps: r.PlanSteps(), Pooler: o.shown}
+// readSpec reads a file with a plan's specification. Errors name the line and the key.
+func readSpec(path string) (spec maintenance.PlanSpec, err error) {
+	text, err := os.ReadFile(path)
 	if err != nil {
-		s.Why, s.Plan, s.Steps = err.Error(), o.shown.Plan, o.shown.Steps
-	}
-	at := map[string]maintenance.State{}
-	for _, step := range s.Steps {
-		at[step.Machine] = step.State
-		for name := range r.Statuses { // whose word a step waits for
-			if step.State == maintenance.Draining && step.Stopped[name] < r.Statuses[name].Incarnation && !slices.Contains(s.Missed, name) {
-				s.Missed = append(s.Missed, name)
-			}
-		}
+		return spec, err
 	}
-	slices.Sort(s.Missed)
-	d := maintenance.Decide(s.Plan.Spec, at, o.shown.Look)
-	s.Waits = d.Reasons
-	if d.PutBack != "" {
-		s.Waits[d.PutBack] = "asked back, as its group has become too small"
-	}
-	return s
-}
-
-// status prints how far the plan is. 0: it goes on or is over; 1: it stands still, as it is paused or no majority is there.
-func (o *operator) status(asJSON, watch bool) int {
-	for last := ""; ; time.Sleep(watchEach) {
-		s := o.look()
-		var b strings.Builder
-		if asJSON {
-			json.NewEncoder(&b).Encode(s)
-		} else {
-			s.print(&b)
-		}
-		if text := b.String(); text != last {
-			fmt.Fprint(o.out, text)
-			last = text
-		}
-		if over := !s.Plan.Active(); !watch || over && s.Agreed {
-			if s.Agreed && s.Plan.State != maintenance.Paused {
-				return 0
-			}
-			return 1
-		}
-		if err := o.ask(s.Plan.Spec.Capacity); err != nil {
-			fmt.Fprintln(o.out, err)
-		}
+	decoder := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
+	if err := decoder.Decode(&spec); err != nil {
+		return spec, tables.Located(path, err)
 	}
+	return spec, nil
 }
--- a/internal/maintenance/agent/plant_test.go
+++ b/internal/maintenance/agent/plant_test.go
@@ -49,7 +49,7 @@
 		"a restart is forgotten": {
 			[]testbed.Edit{
 				{File: "internal/maintenance/agent/agent.go", Old: "return core.Blocks{All: true, ", New: "return core.Blocks{"},
-				{File: "internal/maintenance/agent/blocks.go", Old: "off := core.Blocks{All: !d.reader.Known(), ", New: "off := core.Blocks{"},
+				{File: "internal/maintenance/agent/blocks.go", Old: "blocks := core.Blocks{All: !a.follower.Known(), ", New: "blocks := core.Blocks{"},
 				{File: "internal/maintenance/follower.go", Old: "return f.known, false //", New: "return true, false //"},
 			},
 			func(t *testing.T, r *run, h hook) { // one that had said that it stopped comes back, and reads nothing
--- a/internal/maintenance/agent/print.go
+++ b/internal/maintenance/agent/print.go
@@ -1,57 +1,97 @@
 package agent
 
 import (
+	"encoding/json"
 	"fmt"
 	"io"
 	"strconv"
 	"strings"
 	"text/tabwriter"
+	"time"
 
 	"capercove/internal/maintenance"
 )
 
-func (o *operator) order(order []maintenance.DryRunStep) {
-	t := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
-	for i, s := range order {
-		text := ""
-		if s.HandOver != "" {
-			text = "after " + s.HandOver + " has taken over"
+// columnGap is the space between the columns of a table.
+const columnGap = 2
+
+// timeLayout is of times in the history, in UTC.
+const timeLayout = "2006-01-02 15:04:05.000"
+
+// print writes text. There is nowhere to report that the output cannot be written.
+func (o *operator) print(text string) { _, _ = io.WriteString(o.out, text) }
+
+// println writes a value and a line's end.
+func (o *operator) println(value any) { o.print(fmt.Sprintln(value)) }
+
+// printOrder prints the steps of a dry run.
+func (o *operator) printOrder(order []maintenance.DryRunStep) {
+	printTable(o.out, len(order), func(i int) string {
+		step, note := order[i], ""
+		if step.HandOver != "" {
+			note = "after " + step.HandOver + " has taken over"
 		}
-		fmt.Fprintf(t, "%d\t%s\tleaves %.2f\t%s\n", i+1, s.Machine, s.Leaves, text)
+		return fmt.Sprintf("%d\t%s\tleaves %.2f\t%s", i+1, step.Machine, step.Leaves, note)
+	})
+}
+
+// printTable prints rows whose cells end with tabs. There is nowhere to report that the output cannot be written.
+func printTable(out io.Writer, rows int, row func(i int) string) {
+	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
+	for i := range rows {
+		_, _ = fmt.Fprintln(table, row(i))
 	}
-	t.Flush()
+	_ = table.Flush()
 }
 
-func (s Status) print(out io.Writer) {
-	switch {
-	case s.Plan.ID == "":
-		fmt.Fprintln(out, "no plan")
+// print prints the status as people read it.
+func (s Status) print(out *strings.Builder) {
+	if s.Plan.ID == "" {
+		out.WriteString("no plan\n")
 		return
-	case !s.Agreed:
+	}
+	if !s.Agreed {
 		fmt.Fprintf(out, "as %s has it, %s\n", s.Pooler.Name, s.Why)
 	}
 	fmt.Fprintf(out, "plan %s: %s", s.Plan.ID, s.Plan.State)
 	if s.Plan.Why != "" {
 		fmt.Fprintf(out, " (%s)", s.Plan.Why)
 	}
-	fmt.Fprintln(out)
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for _, step := range s.Steps {
-		text := s.Waits[step.Machine]
-		switch {
-		case step.State == maintenance.Draining && len(s.Missed) > 0:
-			text = "not heard yet: " + strings.Join(s.Missed, " ")
-		case len(step.Unreachable) > 0:
-			text = strings.TrimSpace(text + " without " + strings.Join(step.Unreachable, " "))
-		}
-		number := ""
-		if step.Number > 0 {
-			number = strconv.FormatUint(step.Number, 10)
-		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", step.Machine, step.State, number, text)
+	out.WriteString("\n")
+	printTable(out, len(s.Steps), func(i int) string { return s.stepRow(s.Steps[i]) })
+	if handOver := s.Plan.HandOver; handOver != nil {
+		fmt.Fprintf(out, "%s is to take over from %s, %d\n", handOver.To, handOver.From, handOver.Number)
+	}
+}
+
+// stepRow returns the row of one step.
+func (s Status) stepRow(step maintenance.Step) string {
+	note := s.Waits[step.Machine]
+	switch {
+	case step.State == maintenance.Draining && len(s.Missed) > 0:
+		note = "not heard yet: " + strings.Join(s.Missed, " ")
+	case len(step.Unreachable) > 0:
+		note = strings.TrimSpace(note + " without " + strings.Join(step.Unreachable, " "))
+	}
+	number := ""
+	if step.Number > 0 {
+		number = strconv.FormatUint(step.Number, 10)
+	}
+	return fmt.Sprintf("%s\t%s\t%s\t%s", step.Machine, step.State, number, note)
+}
+
+// history prints the history of the record.
+func (o *operator) history(asJSON bool) error {
+	record, err := o.readRecord()
+	if err != nil {
+		return err
+	}
+	if asJSON {
+		return json.NewEncoder(o.out).Encode(record.History)
 	}
-	t.Flush()
-	if h := s.Plan.HandOver; h != nil {
-		fmt.Fprintf(out, "%s is to take over from %s, %d\n", h.To, h.From, h.Number)
+	for _, entry := range record.History {
+		at := time.UnixMilli(entry.At).UTC().Format(timeLayout)
+		o.println(strings.TrimSpace(fmt.Sprintf("%s %s: %s %s", at, entry.By, entry.Machine, entry.Text)))
 	}
+	return nil
 }
--- a/internal/maintenance/agent/status.go
+++ b/internal/maintenance/agent/status.go
@@ -9,59 +9,92 @@
 	"capercove/internal/store"
 )
 
-// key is where this process's word stands. At an upgrade there are two of a name for a while, and each has to say that it stopped.
-func (d *Agent) key() string {
-	if d.pooler.Joined() {
-		return maintenance.StatusKey(d.pooler.Name)
+// unjoinedSuffix marks the status of a process that is not the member of its name yet.
+const unjoinedSuffix = "+"
+
+// statusKey returns the key of this process's status. At an upgrade there are two processes of a name for a while,
+// and each has to report that it has stopped.
+func (a *Agent) statusKey() string {
+	if a.pooler.Joined() {
+		return maintenance.StatusKey(a.pooler.Name)
 	}
-	return maintenance.StatusKey(d.pooler.Name + second)
+	return maintenance.StatusKey(a.pooler.Name + unjoinedSuffix)
 }
 
-// second is of the process of a name that is not part of the fleet yet.
-const second = "+"
+// statusWriter keeps this pooler's status in the record as it is.
+type statusWriter struct {
+	agent    *Agent
+	key      string                   // where it was written
+	written  maintenance.PoolerStatus // as it stands there
+	revision uint64                   // of what stands there, as far as is known
+	stands   bool                     // written stands there
+	joined   bool                     // the status from before joining has been deleted
+}
 
-// say keeps this pooler's word in the record as it is.
-func (d *Agent) say(ctx context.Context) {
-	var said maintenance.PoolerStatus
-	var at uint64 // revision at which it was said
-	key, stands, first := "", false, true
+// reportStatus writes each status that there is to report.
+func (a *Agent) reportStatus(ctx context.Context) {
+	writer := &statusWriter{agent: a}
 	for {
 		select {
-		case <-d.words:
+		case <-a.statusReady:
 		case <-ctx.Done():
 			return
 		}
-		d.mu.Lock()
-		w := d.word
-		d.mu.Unlock()
-		var deleted []string
-		if now := d.key(); now != key {
-			key, stands, at = now, false, 0
-		}
-		if d.unsaid.Swap(false) && stands {
-			stands, at = false, 0
-		}
-		if first && d.pooler.Joined() { // its own of before, or that of one that ended without a word
-			deleted = []string{maintenance.StatusKey(d.pooler.Name + second)}
-		}
-		w.Incarnation, w.LeaseMS = d.pooler.Incarnation(), int64(d.config.LeaseMS)
-		if stands && w.Incarnation == said.Incarnation && w.Plan == said.Plan && maps.Equal(w.Stopped, said.Stopped) {
-			continue
-		}
-		text, err := json.Marshal(w)
-		if err != nil {
-			panic(err) // a fault of this program: there is nothing in it that cannot be written
+		a.mu.Lock()
+		status := a.status
+		a.mu.Unlock()
+		status.Incarnation, status.LeaseMS = a.pooler.Incarnation(), int64(a.config.LeaseMS)
+		if !writer.write(ctx, status) {
+			sleep(ctx, activeInterval) // It prevents a busy loop while there is no majority: calls fail at once then.
+			signal(a.wake)
 		}
-		o, err := d.pooler.Client.Change(ctx, store.Change{ID: d.id(), If: map[string]uint64{key: at}, Set: map[string]json.RawMessage{key: text}, Delete: deleted})
-		if stands = err == nil && o.Applied; stands {
-			said, at, first = w, o.Revision, first && deleted == nil
-			continue
-		}
-		// It may have been done, or an earlier life's word stands there: the next try is on what does.
-		if v, err := d.pooler.Client.Read(ctx, key); err == nil {
-			at = v.Values[key].Revision
-		}
-		sleep(ctx, turn) // Against a busy loop while no majority is there: calls fail at once then.
-		d.kick()
 	}
 }
+
+// write writes a status unless it stands in the record already; false: it may not have been written.
+func (w *statusWriter) write(ctx context.Context, status maintenance.PoolerStatus) bool {
+	w.findChanges()
+	if w.stands && sameStatus(status, w.written) {
+		return true
+	}
+	text, err := json.Marshal(status)
+	if err != nil {
+		panic(err) // a fault of this program: all values of a status can be written
+	}
+	change := store.Change{
+		ID:  w.agent.changeID(),
+		If:  map[string]uint64{w.key: w.revision},
+		Set: map[string]json.RawMessage{w.key: text},
+	}
+	if !w.joined && w.agent.pooler.Joined() { // its own from before, or that of a process which ended without a word
+		change.Delete = []string{maintenance.StatusKey(w.agent.pooler.Name + unjoinedSuffix)}
+	}
+	outcome, err := w.agent.pooler.Client.Change(ctx, change)
+	w.stands = err == nil && outcome.Applied
+	if w.stands {
+		w.written, w.revision = status, outcome.Revision
+		w.joined = w.joined || change.Delete != nil
+		return true
+	}
+	// It may have been written, or the status of an earlier instance stands there: the next attempt builds on what
+	// does.
+	if read, err := w.agent.pooler.Client.Read(ctx, w.key); err == nil {
+		w.revision = read.Values[w.key].Revision
+	}
+	return false
+}
+
+// findChanges notes that the status has to be written anew: under another key, or as it was deleted.
+func (w *statusWriter) findChanges() {
+	if key := w.agent.statusKey(); key != w.key {
+		w.key, w.stands, w.revision = key, false, 0
+	}
+	if w.agent.statusMissing.Swap(false) && w.stands {
+		w.stands, w.revision = false, 0
+	}
+}
+
+// sameStatus tells whether two statuses report the same.
+func sameStatus(a, b maintenance.PoolerStatus) bool {
+	return a.Incarnation == b.Incarnation && a.Plan == b.Plan && maps.Equal(a.Stopped, b.Stopped)
+}
--- a/internal/maintenance/agent/watch.go
+++ b/internal/maintenance/agent/watch.go
@@ -10,69 +10,72 @@
 )
 
 // watch follows what is agreed, as soon as any store that it reaches knows it.
-func (d *Agent) watch(ctx context.Context) {
+func (a *Agent) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		d.mu.Lock()
-		after := d.at
-		d.mu.Unlock()
-		c, err := d.pooler.Client.Watch(ctx, maintenance.FollowedPrefix, after, watches)
+		a.mu.Lock()
+		after := a.revision
+		a.mu.Unlock()
+		changes, err := a.pooler.Client.Watch(ctx, maintenance.FollowedPrefix, after, watchTimeout)
 		if err != nil {
-			sleep(ctx, pause)
+			sleep(ctx, retryPause)
 			continue
 		}
-		if d.news(after, c) {
-			d.kick()
+		if a.observeChanges(after, changes) {
+			signal(a.wake)
 		} else {
-			sleep(ctx, turn)
+			sleep(ctx, activeInterval)
 		}
 	}
 }
 
-// news takes in what a watch has brought; false: it waits for renew. A plan that is new is read with its lease: what it lists would
-// else be kept off until then.
-func (d *Agent) news(after uint64, c store.Changes) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if c.Revision <= d.at || after != d.at && !c.Whole { // renew was faster
+// observeChanges takes in what a watch has brought; false: it is left to renewLease. A plan that is new has to be
+// read with its lease: what it lists would be blocked until then.
+func (a *Agent) observeChanges(after uint64, changes store.Changes) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if changes.Revision <= a.revision || after != a.revision && !changes.Whole { // renewLease was faster
 		return true
 	}
-	held := maps.Clone(d.held)
-	if c.Whole {
-		clear(held)
+	values := maps.Clone(a.values)
+	if changes.Whole {
+		clear(values)
 	}
-	maps.Copy(held, c.Values)
-	for _, key := range c.Deleted {
-		delete(held, key)
+	maps.Copy(values, changes.Values)
+	for _, key := range changes.Deleted {
+		delete(values, key)
 	}
-	if r, err := parse(held); err == nil && r.Plan.Active() && r.Plan.ID != d.record.Plan.ID {
-		d.active.Store(true)
+	record, err := parse(values)
+	if err == nil && record.Plan.Active() && record.Plan.ID != a.record.Plan.ID {
+		a.active.Store(true)
 		return false
 	}
-	if d.take(held, c.Revision) {
-		d.reader.Observe(d.at, d.record.PlanSteps())
+	if a.takeIn(values, changes.Revision) {
+		a.follower.Observe(a.revision, a.record.PlanSteps())
 	}
 	return true
 }
 
-// take takes in what stands under maintenance.Now; mu is held. What cannot be read changes nothing: the lease runs out.
-func (d *Agent) take(held map[string]store.Value, revision uint64) bool {
-	r, err := parse(held)
+// takeIn takes in the values under maintenance.FollowedPrefix; mu is held. Values that cannot be read change
+// nothing: the lease runs out.
+func (a *Agent) takeIn(values map[string]store.Value, revision uint64) bool {
+	record, err := parse(values)
 	if err != nil {
-		if err.Error() != d.broken {
-			d.broken = err.Error()
-			d.pooler.Log.Error().Err(err).Msg("works: the record cannot be read")
+		if err.Error() != a.unreadable {
+			a.unreadable = err.Error()
+			a.pooler.Log.Error().Err(err).Msg("maintenance: the record cannot be read")
 		}
 		return false
 	}
-	d.held, d.at, d.record, d.broken = held, revision, r, ""
-	d.active.Store(r.Plan.Active())
+	a.values, a.revision, a.record, a.unreadable = values, revision, record, ""
+	a.active.Store(record.Plan.Active())
 	return true
 }
 
+// parse reads values of the store as a record.
 func parse(values map[string]store.Value) (maintenance.Record, error) {
 	texts, revisions := map[string]json.RawMessage{}, map[string]uint64{}
-	for key, v := range values {
-		texts[key], revisions[key] = v.Value, v.Revision
+	for key, value := range values {
+		texts[key], revisions[key] = value.Value, value.Revision
 	}
 	return maintenance.Parse(texts, revisions)
 }
