--- a/internal/maintenance/model_test.go
+++ b/internal/maintenance/model_test.go
@@ -19,9 +19,9 @@
 
 var modelRules = Rules{Lease: 2 * tick, Skew: 0, IgnoreUnreachable: true}
 
-type word struct {
-	life   Instance
-	number uint64
+type stopReport struct {
+	instance Instance
+	number   uint64
 }
 
 type answer struct { // of the record, on its way
@@ -30,37 +30,37 @@
 }
 
 type actor struct {
-	up      bool
-	life    uint64
-	reader  *Follower
-	out     bool // a request is out at the machine
-	blind   bool // ... which was sent in the one case that is counted
-	pending *answer
+	up          bool
+	incarnation uint64
+	follower    *Follower
+	out         bool // a request is out at the machine
+	blind       bool // ... which was sent in the one case that is counted
+	pending     *answer
 }
 
 type worldState struct {
-	now    time.Duration
-	step   Step
-	lives  map[string]uint64 // as the leader knows them, which may be late
-	actors []actor
-	words  []word
-	called map[uint64]int    // hooks, by number
-	freed  map[string]uint64 // lives that were known when it was free
-	left   spend
-	trace  []string
+	now          time.Duration
+	step         Step
+	incarnations map[string]uint64 // as the leader knows them, which may be late
+	actors       []actor
+	reports      []stopReport
+	called       map[uint64]int    // hooks, by number
+	freed        map[string]uint64 // lives that were known when it was free
+	left         budget
+	trace        []string
 }
 
-// spend is what may still happen.
-type spend struct{ poolers, ticks, sends, crashes, doubles, aborts, learns, lates int }
+// budget is what may still happen.
+type budget struct{ poolers, ticks, sends, crashes, doubles, aborts, learns, lates int }
 
-// made is what the poolers and the record do; planted faults change it.
-type made struct {
+// implementation is what the poolers and the record do; planted faults change it.
+type implementation struct {
 	on   func(Step, Event, time.Duration, Poolers, Rules) (Step, error)
 	may  func(*Follower, time.Duration) (may, blind bool)
 	read func(r *Follower, asked, now time.Duration, s Step)
 }
 
-var sound = made{
+var sound = implementation{
 	on: func(s Step, e Event, now time.Duration, f Poolers, r Rules) (Step, error) {
 		return s.Apply(e, now, f, r)
 	},
@@ -73,29 +73,29 @@
 
 func actorName(i int) string { return string(rune('a' + i)) }
 
-func begin(l spend) *worldState {
-	w := &worldState{now: 10 * tick, step: Step{Machine: "m"}, lives: map[string]uint64{}, called: map[uint64]int{}, left: l, actors: make([]actor, l.poolers)}
+func begin(l budget) *worldState {
+	w := &worldState{now: 10 * tick, step: Step{Machine: "m"}, incarnations: map[string]uint64{}, called: map[uint64]int{}, left: l, actors: make([]actor, l.poolers)}
 	for i := range w.actors {
 		r := NewFollower(w.now, modelRules)
 		r.Refresh(w.now, revision(w.step), []Step{w.step})
-		w.actors[i] = actor{up: true, life: 1, reader: r}
-		w.lives[actorName(i)] = 1
+		w.actors[i] = actor{up: true, incarnation: 1, follower: r}
+		w.incarnations[actorName(i)] = 1
 	}
 	return w
 }
 
 func (w *worldState) fleet() Poolers { // all have read the plan in their first life, and none yet in a later one
-	return Poolers{Incarnations: w.lives, PlanReadBy: map[string]uint64{"a": 1, "b": 1, "c": 1}}
+	return Poolers{Incarnations: w.incarnations, PlanReadBy: map[string]uint64{"a": 1, "b": 1, "c": 1}}
 }
 
 func (w *worldState) clone(what string, a ...any) *worldState {
 	c := *w
-	c.lives, c.called, c.words, c.actors = maps.Clone(w.lives), maps.Clone(w.called), slices.Clone(w.words), slices.Clone(w.actors)
+	c.incarnations, c.called, c.reports, c.actors = maps.Clone(w.incarnations), maps.Clone(w.called), slices.Clone(w.reports), slices.Clone(w.actors)
 	c.trace = append(slices.Clip(w.trace), fmt.Sprintf(what, a...))
 	for i := range c.actors {
-		if r := w.actors[i].reader; r != nil {
+		if r := w.actors[i].follower; r != nil {
 			k := *r // its maps are replaced as a whole, never changed
-			c.actors[i].reader = &k
+			c.actors[i].follower = &k
 		}
 	}
 	return &c
@@ -107,16 +107,16 @@
 	for i, a := range w.actors {
 		name := actorName(i)
 		var b strings.Builder
-		fmt.Fprint(&b, a.up, a.life, a.out, w.lives[name], w.freed[name], w.step.Stopped[name], slices.Contains(w.step.Unreachable, name))
-		if r := a.reader; r != nil {
+		fmt.Fprint(&b, a.up, a.incarnation, a.out, w.incarnations[name], w.freed[name], w.step.Stopped[name], slices.Contains(w.step.Unreachable, name))
+		if r := a.follower; r != nil {
 			fmt.Fprint(&b, " ", r.known, min(w.now-r.renewedAt, 3*tick), min(w.now-r.startedAt, 3*tick), a.blind, r.steps["m"].State, r.steps["m"].Number)
 		}
 		if a.pending != nil {
 			fmt.Fprint(&b, " asked ", w.now-a.pending.asked, a.pending.step.State, a.pending.step.Number)
 		}
-		for _, x := range w.words {
-			if x.life.Name == name {
-				fmt.Fprint(&b, " said ", x.life.Incarnation, x.number)
+		for _, x := range w.reports {
+			if x.instance.Name == name {
+				fmt.Fprint(&b, " said ", x.instance.Incarnation, x.number)
 			}
 		}
 		each = append(each, b.String())
@@ -126,7 +126,7 @@
 }
 
 // record lets the record take in an event, and keeps those that do not fit out.
-func (w *worldState) record(m made, e Event) *worldState {
+func (w *worldState) record(m implementation, e Event) *worldState {
 	s, err := m.on(w.step, e, w.now, w.fleet(), modelRules)
 	if err != nil {
 		return nil
@@ -134,7 +134,7 @@
 	c := w.clone("%s %d: %v", "event", e.Kind, e.Instance)
 	c.step = s
 	if s.State == Drained && w.step.State != Drained {
-		c.freed = maps.Clone(w.lives)
+		c.freed = maps.Clone(w.incarnations)
 	}
 	if e.Kind == HookStarted {
 		c.called[s.Number]++
@@ -143,7 +143,7 @@
 }
 
 // steps are all states that may follow.
-func (w *worldState) steps(m made) (all []*worldState) {
+func (w *worldState) steps(m implementation) (all []*worldState) {
 	add := func(c *worldState) {
 		if c != nil {
 			all = append(all, c)
@@ -169,8 +169,8 @@
 			add(c)
 		}
 	}
-	for i, x := range w.words {
-		c := w.record(m, Event{Kind: PoolerStopped, Number: x.number, Instance: x.life})
+	for i, x := range w.reports {
+		c := w.record(m, Event{Kind: PoolerStopped, Number: x.number, Instance: x.instance})
 		if c == nil { // it changes nothing now, and may fit no later: an older life or try
 			continue
 		}
@@ -179,33 +179,33 @@
 			d.left.doubles--
 			add(d)
 		}
-		c.words = slices.Delete(c.words, i, i+1)
+		c.reports = slices.Delete(c.reports, i, i+1)
 		add(c)
 	}
 	for i, a := range w.actors {
 		name := actorName(i)
-		if w.lives[name] != a.life && w.left.learns > 0 {
+		if w.incarnations[name] != a.incarnation && w.left.learns > 0 {
 			c := w.clone("it is known that %s has restarted", name)
 			c.left.learns--
-			c.lives[name] = a.life
+			c.incarnations[name] = a.incarnation
 			add(c)
 		}
 		if !a.up {
 			c := w.clone("%s restarts", name)
-			c.actors[i] = actor{up: true, life: a.life + 1, reader: NewFollower(w.now, modelRules)}
+			c.actors[i] = actor{up: true, incarnation: a.incarnation + 1, follower: NewFollower(w.now, modelRules)}
 			add(c)
 			continue
 		}
 		if w.left.crashes > 0 {
 			c := w.clone("%s crashes", name)
 			c.left.crashes--
-			c.actors[i] = actor{life: a.life}
+			c.actors[i] = actor{incarnation: a.incarnation}
 			add(c)
 		}
 		if a.pending == nil {
-			if r := a.reader; !r.known || r.renewedAt < w.now || r.steps["m"].State != w.step.State {
+			if r := a.follower; !r.known || r.renewedAt < w.now || r.steps["m"].State != w.step.State {
 				c := w.clone("%s reads the record", name)
-				m.read(c.actors[i].reader, w.now, w.now, w.step)
+				m.read(c.actors[i].follower, w.now, w.now, w.step)
 				add(c)
 			}
 			if w.left.lates > 0 {
@@ -216,7 +216,7 @@
 			}
 		} else {
 			c := w.clone("%s reads it", name)
-			m.read(c.actors[i].reader, a.pending.asked, w.now, a.pending.step)
+			m.read(c.actors[i].follower, a.pending.asked, w.now, a.pending.step)
 			c.actors[i].pending = nil
 			add(c)
 		}
@@ -226,22 +226,22 @@
 			add(c)
 		} else if w.left.sends > 0 {
 			c := w.clone("%s sends", name)
-			if may, blind := m.may(c.actors[i].reader, w.now); may {
+			if may, blind := m.may(c.actors[i].follower, w.now); may {
 				c.left.sends--
 				c.actors[i].out, c.actors[i].blind = true, blind
 				add(c)
 			}
 		}
-		for _, number := range a.reader.Stopped(func(string) int {
+		for _, number := range a.follower.Stopped(func(string) int {
 			if a.out {
 				return 1
 			}
 			return 0
 		}) {
-			x := word{Instance{name, a.life}, number}
-			if !slices.Contains(w.words, x) {
+			x := stopReport{Instance{name, a.incarnation}, number}
+			if !slices.Contains(w.reports, x) {
 				c := w.clone("%s says that it has stopped", name)
-				c.words = append(c.words, x)
+				c.reports = append(c.reports, x)
 				add(c)
 			}
 		}
@@ -254,7 +254,7 @@
 	at := w.step.State == Drained || w.step.State == InMaintenance
 	for i, a := range w.actors {
 		// The one case that is counted: it began anew where nobody knew, and finds no record.
-		if at && a.out && a.blind && w.freed[actorName(i)] != a.life {
+		if at && a.out && a.blind && w.freed[actorName(i)] != a.incarnation {
 			continue
 		}
 		if at && a.out && !before.actors[i].out {
@@ -273,7 +273,7 @@
 }
 
 // explore visits all states, at most so many, and returns how many there are, with the course to one that breaks a rule.
-func explore(m made, l spend, most int) (states int, reached map[State]bool, course []string) {
+func explore(m implementation, l budget, most int) (states int, reached map[State]bool, course []string) {
 	first := begin(l)
 	seen, queue := map[string]bool{first.text(): true}, []*worldState{first}
 	reached = map[State]bool{}
@@ -297,7 +297,7 @@
 	return len(seen), reached, nil
 }
 
-var worlds = map[string]spend{
+var worlds = map[string]budget{
 	"a pooler that is cut off": {poolers: 3, ticks: 2, sends: 1},
 	"an answer that is late":   {poolers: 2, ticks: 2, sends: 1, lates: 1},
 	"a crash and a restart":    {poolers: 2, ticks: 2, sends: 1, crashes: 1, learns: 1},
@@ -322,10 +322,10 @@
 func TestModelFindsFaults(t *testing.T) {
 	type fault struct {
 		world string
-		plant func(*made)
+		plant func(*implementation)
 	}
 	for what, f := range map[string]fault{
-		"a word of an earlier life counts": {"a crash and a restart", func(m *made) {
+		"a word of an earlier life counts": {"a crash and a restart", func(m *implementation) {
 			m.on = func(s Step, e Event, now time.Duration, f Poolers, r Rules) (Step, error) {
 				if e.Kind == PoolerStopped {
 					e.Instance.Incarnation = f.Incarnations[e.Instance.Name]
@@ -333,39 +333,39 @@
 				return s.Apply(e, now, f, r)
 			}
 		}},
-		"a word of an earlier try counts": {"given up and tried again", func(m *made) {
+		"a word of an earlier try counts": {"given up and tried again", func(m *implementation) {
 			m.on = func(s Step, e Event, now time.Duration, f Poolers, r Rules) (Step, error) {
 				e.Number = max(e.Number, s.Number)
 				return s.Apply(e, now, f, r)
 			}
 		}},
-		"it goes on before the lease is over": {"a pooler that is cut off", func(m *made) {
+		"it goes on before the lease is over": {"a pooler that is cut off", func(m *implementation) {
 			m.on = func(s Step, e Event, now time.Duration, f Poolers, r Rules) (Step, error) {
 				r.Lease = tick
 				return s.Apply(e, now, f, r)
 			}
 		}},
-		"the lease counts from the answer": {"an answer that is late", func(m *made) {
+		"the lease counts from the answer": {"an answer that is late", func(m *implementation) {
 			m.read = func(r *Follower, _, now time.Duration, s Step) { r.Refresh(now, revision(s), []Step{s}) }
 		}},
-		"the lease does not bind": {"a pooler that is cut off", func(m *made) {
+		"the lease does not bind": {"a pooler that is cut off", func(m *implementation) {
 			m.may = func(r *Follower, now time.Duration) (bool, bool) {
 				return r.MaySend(r.renewedAt, "m", []string{"other"})
 			}
 		}},
-		"one that begins does not read first": {"a crash and a restart", func(m *made) {
+		"one that begins does not read first": {"a crash and a restart", func(m *implementation) {
 			m.may = func(r *Follower, now time.Duration) (bool, bool) {
 				may, blind := r.MaySend(now, "m", []string{"other"})
 				return !r.known || may, blind
 			}
 		}},
-		"a pooler that has not read the plan is left behind": {"a crash and a restart", func(m *made) {
+		"a pooler that has not read the plan is left behind": {"a crash and a restart", func(m *implementation) {
 			m.on = func(s Step, e Event, now time.Duration, f Poolers, r Rules) (Step, error) {
 				f.PlanReadBy = f.Incarnations
 				return s.Apply(e, now, f, r)
 			}
 		}},
-		"the hook is called again": {"given up and tried again", func(m *made) {
+		"the hook is called again": {"given up and tried again", func(m *implementation) {
 			m.on = func(s Step, e Event, now time.Duration, f Poolers, r Rules) (Step, error) {
 				r.Calls = 2
 				return s.Apply(e, now, f, r)
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -28,7 +28,7 @@
 }
 
 // Replicas go before their primary, which hands over to one whose own work is done.
-func TestOrder(t *testing.T) {
+func TestDryRunOrder(t *testing.T) {
 	look := Snapshot{Machines: groupOf(1, "a", 3), Load: map[int]float64{1: 1}}
 	order, err := DryRun(PlanSpec{Machines: []string{"a0", "a1", "a2"}, Fresh: 1}, look)
 	require.NoError(t, err)
@@ -53,7 +53,7 @@
 }
 
 // Each constraint is named where it forbids, and what can be done all the same is the nearest order.
-func TestForbidden(t *testing.T) {
+func TestConstraints(t *testing.T) {
 	for what, c := range map[string]struct {
 		change func(w *PlanSpec, l *Snapshot)
 		why    string
@@ -87,7 +87,7 @@
 }
 
 // While one is out its sibling dies: nothing further is taken, and the one that is out is asked back, one that is not at work first.
-func TestAskedBack(t *testing.T) {
+func TestPutBack(t *testing.T) {
 	look := Snapshot{Machines: groupOf(1, "a", 5), Load: map[int]float64{1: 2.5}}
 	w := PlanSpec{Machines: []string{"a1", "a2", "a3"}, PerGroup: 2, PerZone: 2, InAll: 2}
 	at := map[string]State{"a1": InMaintenance, "a2": Drained}
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestWishCheck(t *testing.T) {
+func TestPlanSpecCheck(t *testing.T) {
 	known := groupOf(1, "a", 3)
 	good := PlanSpec{Machines: []string{"a0"}}
 	require.NoError(t, good.Check(known))
