--- a/internal/maintenance/fixture_test.go
+++ b/internal/maintenance/fixture_test.go
@@ -28,7 +28,7 @@
 	return r
 }
 
-// write applies orders that were made on a record as it was read; false: it has changed since.
+// write applies a proposal that was made on a record as it was read; false: the record has changed since.
 func (p *fakeRecord) write(r Record, o Proposal) bool {
 	on, set, deleted := o.Change(r)
 	for key, revision := range on {
@@ -59,7 +59,7 @@
 	return Policy{Self: Instance{name, life}, Hook: true, Calls: 1, Lease: 2 * sec, Skew: sec, Settle: 2 * sec}
 }
 
-// healthyView is of a group of databases that are all well, and of poolers with their incarnations.
+// healthyView is an observation of a group of healthy databases, and of poolers with their incarnations.
 func healthyView(now time.Duration, databases int, poolers map[string]uint64) Observation {
 	s := Observation{Snapshot: Snapshot{Machines: groupOf(1, "a", databases), Load: map[int]float64{}}, Incarnations: maps.Clone(poolers), Heard: map[string]time.Duration{}}
 	for name := range s.Machines {
@@ -72,7 +72,7 @@
 	return s
 }
 
-// leaderTest is a leader alone, look by look, with poolers that say at once that they have stopped.
+// leaderTest is a leader alone, proposal by proposal, with poolers that report at once that they have stopped.
 type leaderTest struct {
 	t       *testing.T
 	record  *fakeRecord
@@ -103,7 +103,7 @@
 	return s
 }
 
-// propose is one look, a second after the one before; the poolers have said by then what they have to.
+// propose makes and writes one proposal, a second after the one before; the poolers have written their statuses by then.
 func (p *leaderTest) propose() Proposal {
 	p.now += sec
 	r := p.record.read(p.t)
@@ -123,7 +123,7 @@
 	return o
 }
 
-// proposeUntil looks until a machine has come to a state.
+// proposeUntil proposes until a machine has come to a state.
 func (p *leaderTest) proposeUntil(machine string, s State) Step {
 	p.t.Helper()
 	for range 50 {
--- a/internal/maintenance/leader_test.go
+++ b/internal/maintenance/leader_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The course of a plan with a hook: one machine after the other, each with a number of its own; the record tells all of it.
+// A plan with a hook takes one machine after the other, each with a number of its own; the history tells all of it.
 func TestPlanRunsToItsEnd(t *testing.T) {
 	p := newLeaderTest(t, testPolicy("p", 1), PlanSpec{Machines: []string{"a1", "a2"}, Fresh: 1})
 	for i, name := range []string{"a1", "a2"} {
@@ -36,7 +36,7 @@
 	require.NotEmpty(t, p.hookEnded(p.calls[2], "").Steps)
 }
 
-// A hook that fails is called again under its number as far as that is allowed, and then the plan stands still.
+// A hook that fails is called again under its number as far as that is allowed, and then the plan is paused.
 func TestFailedHookIsCalledAgainAndThenPausesThePlan(t *testing.T) {
 	m := testPolicy("p", 1)
 	m.Calls = 2
@@ -57,7 +57,7 @@
 	p.proposeUntil("a2", InMaintenance)
 }
 
-// Who called a hook and is gone leaves it to a person, or to another call under the same number.
+// Where the pooler that called a hook is gone, a person ends the work, or another calls it under the same number.
 func TestHookWhoseCallerIsGone(t *testing.T) {
 	for calls, again := range map[int]bool{1: false, 2: true} {
 		m := testPolicy("p", 1)
@@ -84,7 +84,7 @@
 	}
 }
 
-// A primary hands over first: by a hook, or by a person; that it is done shows by what is seen.
+// A primary hands over first: by a hook, or by a person; that it is done shows by what is observed.
 func TestPrimaryHandsOverFirst(t *testing.T) {
 	m := testPolicy("p", 1)
 	m.HandsOver = true
@@ -113,8 +113,8 @@
 	require.Nil(t, p.plan().HandOver)
 }
 
-// What is seen decides what is taken: a group that has become too small asks back what is free, more load than the rest can do and
-// a time that is over stop further steps, the one that leads the record hands the lead over.
+// What is observed decides what is taken: a group that has become too small gets a drained machine back, more load than
+// the rest can do and a time that is over stop further steps, the pooler that leads the record resigns.
 func TestObservationDecidesWhatIsTaken(t *testing.T) {
 	m := testPolicy("p", 1)
 	m.Hook = false
@@ -159,7 +159,7 @@
 }
 
 // The time that a plan has is a span of real time for who leads it: no step of the wall clock ends it early, nor
-// stretches it. Nor does one take a machine out or back: a pooler that says nothing is waited for until its lease
+// stretches it. Nor does one take a machine out or back: a pooler that does not report is waited for until its lease
 // has run out.
 func TestStepOfTheWallClock(t *testing.T) {
 	const window = 30 // looks, each of a second
@@ -195,8 +195,8 @@
 	}
 }
 
-// A pooler that left and came back after its clock was stepped back bears a lower incarnation: nothing is free
-// without its word.
+// A pooler that left and came back after its clock was stepped back has a lower incarnation: nothing is drained
+// without its report.
 func TestClockSteppedBackBetweenTwoIncarnations(t *testing.T) {
 	const left, back = 1_800_000_000_000, 1_800_000_000_000 - 3_600_000 // ms
 	p := newLeaderTest(t, testPolicy("p", 1), PlanSpec{Machines: []string{"a1"}, Fresh: 1})
@@ -214,7 +214,8 @@
 	require.Equal(t, []string{"q"}, p.propose().Forget, "its own word, from before it was refuted")
 }
 
-// A pooler that was cut off for so long that the fleet's view has forgotten it is no yes; one that left is not waited for.
+// A pooler that was cut off for so long that membership has forgotten it has not agreed; one that left is not waited
+// for.
 func TestUnreachablePoolers(t *testing.T) {
 	p := newLeaderTest(t, testPolicy("p", 1), PlanSpec{Machines: []string{"a1"}, Fresh: 1})
 	p.record.writeStatus("z", PoolerStatus{Incarnation: 7, LeaseMS: 9000})
--- a/internal/maintenance/model_test.go
+++ b/internal/maintenance/model_test.go
@@ -11,9 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The model check explores all interleavings of one step with two or three poolers: they read the record, late or never, send to the machine
-// while they may, say that they have stopped, crash and restart with nothing in mind; their words come late, twice, or after the
-// step was given up and tried again. Nobody may begin anything at a machine that is free or at work.
+// The model check explores all interleavings of one step with two or three poolers: they read the record, late or never,
+// send to the machine while they may, report that they have stopped, crash and restart with nothing remembered; their
+// reports come late, twice, or after the step was rolled back and taken again. No pooler may begin anything at a machine
+// that is drained or in maintenance.
 
 const tick = time.Second
 
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -86,7 +86,8 @@
 	require.Empty(t, order)
 }
 
-// While one is out its sibling dies: nothing further is taken, and the one that is out is asked back, one that is not at work first.
+// While one is out another of its group fails: nothing further is taken, and one that is out is put back, rather one that
+// is not in maintenance.
 func TestPutBack(t *testing.T) {
 	look := Snapshot{Machines: groupOf(1, "a", 5), Load: map[int]float64{1: 2.5}}
 	w := PlanSpec{Machines: []string{"a1", "a2", "a3"}, PerGroup: 2, PerZone: 2, InAll: 2}
--- a/internal/maintenance/twoleaders_test.go
+++ b/internal/maintenance/twoleaders_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two poolers take themselves for the leader, on clocks two minutes apart; they are restarted at any point between reading, writing and
-// calling; poolers restart, operators pause, resume and end. No work is begun twice, under one number or two at once, nothing is
-// free while a pooler that lives has not stopped, and when that is over the plan ends.
+// Two poolers take themselves for the leader, on clocks two minutes apart; they are restarted at any point between
+// reading, writing and calling; poolers restart, operators pause, resume and end. No work is begun twice, under one number
+// or two at once, nothing is drained while a live pooler has not stopped, and when that is over the plan ends.
 func TestTwoLeaders(t *testing.T) {
 	for seed := range uint64(100) {
 		random := rand.New(rand.NewPCG(seed, 9))
