--- a/internal/maintenance/agent/hook.go
+++ b/internal/maintenance/agent/hook.go
@@ -21,8 +21,6 @@
 
 const (
 	maxHookOutput  = 300 // bytes of what a hook writes that are kept for the error
-	statusClass    = 100 // HTTP status codes in a class
-	successClass   = 2   // of HTTP status codes
 	taskWork       = "work"
 	taskHandOver   = "hand-over"
 	workIDVariable = "CAPERCOVE_WORK" // environment variable with the number of the work
@@ -140,7 +138,7 @@
 		return err
 	}
 	defer func() { _ = response.Body.Close() }() // nothing more is read of it
-	if response.StatusCode/statusClass != successClass {
+	if response.StatusCode < http.StatusOK || response.StatusCode >= http.StatusMultipleChoices {
 		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxHookOutput))
 		return fmt.Errorf("%s %s", response.Status, strings.TrimSpace(string(reason)))
 	}
