--- a/internal/maintenance/agent/cases_test.go
+++ b/internal/maintenance/agent/cases_test.go
@@ -26,7 +26,7 @@
 	r.T.Helper()
 	require.Eventually(r.T, func() bool {
 		for _, n := range r.Running() {
-			if r.shown(n).Leads {
+			if r.overview(n).Leads {
 				name = n
 				return true
 			}
@@ -36,8 +36,8 @@
 	return name
 }
 
-// shown is what a pooler tells of its part.
-func (r *run) shown(name string) (s agent.Overview) {
+// overview is what a pooler tells of its part.
+func (r *run) overview(name string) (s agent.Overview) {
 	code, body := r.Beds[name].Call("GET", "/works")
 	require.Equal(r.T, 200, code, body)
 	require.NoError(r.T, json.Unmarshal([]byte(body), &s))
@@ -55,8 +55,9 @@
 	require.Eventually(r.T, f, testbed.FleetPatience, testbed.Turn, what)
 }
 
-// The leader is killed while a request that does not end keeps a machine agreed, and the next one while the hook runs: the hook is
-// called once, under one number, and what has become of it only a person can tell. Those that come back remember nothing.
+// The leader is killed while a request that does not end keeps a machine draining, and the next one while the hook runs:
+// the hook is called once, under one number, and only a person can say how it ended. Poolers that come back remember
+// nothing.
 func TestLeaderDies(t *testing.T) {
 	t.Parallel()
 	h, line := newHook(t)
@@ -71,7 +72,7 @@
 	}
 	r.start("n3", "machines = [\"db-1\"]\nfresh = 1\n")
 	r.reaches("n3", "db-1", maintenance.Draining)
-	r.eventually(func() bool { return r.shown("n3").Out["db-1"] > 0 }, "n3 knows what it has out there")
+	r.eventually(func() bool { return r.overview("n3").Out["db-1"] > 0 }, "n3 knows what it has out there")
 	first := r.leader()
 	r.Kill(first)
 	r.leader()
@@ -93,10 +94,10 @@
 	r.passes(2000)
 	require.Len(t, h.calls(), 1, "it is not called again")
 	require.Equal(t, maintenance.InMaintenance, r.state("n3", "db-1"), "nobody knows that it has ended")
-	r.do("n3", "end", "db-1")
-	r.over("n3")
+	r.execute("n3", "end", "db-1")
+	r.planOver("n3")
 	end()
-	r.kept(h.calls())
+	r.checkKept(h.calls())
 	require.Len(t, h.calls(), 1)
 }
 
@@ -110,9 +111,9 @@
 	return held
 }
 
-// A pooler is cut off from all others, but not from clients and databases: it cannot change the plan, and keeps off all that is listed
-// once its lease is over. The others go on without it after that time, and say so. One that starts while it is cut off keeps off
-// all, and is blind then. When the cut is over all is one again.
+// A pooler is cut off from all others, but not from clients and databases: it cannot change the plan, and blocks all that
+// is listed once its lease is over. The others go on without it after that time, and say so. One that starts while it is
+// cut off blocks all, and is blind then. When the cut is over all poolers agree again.
 func TestCutOff(t *testing.T) {
 	t.Parallel()
 	h, line := newHook(t)
@@ -128,7 +129,10 @@
 	out, status := r.works(one, "pause")
 	require.Equal(t, 1, status, out)
 	require.Contains(t, out, "no majority")
-	r.eventually(func() bool { s := r.shown(one); return s.Lapses < 0 && slices.Equal(s.Off, []string{"db-1", "db-2"}) }, "its lease runs out")
+	r.eventually(func() bool {
+		s := r.overview(one)
+		return s.Lapses < 0 && slices.Equal(s.Off, []string{"db-1", "db-2"})
+	}, "its lease runs out")
 	s := r.status(one)
 	require.False(t, s.Agreed)
 	require.Equal(t, maintenance.Running, s.Plan.State, "as it was when it was last read")
@@ -140,19 +144,20 @@
 	require.True(t, slices.ContainsFunc(r.status(rest[0]).Steps, func(s maintenance.Step) bool {
 		return s.Machine == h.calls()[1].machine && slices.Equal(s.Unreachable, []string{one})
 	}), "the record says without whom")
-	require.Zero(t, r.kept(h.calls()))
+	require.Zero(t, r.checkKept(h.calls()))
 	r.Kill(one)
 	r.Restart(one) // it reads nothing, waits for the length of a lease, and serves
 	r.eventually(func() bool { return r.Beds[one].Line(`"blind":`) != "" }, "it says that it is blind")
 	r.Net.Heal()
-	r.over(rest[0])
+	r.planOver(rest[0])
 	end()
-	require.Zero(t, r.kept(h.calls()))
+	require.Zero(t, r.checkKept(h.calls()))
 }
 
-// A pooler dies after it has said that it stopped, and comes back remembering nothing while it is cut off from the record: for the
-// length of a lease it sends nothing, and what it sends then is counted. As soon as it reads the record it keeps off.
-func TestForgets(t *testing.T) {
+// A pooler dies after it has reported that it stopped, and comes back remembering nothing while it is cut off from the
+// record: for the length of a lease it sends nothing, and what it sends then is counted. As soon as it reads the record
+// it blocks the machine.
+func TestRestartRemembersNothing(t *testing.T) {
 	t.Parallel()
 	r := begin(t, 13, 4, 1, "")
 	r.start("n0", "machines = [\"db-1\"]\nfresh = 1\n")
@@ -166,26 +171,27 @@
 		r.Beds["n3"].Try(r.Beds["n3"].Statement("read", "n3", time.Second), time.Second)
 		return sent() > before
 	}, "it is blind, and serves")
-	r.eventually(func() bool { return r.shown("n3").Blind > 0 }, "that is counted")
+	r.eventually(func() bool { return r.overview("n3").Blind > 0 }, "that is counted")
 	r.eventually(func() bool { return r.Beds["n3"].Line(`"blind":`) != "" }, "it says so")
 	r.Net.Heal()
-	r.eventually(func() bool { return slices.Equal(r.shown("n3").Off, []string{"db-1"}) }, "it keeps off")
+	r.eventually(func() bool { return slices.Equal(r.overview("n3").Off, []string{"db-1"}) }, "it keeps off")
 	before = sent()
 	r.Serve("while db-1 is free", r.Names...)
 	for range 20 {
 		r.Beds["n3"].Try(r.Beds["n3"].Statement("read", "n3", time.Second), time.Second)
 	}
 	require.Equal(t, before, sent())
-	r.do("n3", "end", "db-1")
-	r.over("n0")
+	r.execute("n3", "end", "db-1")
+	r.planOver("n0")
 }
 
-// A replica dies while another is out: nothing further is taken, and the one that is free is asked back. Then the primary changes while a
-// replica is out: the plan goes on, and the one that leads now goes last. Two plans that are handed in at once are one.
+// A replica dies while another is out: nothing further is taken, and the one that is drained is put back. Then the primary
+// changes while a replica is out: the plan goes on, and the new primary goes last. Of two plans that are handed in at
+// once one is taken.
 func TestGroupChanges(t *testing.T) {
 	t.Parallel()
 	r := begin(t, 14, 3, 2, "")
-	first, second := r.wish("machines = [\"db-0\", \"db-1\"]\nfresh = 1\n"), r.wish("machines = [\"db-1\", \"db-3\"]\nfresh = 1\n")
+	first, second := r.specFile("machines = [\"db-0\", \"db-1\"]\nfresh = 1\n"), r.specFile("machines = [\"db-1\", \"db-3\"]\nfresh = 1\n")
 	won := make(chan bool, 2)
 	var both sync.WaitGroup
 	for at, wish := range map[string]string{"n0": first, "n2": second} {
@@ -197,11 +203,11 @@
 	}
 	both.Wait()
 	require.NotEqual(t, <-won, <-won, "one of the two")
-	r.do("n1", "abort")
-	r.over("n1")
+	r.execute("n1", "abort")
+	r.planOver("n1")
 
 	r.start("n0", "machines = [\"db-0\", \"db-1\", \"db-2\"]\nfresh = 1\nper_group = 2\n")
-	out := r.freed("n0")
+	out := r.drained("n0")
 	require.NotEqual(t, "db-0", out, "the primary goes last")
 	before := len(r.database(out).Got())
 	others := slices.DeleteFunc([]string{"db-1", "db-2", "db-3"}, func(name string) bool { return name == out })
@@ -214,23 +220,23 @@
 		r.database(name).Freeze(false)
 		r.database(name).Cut() // what was silent answers nothing any more
 	}
-	out = r.freed("n0")
+	out = r.drained("n0")
 	r.database("db-0").Lead(false)
 	r.database("db-3").Lead(true)
 	r.Serve("after the primary has changed", r.Names...)
-	r.do("n0", "end", out)
+	r.execute("n0", "end", out)
 	r.reaches("n0", out, maintenance.Done)
 	for range 2 { // db-0 is a replica now
-		next := r.freed("n0")
-		r.do("n0", "end", next)
+		next := r.drained("n0")
+		r.execute("n0", "end", next)
 		r.reaches("n0", next, maintenance.Done)
 	}
-	r.over("n0")
+	r.planOver("n0")
 	require.Nil(t, r.status("n0").Plan.HandOver)
 }
 
-// A plan can be given up in every state; a machine at work comes back when the work ends, and one that never comes back well keeps the
-// plan from going on until somebody gives it up.
+// A plan can be aborted in every state; a machine in maintenance comes back when the work ends, and the plan waits for one
+// that does not become healthy.
 func TestAbort(t *testing.T) {
 	t.Parallel()
 	r := begin(t, 15, 3, 1, "")
@@ -242,40 +248,40 @@
 	}
 	r.start("n0", "machines = [\"db-1\"]\nfresh = 1\n")
 	r.reaches("n0", "db-1", maintenance.Draining)
-	r.do("n2", "abort")
-	r.over("n0")
+	r.execute("n2", "abort")
+	r.planOver("n0")
 	require.Equal(t, maintenance.RolledBack, r.state("n0", "db-1"))
 	for _, d := range r.Beds["n0"].Databases {
 		d.Release()
 	}
 	r.start("n0", wish)
-	r.freed("n0")
-	r.do("n2", "abort")
-	r.over("n0")
-	r.eventually(func() bool { return len(r.shown("n1").Off) == 0 }, "it is put back")
+	r.drained("n0")
+	r.execute("n2", "abort")
+	r.planOver("n0")
+	r.eventually(func() bool { return len(r.overview("n1").Off) == 0 }, "it is put back")
 
 	r.start("n0", wish)
-	one := r.freed("n0")
+	one := r.drained("n0")
 	other := map[string]string{"db-1": "db-2", "db-2": "db-1"}[one]
-	r.do("n0", "begin", one)
-	r.do("n1", "abort")
+	r.execute("n0", "begin", one)
+	r.execute("n1", "abort")
 	require.Equal(t, maintenance.InMaintenance, r.state("n0", one))
 	require.Equal(t, maintenance.Aborting, r.status("n0").Plan.State)
 	r.eventually(func() bool { return r.state("n0", other) == maintenance.RolledBack }, "what waits is given up")
 	r.database(one).Freeze(true) // it does not come back
-	r.do("n0", "end", one)
+	r.execute("n0", "end", one)
 	r.reaches("n0", one, maintenance.Recovering)
-	r.eventually(func() bool { m := r.shown("n0").Look.Machines[one]; return m != nil && !m.Up }, "it is seen to be bad")
+	r.eventually(func() bool { m := r.overview("n0").Look.Machines[one]; return m != nil && !m.Up }, "it is seen to be bad")
 	require.Equal(t, maintenance.Aborting, r.status("n0").Plan.State, "the plan waits for it")
 	r.database(one).Freeze(false)
-	r.over("n0")
+	r.planOver("n0")
 	out, status := r.works("n0", "skip", "db-2")
 	require.Equal(t, 1, status, out)
 	require.Contains(t, out, "no plan")
 }
 
-// A release: all poolers are restarted, one after the other and the one that leads the record last, by a hook that is called over HTTP;
-// a database is in the same plan.
+// A release restarts all poolers, one after the other and the one that leads the record last, by a hook that is called
+// over HTTP; a database is in the same plan.
 func TestRelease(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
@@ -293,7 +299,7 @@
 		}
 		order = append(order, call.Machine)
 		if b := r.Beds[call.Machine]; b != nil {
-			if r.shown(call.Machine).Leads {
+			if r.overview(call.Machine).Leads {
 				faults = append(faults, call.Machine+" leads the record")
 			}
 			r.Terminate(call.Machine)
@@ -317,8 +323,8 @@
 	r.Settled("the end", r.Names...)
 }
 
-// At an upgrade two processes of one name serve for a while: a machine is not free before both have stopped, and the new one goes on
-// under the name alone.
+// At an upgrade two processes of one name serve for a while: a machine is not drained before both have stopped, and the new
+// one goes on under the name alone.
 func TestUpgrade(t *testing.T) {
 	t.Parallel()
 	r := &run{testbed.NewWorks(t, 18, 4, quick, warmSoon)}
@@ -359,13 +365,13 @@
 		r.Serve("after the upgrade", r.Names...)
 	}
 	require.Len(t, r.database("db-1").Got(), before)
-	r.do("n3", "end", "db-1")
-	r.over("n0")
+	r.execute("n3", "end", "db-1")
+	r.planOver("n0")
 	r.start("n0", "machines = [\"db-2\"]\nfresh = 1\n") // nobody waits for a second process any more
 	r.reaches("n0", "db-2", maintenance.Drained)
 }
 
-// What is wrong with the table, or with a wish, is told with line and key.
+// Errors of the table and of a plan's specification name line and key.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	r := begin(t, 17, 1, 1, "")
@@ -376,7 +382,7 @@
 		"machines = [\"db-1\"]\nmargin = 1.5\n":                  "margin: 1.5",
 		"machines = [\"db-1\", \"db-2\", \"db-0\"]\nfresh = 2\n": "1 replicas of group 3 that keep up would be left, 2 at the least",
 	} {
-		out, status := r.works("n0", "plan", r.wish(text))
+		out, status := r.works("n0", "plan", r.specFile(text))
 		require.Equal(t, 1, status, out)
 		require.Contains(t, out, why)
 	}
@@ -385,7 +391,7 @@
 		require.Equal(t, 1, status, out)
 		require.Contains(t, out, why)
 	}
-	path := r.wish("[works]\nenabled = true\nlease_ms = 1\n")
+	path := r.specFile("[works]\nenabled = true\nlease_ms = 1\n")
 	out, status := r.Command("check", path)
 	require.Equal(t, 1, status)
 	require.Contains(t, out, "wish.toml:3: works.lease_ms: 1 is not from 500 to 600000")
--- a/internal/maintenance/agent/measure_test.go
+++ b/internal/maintenance/agent/measure_test.go
@@ -46,8 +46,8 @@
 		for range 8 {
 			r.start("n0", "machines = [\"db-1\"]\nfresh = 1\n")
 			r.reaches("n0", "db-1", maintenance.Drained)
-			r.do("n0", "end", "db-1")
-			r.over("n0")
+			r.execute("n0", "end", "db-1")
+			r.planOver("n0")
 			at := map[string]int64{}
 			for _, e := range r.entries() {
 				at[e.Text] = e.At // of the last plan
--- a/internal/maintenance/agent/plant_test.go
+++ b/internal/maintenance/agent/plant_test.go
@@ -13,8 +13,8 @@
 	"capercove/internal/testbed"
 )
 
-// Faults that are planted in the program are seen by the databases and the hook: the check that finds nothing in the shipped one is not
-// blind.
+// Faults that are planted in the program are seen by the databases and the hook: the check that finds nothing in the
+// shipped program does find faults.
 func TestPlantedFaults(t *testing.T) {
 	const two = "machines = [\"db-1\", \"db-2\"]\nfresh = 1\ngo_on = true\n"
 	for what, f := range map[string]struct {
@@ -68,8 +68,8 @@
 			func(t *testing.T, r *run, h hook) { // and is begun again while it still goes on
 				r.start("n0", two)
 				h.began(1)
-				r.do("n1", "abort")
-				r.over("n1")
+				r.execute("n1", "abort")
+				r.planOver("n1")
 				r.eventually(func() bool { return r.state("n1", "db-1") == maintenance.RolledBack }, "it is given up")
 				r.start("n0", two)
 				h.began(2)
@@ -93,8 +93,8 @@
 	}
 }
 
-// The clocks of two poolers are two minutes before and behind the others': the fleet's view turns down what they say, the record knows
-// them, and the plan ends with nothing broken.
+// The clocks of two poolers are two minutes ahead of and behind the others': membership rejects what they report, the
+// record knows them, and the plan ends with nothing broken.
 func TestClocks(t *testing.T) {
 	t.Parallel()
 	program := testbed.Variant(t, testbed.Edit{
@@ -118,9 +118,9 @@
 	r.eventually(func() bool { return !h.calls()[0].to.IsZero() }, "the hook ends")
 	r.Restart(first)
 	if r.state("n3", "db-1") == maintenance.InMaintenance { // who called the hook could not write that it ended
-		r.do("n3", "end", "db-1")
+		r.execute("n3", "end", "db-1")
 	}
-	r.over("n3")
+	r.planOver("n3")
 	end()
-	require.Zero(t, r.kept(h.calls()))
+	require.Zero(t, r.checkKept(h.calls()))
 }
--- a/internal/maintenance/agent/process_test.go
+++ b/internal/maintenance/agent/process_test.go
@@ -54,17 +54,17 @@
 	return out, status
 }
 
-// wish writes a file with a wish.
-func (r *run) wish(text string) string {
+// specFile writes a file with a plan's specification.
+func (r *run) specFile(text string) string {
 	path := filepath.Join(r.T.TempDir(), "wish.toml")
 	require.NoError(r.T, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// start hands a wish in at a pooler.
-func (r *run) start(at, wish string) {
+// start hands in a plan at a pooler.
+func (r *run) start(at, spec string) {
 	r.T.Helper()
-	path := r.wish(wish)
+	path := r.specFile(spec)
 	require.Eventually(r.T, func() bool {
 		_, status := r.works(at, "start", path)
 		return status == 0
@@ -94,8 +94,8 @@
 	r.Net.Note("%s is %s", machine, state)
 }
 
-// freed waits until a machine is free, and returns it: which one is next hangs on what is seen of each just then.
-func (r *run) freed(at string) (name string) {
+// drained waits until a machine is drained, and returns it: which one is next depends on what is observed of each then.
+func (r *run) drained(at string) (name string) {
 	r.T.Helper()
 	require.Eventually(r.T, func() bool {
 		for _, s := range r.status(at).Steps {
@@ -109,8 +109,8 @@
 	return name
 }
 
-// over waits until the plan is over.
-func (r *run) over(at string) {
+// planOver waits until the plan is over.
+func (r *run) planOver(at string) {
 	r.T.Helper()
 	require.Eventually(r.T, func() bool {
 		s := r.status(at)
@@ -118,8 +118,8 @@
 	}, testbed.FleetPatience, testbed.Turn, "the plan ends")
 }
 
-// do is a command that must go well, once the record has a leader.
-func (r *run) do(at string, args ...string) {
+// execute is a command that must go well, once the record has a leader.
+func (r *run) execute(at string, args ...string) {
 	r.T.Helper()
 	var out string
 	var status int
@@ -141,7 +141,7 @@
 	require.Contains(t, out, "no plan")
 	wish := "machines = [\"db-0\", \"db-1\", \"db-2\"]\nfresh = 1\n"
 	r.start("n1", wish)
-	out, status = r.works("n2", "start", r.wish(wish))
+	out, status = r.works("n2", "start", r.specFile(wish))
 	require.Equal(t, 1, status)
 	require.Contains(t, out, "abort it first")
 	for done := range 3 {
@@ -150,7 +150,7 @@
 			first.Databases[0].Lead(false)
 			r.database(r.status("n0").Plan.HandOver.To).Lead(true)
 		}
-		name := r.freed("n0")
+		name := r.drained("n0")
 		require.Equal(t, done == 2, name == "db-0")
 		db := r.database(name)
 		before := len(db.Got())
@@ -158,10 +158,10 @@
 			r.Serve("while "+name+" is free", r.Names...)
 		}
 		require.Len(t, db.Got(), before, "%s got something while it was free", name)
-		r.do("n2", "end", name)
+		r.execute("n2", "end", name)
 		r.reaches("n0", name, maintenance.Done)
 	}
-	r.over("n0")
+	r.planOver("n0")
 	out, status = r.works("n0", "history")
 	require.Zero(t, status, out)
 	require.Contains(t, out, "has taken over")
@@ -174,7 +174,7 @@
 	gate string
 }
 
-// newHook returns one that ends once let, and the line of [works] that names it.
+// newHook returns one that ends once it may, and the line of [works] that names it.
 func newHook(t *testing.T) (h hook, line string) {
 	dir := t.TempDir()
 	h = hook{t, filepath.Join(dir, "calls"), filepath.Join(dir, "gate")}
@@ -226,7 +226,7 @@
 	return all
 }
 
-// load asks at all poolers, one statement after the other, until it is told to end; the key of each is the pooler's name.
+// load sends to all poolers, one statement after the other, until the function that it returns is called; the key of each is the pooler's name.
 func (r *run) load() (end func()) {
 	var over atomic.Bool
 	var clients sync.WaitGroup
@@ -282,8 +282,8 @@
 	return all[slices.IndexFunc(all, func(d *testbed.Database) bool { return d.ID == name })]
 }
 
-// kept checks that nothing is broken.
-func (r *run) kept(calls []call) (blind int) {
+// checkKept checks that nothing is broken.
+func (r *run) checkKept(calls []call) (blind int) {
 	blind, why := r.broken(calls)
 	require.Empty(r.T, why)
 	return blind
@@ -317,10 +317,10 @@
 				r.passes(4000)
 			}
 			r.Net.Note("the faults are over; %d calls of the hook", len(h.calls()))
-			r.over("n0")
+			r.planOver("n0")
 			end()
 			calls := h.calls()
-			blind := r.kept(calls)
+			blind := r.checkKept(calls)
 			t.Logf("seed %d: %d calls of the hook, %d blind requests", seed, len(calls), blind)
 			require.GreaterOrEqual(t, len(calls), 3)
 		})
