--- /dev/null
+++ b/internal/maintenance/agent/operator.go
@@ -0,0 +1,269 @@
+package agent
+
+import (
+	"cmp"
+	"context"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"capercove/internal/clock"
+	"capercove/internal/config/tables"
+	"capercove/internal/maintenance"
+	"capercove/internal/store"
+)
+
+const (
+	callTimeout   = 2 * time.Second        // of a call of a pooler or of the record
+	evidenceWait  = 5 * time.Second        // for evidence by which a plan can be done
+	watchInterval = 500 * time.Millisecond // of status --watch
+	changeRetries = 20                     // of a change where another's came first
+)
+
+// Exit statuses of the commands.
+const (
+	statusDone        = 0
+	statusNotPossible = 1
+	statusNoAnswer    = 2
+)
+
+// The commands that are not maintenance.Commands.
+const (
+	commandPlan    = "plan"
+	commandStart   = "start"
+	commandStatus  = "status"
+	commandHistory = "history"
+)
+
+// commands are all that there are.
+var commands = []string{
+	commandPlan, commandStart, commandStatus, commandHistory,
+	string(maintenance.Pause), string(maintenance.Resume), string(maintenance.AbortPlan),
+	string(maintenance.SkipMachine), string(maintenance.BeginWork), string(maintenance.EndWork),
+	string(maintenance.ForgetPooler),
+}
+
+// invocation is a command line.
+type invocation struct {
+	command string
+	name    string // of a file, machine or pooler, if the command takes one
+	address string // management address of a pooler
+	asJSON  bool
+	watch   bool
+}
+
+// parseInvocation parses a command line; false: it is none.
+func parseInvocation(args []string) (parsed invocation, ok bool) {
+	flags := flag.NewFlagSet("works", flag.ContinueOnError)
+	flags.SetOutput(io.Discard)
+	asJSON, watch := flags.Bool("json", false, ""), flags.Bool("watch", false, "")
+	if len(args) == 0 || flags.Parse(args[1:]) != nil || !slices.Contains(commands, args[0]) {
+		return parsed, false
+	}
+	parsed = invocation{command: args[0], asJSON: *asJSON, watch: *watch}
+	rest := flags.Args()
+	takesFile := parsed.command == commandPlan || parsed.command == commandStart
+	if takesFile || maintenance.Command(parsed.command).OfMachine() {
+		if len(rest) == 0 {
+			return parsed, false
+		}
+		parsed.name, rest = rest[0], rest[1:]
+	}
+	if len(rest) != 1 {
+		return parsed, false
+	}
+	parsed.address = rest[0]
+	return parsed, true
+}
+
+// Command runs a command of operators and prints the result. The status is 0, 1 where it cannot be done, or 2 where
+// no pooler answers; ok is false for what is no command.
+func Command(args []string, out io.Writer) (status int, ok bool) {
+	parsed, ok := parseInvocation(args)
+	if !ok {
+		return statusDone, false
+	}
+	o := &operator{address: parsed.address, out: out}
+	if err := o.readOverview(0); err != nil {
+		o.println(err)
+		return statusNoAnswer, true
+	}
+	o.client = store.NewClient(o.overview.Record, callTimeout, nil)
+	if parsed.command == commandStatus {
+		return o.status(parsed.asJSON, parsed.watch), true
+	}
+	if err := o.run(parsed); err != nil {
+		o.println(err)
+		return statusNotPossible, true
+	}
+	return statusDone, true
+}
+
+// operator calls a pooler and the record for a command.
+type operator struct {
+	address  string
+	client   *store.Client
+	overview Overview // of the pooler, as last read
+	out      io.Writer
+}
+
+// run runs any command but status.
+func (o *operator) run(parsed invocation) error {
+	switch parsed.command {
+	case commandPlan:
+		_, err := o.plan(parsed.name)
+		return err
+	case commandStart:
+		return o.start(parsed.name)
+	case commandHistory:
+		return o.history(parsed.asJSON)
+	}
+	return o.change(func(record maintenance.Record, wall time.Duration) (maintenance.Proposal, error) {
+		command := maintenance.Command(parsed.command)
+		return maintenance.Execute(wall, record, command, parsed.name, operatorName())
+	})
+}
+
+// operatorName names the operator, for the history.
+func operatorName() string { return cmp.Or(os.Getenv("USER"), "an operator") }
+
+// readOverview asks the pooler what it sees. Capacity is how many requests a second one database can do.
+func (o *operator) readOverview(capacity float64) error {
+	url := "http://" + o.address + "/works?bears=" + strconv.FormatFloat(capacity, 'g', -1, 64)
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, http.NoBody)
+	if err != nil {
+		return err
+	}
+	response, err := (&http.Client{Timeout: callTimeout}).Do(request)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = response.Body.Close() }() // nothing more is read of it
+	if response.StatusCode != http.StatusOK {
+		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxHookOutput))
+		return fmt.Errorf("%s: %s", o.address, strings.TrimSpace(string(reason)))
+	}
+	return json.NewDecoder(response.Body).Decode(&o.overview)
+}
+
+// readRecord reads the record as a majority holds it.
+func (o *operator) readRecord() (maintenance.Record, error) {
+	read, err := o.client.Read(context.Background(), maintenance.KeyPrefix)
+	if err != nil {
+		return maintenance.Record{}, fmt.Errorf("the record has no majority, or cannot be reached: %w", err)
+	}
+	return parse(read.Values)
+}
+
+// decision makes a proposal of the record, given the Unix time.
+type decision func(record maintenance.Record, wall time.Duration) (maintenance.Proposal, error)
+
+// change makes a change of the record, anew where another's came first.
+func (o *operator) change(decide decision) error {
+	id := fmt.Sprintf("works/operator/%d/%016x", os.Getpid(), rand.Uint64())
+	for attempt := range changeRetries {
+		record, err := o.readRecord()
+		if err != nil {
+			return err
+		}
+		proposal, err := decide(record, wallClock())
+		if err != nil {
+			return err
+		}
+		revisions, set, deleted := proposal.Change(record)
+		if revisions == nil {
+			return nil
+		}
+		change := store.Change{ID: fmt.Sprint(id, "/", attempt), If: revisions, Set: set, Delete: deleted}
+		outcome, err := o.client.Change(context.Background(), change)
+		if err != nil { // once more, under the same ID: it is applied once
+			outcome, err = o.client.Change(context.Background(), change)
+		}
+		if err != nil {
+			return fmt.Errorf("it is not known whether it was agreed on: %w", err)
+		}
+		if outcome.Applied {
+			for _, entry := range proposal.History {
+				o.println(strings.TrimSpace(entry.Machine + " " + entry.Text))
+			}
+			return nil
+		}
+	}
+	return errors.New("others change the plan all the time")
+}
+
+// plan prints the dry run of the plan in a file, and returns its specification. It waits for evidence, which comes
+// in as overviews are read.
+func (o *operator) plan(path string) (spec maintenance.PlanSpec, err error) {
+	spec, err = readSpec(path)
+	if err == nil {
+		err = spec.Check(nil)
+	}
+	if err != nil {
+		return spec, err
+	}
+	for begun := time.Now(); ; time.Sleep(leaderInterval) {
+		if err := o.readOverview(spec.Capacity); err != nil {
+			return spec, err
+		}
+		order, err := dryRun(spec, o.overview.Look)
+		if err == nil {
+			o.printOrder(order)
+			return spec, nil
+		}
+		if time.Since(begun) > evidenceWait {
+			o.printOrder(order)
+			return spec, fmt.Errorf("%s: %w", path, err)
+		}
+	}
+}
+
+// dryRun checks a specification and plays it through.
+func dryRun(spec maintenance.PlanSpec, snapshot maintenance.Snapshot) ([]maintenance.DryRunStep, error) {
+	if err := spec.Check(snapshot.Machines); err != nil {
+		return nil, err
+	}
+	return maintenance.DryRun(spec, snapshot)
+}
+
+// start prints the dry run of the plan in a file, and hands in the plan.
+func (o *operator) start(path string) error {
+	spec, err := o.plan(path)
+	if err != nil {
+		return err
+	}
+	id := planID(clock.Wall())
+	return o.change(func(record maintenance.Record, wall time.Duration) (maintenance.Proposal, error) {
+		return maintenance.Start(wall, record, id, operatorName(), spec, o.overview.Look)
+	})
+}
+
+// planID returns a name for a plan that begins now: the time is for people, and no other plan has the number,
+// whatever the clock says and whichever machine a plan is started from.
+func planID(now time.Time) string {
+	return fmt.Sprintf("%s-%08x", now.UTC().Format("20060102T150405"), rand.Uint32())
+}
+
+// readSpec reads a file with a plan's specification. Errors name the line and the key.
+func readSpec(path string) (spec maintenance.PlanSpec, err error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return spec, err
+	}
+	decoder := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
+	if err := decoder.Decode(&spec); err != nil {
+		return spec, tables.Located(path, err)
+	}
+	return spec, nil
+}
--- a/internal/maintenance/agent/plant_test.go
+++ b/internal/maintenance/agent/plant_test.go
@@ -13,15 +13,16 @@
 	"capercove/internal/testbed"
 )
 
-// Faults that are planted in the program are seen by the databases and the hook: the check that finds nothing in the shipped one is not
-// blind.
+// Faults that are planted in the program are seen by the databases and the hook: the check that finds nothing in the
+// shipped program does find faults.
 func TestPlantedFaults(t *testing.T) {
 	const two = "machines = [\"db-1\", \"db-2\"]\nfresh = 1\ngo_on = true\n"
 	for what, f := range map[string]struct {
 		edits []testbed.Edit
 		play  func(t *testing.T, r *run, h hook)
 	}{
-		"the lease does not bind": {[]testbed.Edit{{File: "internal/maintenance/reader.go", Old: "case now < p.LeaseEnd():", New: "case p.known || now < p.LeaseEnd():"}},
+		"the lease does not bind": {
+			[]testbed.Edit{{File: "internal/maintenance/follower.go", Old: "case now < f.LeaseEnd():", New: "case f.known || now < f.LeaseEnd():"}},
 			func(t *testing.T, r *run, h hook) { // one is cut off, and what it does not hear of is worked on
 				one := r.other(r.leader())
 				r.start("n3", two)
@@ -43,10 +44,14 @@
 					})
 				}, "the one that is cut off sends to what is worked on")
 				h.open()
-			}},
-		"a restart is forgotten": {[]testbed.Edit{{File: "internal/maintenance/agent/agent.go", Old: "return core.Blocks{All: true, ", New: "return core.Blocks{"},
-			{File: "internal/maintenance/agent/agent.go", Old: "off := core.Blocks{All: !d.reader.Known(), ", New: "off := core.Blocks{"},
-			{File: "internal/maintenance/reader.go", Old: "return p.known, false //", New: "return true, false //"}},
+			},
+		},
+		"a restart is forgotten": {
+			[]testbed.Edit{
+				{File: "internal/maintenance/agent/agent.go", Old: "return core.Blocks{All: true, ", New: "return core.Blocks{"},
+				{File: "internal/maintenance/agent/blocks.go", Old: "blocks := core.Blocks{All: !a.follower.Known(), ", New: "blocks := core.Blocks{"},
+				{File: "internal/maintenance/follower.go", Old: "return f.known, false //", New: "return true, false //"},
+			},
 			func(t *testing.T, r *run, h hook) { // one that had said that it stopped comes back, and reads nothing
 				r.start("n0", two)
 				h.began(1)
@@ -56,18 +61,21 @@
 				r.passes(2000)
 				r.Net.Heal()
 				h.open()
-			}},
-		"work can be given up": {[]testbed.Edit{{File: "internal/maintenance/step.go", Old: "case s.State == InMaintenance: // Somebody", New: "case false: // Somebody"}},
+			},
+		},
+		"work can be given up": {
+			[]testbed.Edit{{File: "internal/maintenance/step.go", Old: "case s.State == InMaintenance: // The machine", New: "case false: // The machine"}},
 			func(t *testing.T, r *run, h hook) { // and is begun again while it still goes on
 				r.start("n0", two)
 				h.began(1)
-				r.do("n1", "abort")
-				r.over("n1")
+				r.execute("n1", "abort")
+				r.planOver("n1")
 				r.eventually(func() bool { return r.state("n1", "db-1") == maintenance.RolledBack }, "it is given up")
 				r.start("n0", two)
 				h.began(2)
 				h.open()
-			}},
+			},
+		},
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
@@ -85,12 +93,14 @@
 	}
 }
 
-// The clocks of two poolers are two minutes before and behind the others': the fleet's view turns down what they say, the record knows
-// them, and the plan ends with nothing broken.
+// The clocks of two poolers are two minutes ahead of and behind the others': membership rejects what they report, the
+// record knows them, and the plan ends with nothing broken.
 func TestClocks(t *testing.T) {
 	t.Parallel()
-	program := testbed.Variant(t, testbed.Edit{File: "internal/clock/clock.go", Old: "epoch := time.Duration(start.UnixNano())",
-		New: "offset, _ := time.ParseDuration(os.Getenv(\"CLOCK_OFFSET\"))\n\tepoch := time.Duration(start.UnixNano()) + offset"})
+	program := testbed.Variant(t, testbed.Edit{
+		File: "internal/clock/clock.go", Old: "epoch := time.Duration(start.UnixNano())",
+		New: "offset, _ := time.ParseDuration(os.Getenv(\"CLOCK_OFFSET\"))\n\tepoch := time.Duration(start.UnixNano()) + offset",
+	})
 	h, line := newHook(t)
 	h.open()
 	f := testbed.NewWorks(t, 21, 4, quick+line, warmSoon)
@@ -108,9 +118,9 @@
 	r.eventually(func() bool { return !h.calls()[0].to.IsZero() }, "the hook ends")
 	r.Restart(first)
 	if r.state("n3", "db-1") == maintenance.InMaintenance { // who called the hook could not write that it ended
-		r.do("n3", "end", "db-1")
+		r.execute("n3", "end", "db-1")
 	}
-	r.over("n3")
+	r.planOver("n3")
 	end()
-	require.Zero(t, r.kept(h.calls()))
+	require.Zero(t, r.checkKept(h.calls()))
 }
--- /dev/null
+++ b/internal/maintenance/agent/watch.go
@@ -0,0 +1,81 @@
+package agent
+
+import (
+	"context"
+	"encoding/json"
+	"maps"
+
+	"capercove/internal/maintenance"
+	"capercove/internal/store"
+)
+
+// watch follows what is agreed, as soon as any store that it reaches knows it.
+func (a *Agent) watch(ctx context.Context) {
+	for ctx.Err() == nil {
+		a.mu.Lock()
+		after := a.revision
+		a.mu.Unlock()
+		changes, err := a.pooler.Client.Watch(ctx, maintenance.FollowedPrefix, after, watchTimeout)
+		if err != nil {
+			sleep(ctx, retryPause)
+			continue
+		}
+		if a.observeChanges(after, changes) {
+			signal(a.wake)
+		} else {
+			sleep(ctx, activeInterval)
+		}
+	}
+}
+
+// observeChanges takes in what a watch has brought; false: it is left to renewLease. A plan that is new has to be
+// read with its lease: what it lists would be blocked until then.
+func (a *Agent) observeChanges(after uint64, changes store.Changes) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if changes.Revision <= a.revision || after != a.revision && !changes.Whole { // renewLease was faster
+		return true
+	}
+	values := maps.Clone(a.values)
+	if changes.Whole {
+		clear(values)
+	}
+	maps.Copy(values, changes.Values)
+	for _, key := range changes.Deleted {
+		delete(values, key)
+	}
+	record, err := parse(values)
+	if err == nil && record.Plan.Active() && record.Plan.ID != a.record.Plan.ID {
+		a.active.Store(true)
+		return false
+	}
+	if a.takeIn(values, changes.Revision) {
+		a.follower.Observe(a.revision, a.record.PlanSteps())
+	}
+	return true
+}
+
+// takeIn takes in the values under maintenance.FollowedPrefix; mu is held. Values that cannot be read change
+// nothing: the lease runs out.
+func (a *Agent) takeIn(values map[string]store.Value, revision uint64) bool {
+	record, err := parse(values)
+	if err != nil {
+		if err.Error() != a.unreadable {
+			a.unreadable = err.Error()
+			a.pooler.Log.Error().Err(err).Msg("maintenance: the record cannot be read")
+		}
+		return false
+	}
+	a.values, a.revision, a.record, a.unreadable = values, revision, record, ""
+	a.active.Store(record.Plan.Active())
+	return true
+}
+
+// parse reads values of the store as a record.
+func parse(values map[string]store.Value) (maintenance.Record, error) {
+	texts, revisions := map[string]json.RawMessage{}, map[string]uint64{}
+	for key, value := range values {
+		texts[key], revisions[key] = value.Value, value.Revision
+	}
+	return maintenance.Parse(texts, revisions)
+}
--- /dev/null
+++ b/internal/maintenance/commands.go
@@ -0,0 +1,136 @@
+package maintenance
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"time"
+)
+
+// Start hands in a plan. Its machines are ordered as the dry run has them. A repeated call with the same ID changes
+// nothing. The error says why the plan cannot be started.
+func Start(
+	wall time.Duration, record Record, id, operator string, spec PlanSpec, snapshot Snapshot,
+) (proposal Proposal, err error) {
+	if record.Plan.ID == id {
+		return proposal, nil
+	}
+	if record.Plan.Active() {
+		const text = "plan %s is %s: abort it first, or wait for its end"
+		return proposal, fmt.Errorf(text, record.Plan.ID, record.Plan.State)
+	}
+	if err := spec.Check(snapshot.Machines); err != nil {
+		return proposal, err
+	}
+	order, err := DryRun(spec, snapshot)
+	if err != nil {
+		return proposal, err
+	}
+	spec.Machines = nil
+	proposal.Steps = map[string]Step{}
+	for _, step := range order {
+		spec.Machines = append(spec.Machines, step.Machine)
+		proposal.Steps[step.Machine] = Step{Machine: step.Machine}
+	}
+	for name := range record.Steps {
+		if _, again := proposal.Steps[name]; !again {
+			proposal.Drop = append(proposal.Drop, name)
+		}
+	}
+	proposal.Plan = &Plan{ID: id, Spec: spec, State: Running, Number: record.Plan.Number}
+	proposal.addHistory(operator, wall, "", 0, "plan %s of %d machines", id, len(order))
+	return proposal, nil
+}
+
+// Command is what operators may do about a plan or one machine of it.
+type Command string
+
+// The commands, by the words that operators type.
+const (
+	Pause        Command = "pause"
+	Resume       Command = "resume"
+	AbortPlan    Command = "abort"
+	SkipMachine  Command = "skip"   // a machine that waits
+	BeginWork    Command = "begin"  // a person works on a machine that is drained
+	EndWork      Command = "end"    // the work is over
+	ForgetPooler Command = "forget" // a pooler that is gone for good, and never left
+)
+
+// OfMachine tells whether the command takes the name of a machine, or of a pooler.
+func (c Command) OfMachine() bool {
+	return slices.Contains([]Command{SkipMachine, BeginWork, EndWork, ForgetPooler}, c)
+}
+
+// Execute returns what a command of an operator changes. Name is of the machine, if the command takes one. The
+// error says why the command cannot be done.
+func Execute(wall time.Duration, record Record, command Command, name, operator string) (Proposal, error) {
+	switch {
+	case command == ForgetPooler:
+		return forgetPooler(wall, record, name, operator)
+	case !record.Plan.Active():
+		return Proposal{}, errors.New("there is no plan")
+	case command.OfMachine():
+		return changeStep(wall, record, command, name, operator)
+	default:
+		return changePlan(wall, record, command, operator)
+	}
+}
+
+// forgetPooler deletes the status of a pooler.
+func forgetPooler(wall time.Duration, record Record, name, operator string) (proposal Proposal, err error) {
+	if _, known := record.Statuses[name]; !known {
+		return proposal, fmt.Errorf("no pooler %q has said anything", name)
+	}
+	proposal.Forget = []string{name}
+	proposal.addHistory(operator, wall, name, 0, "forgotten: it is gone for good")
+	return proposal, nil
+}
+
+// changePlan pauses, resumes or aborts the plan.
+func changePlan(wall time.Duration, record Record, command Command, operator string) (proposal Proposal, err error) {
+	plan := record.Plan
+	switch {
+	case command == Pause && plan.State == Running:
+		plan.State, plan.Why = Paused, "by "+operator
+	case command == Resume && plan.State == Paused:
+		plan.State, plan.Why = Running, ""
+	case command == AbortPlan && plan.State != Aborting:
+		plan.State, plan.Why = Aborting, "by "+operator
+	default:
+		return proposal, fmt.Errorf("the plan is %s", plan.State)
+	}
+	proposal.Plan = &plan
+	proposal.addHistory(operator, wall, "", 0, "%s", plan.State)
+	return proposal, nil
+}
+
+// changeStep skips a machine, or says that a person's work on it begins or has ended. No count of hook calls limits
+// what a person may say.
+func changeStep(
+	wall time.Duration, record Record, command Command, name, operator string,
+) (proposal Proposal, err error) {
+	if !slices.Contains(record.Plan.Spec.Machines, name) {
+		return proposal, fmt.Errorf("the plan has no machine %q", name)
+	}
+	step := record.step(name)
+	before := step.State
+	progress := &progress{step: step, now: wall, rules: Rules{Calls: math.MaxInt}}
+	done := false
+	switch command {
+	case SkipMachine:
+		done = progress.apply(Event{Kind: Skip})
+	case BeginWork:
+		done = before == Drained && progress.apply(Event{Kind: HookStarted})
+	case EndWork:
+		if before == Drained {
+			progress.apply(Event{Kind: HookStarted})
+		}
+		done = progress.apply(Event{Kind: HookFinished, OK: true})
+	}
+	if !done {
+		return proposal, fmt.Errorf("%s is %s", name, before)
+	}
+	proposal.putStep(operator, wall, before, progress.step, "")
+	return proposal, nil
+}
--- /dev/null
+++ b/internal/maintenance/dryrun.go
@@ -0,0 +1,63 @@
+package maintenance
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// DryRunStep is one step of a dry run.
+type DryRunStep struct {
+	Machine  string
+	HandOver string  // of a primary: the replica that takes over first
+	Leaves   float64 // what its group could do beyond its load meanwhile
+}
+
+// DryRun plays the plan through as if all went well, one machine after the other, and returns the order. If the
+// plan cannot be done, the error names each machine that is left with its constraint, and the order is as far as
+// the plan goes.
+func DryRun(spec PlanSpec, snapshot Snapshot) (order []DryRunStep, err error) {
+	now := snapshot.clone()
+	states := map[string]State{}
+	for range 2*len(spec.Machines) + 1 {
+		p := &planner{spec: spec, states: states, snapshot: now}
+		switch decision := Decide(spec, states, now); {
+		case decision.Complete:
+			return order, nil
+		case decision.HandOver != Succession{}:
+			from, to := now.Machines[decision.HandOver.From], now.Machines[decision.HandOver.To]
+			from.Primary, from.Fresh, to.Primary = false, true, true
+			order = append(order, DryRunStep{Machine: from.Name, HandOver: to.Name, Leaves: p.spare(from)})
+			states[from.Name] = Done // it was the last of its group
+		case decision.Take != "":
+			machine := now.Machines[decision.Take]
+			order = append(order, DryRunStep{Machine: machine.Name, Leaves: p.spare(machine)})
+			states[machine.Name] = Done
+		default:
+			return order, notPossible(spec, decision.Reasons)
+		}
+	}
+	return order, errors.New("the plan does not end") // a fault of this program
+}
+
+// clone returns a copy whose machines can be changed.
+func (s Snapshot) clone() Snapshot {
+	copied := Snapshot{Machines: map[string]*Machine{}, Load: s.Load}
+	for name, machine := range s.Machines {
+		value := *machine
+		copied.Machines[name] = &value
+	}
+	return copied
+}
+
+// notPossible is the error that names the constraint of each machine that is left.
+func notPossible(spec PlanSpec, reasons map[string]string) error {
+	var lines []string
+	for _, name := range spec.Machines {
+		if reason := reasons[name]; reason != "" {
+			lines = append(lines, name+": "+reason)
+		}
+	}
+	all := strings.Join(lines, "; ")
+	return fmt.Errorf("%d of %d machines cannot be taken: %s", len(lines), len(spec.Machines), all)
+}
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -28,7 +28,7 @@
 }
 
 // Replicas go before their primary, which hands over to one whose own work is done.
-func TestOrder(t *testing.T) {
+func TestDryRunOrder(t *testing.T) {
 	look := Snapshot{Machines: groupOf(1, "a", 3), Load: map[int]float64{1: 1}}
 	order, err := DryRun(PlanSpec{Machines: []string{"a0", "a1", "a2"}, Fresh: 1}, look)
 	require.NoError(t, err)
@@ -53,7 +53,7 @@
 }
 
 // Each constraint is named where it forbids, and what can be done all the same is the nearest order.
-func TestForbidden(t *testing.T) {
+func TestConstraints(t *testing.T) {
 	for what, c := range map[string]struct {
 		change func(w *PlanSpec, l *Snapshot)
 		why    string
@@ -86,8 +86,9 @@
 	require.Empty(t, order)
 }
 
-// While one is out its sibling dies: nothing further is taken, and the one that is out is asked back, one that is not at work first.
-func TestAskedBack(t *testing.T) {
+// While one is out another of its group fails: nothing further is taken, and one that is out is put back, rather one that
+// is not in maintenance.
+func TestPutBack(t *testing.T) {
 	look := Snapshot{Machines: groupOf(1, "a", 5), Load: map[int]float64{1: 2.5}}
 	w := PlanSpec{Machines: []string{"a1", "a2", "a3"}, PerGroup: 2, PerZone: 2, InAll: 2}
 	at := map[string]State{"a1": InMaintenance, "a2": Drained}
@@ -113,8 +114,10 @@
 			load[g] = float64(n-2) * random.Float64()
 		}
 		all := slices.Sorted(maps.Keys(machines))
-		w := PlanSpec{Machines: slices.Clone(all), PerGroup: 1 + random.IntN(2), PerZone: 1 + random.IntN(3), InAll: 1 + random.IntN(4), Fresh: 1,
-			Margin: random.Float64() / 10}
+		w := PlanSpec{
+			Machines: slices.Clone(all), PerGroup: 1 + random.IntN(2), PerZone: 1 + random.IntN(3), InAll: 1 + random.IntN(4), Fresh: 1,
+			Margin: random.Float64() / 10,
+		}
 		random.Shuffle(len(w.Machines), func(i, j int) { w.Machines[i], w.Machines[j] = w.Machines[j], w.Machines[i] })
 		at, dead := map[string]State{}, map[string]bool{}
 		lead := func(from, to *Machine) { from.Primary, from.Fresh, to.Primary, to.Fresh = false, true, true, false }
@@ -122,8 +125,8 @@
 			look := Snapshot{Machines: machines, Load: load}
 			d := Decide(w, at, look)
 			require.Equal(t, d, Decide(w, at, look), "seed %d", seed)
-			if d.HandOver[0] != "" {
-				lead(machines[d.HandOver[0]], machines[d.HandOver[1]])
+			if d.HandOver.From != "" {
+				lead(machines[d.HandOver.From], machines[d.HandOver.To])
 			}
 			if m := machines[d.Take]; m != nil {
 				before := map[string]State{}
@@ -132,7 +135,7 @@
 				p := &planner{w, at, look}
 				out, group, fresh := 0, 0, 0
 				for _, o := range machines {
-					if p.out(o) {
+					if p.unavailable(o) {
 						out++
 						if o.Group == m.Group {
 							group++
@@ -178,7 +181,7 @@
 	}
 }
 
-func TestWishCheck(t *testing.T) {
+func TestPlanSpecCheck(t *testing.T) {
 	known := groupOf(1, "a", 3)
 	good := PlanSpec{Machines: []string{"a0"}}
 	require.NoError(t, good.Check(known))
