--- a/internal/membership/talk.go
+++ b/internal/membership/disseminator.go
@@ -56,10 +56,6 @@
 	return &Disseminator{View: v, Publisher: a, bounds: b, random: random}
 }
 
-// size is about what an entry takes on the wire.
-func (f Fact) size() int { return len(f.Owner) + len(f.Key.Subject) + len(f.Value) + 32 }
-func (e End) size() int  { return len(e.Owner) + 24 }
-
 // Receive takes in what a peer tells. What is new is told on; what tells of the pooler itself is refuted.
 func (t *Disseminator) Receive(now time.Duration, d Delta) {
 	t.tell(t.View.Merge(now, d))
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -7,73 +7,12 @@
 	"bytes"
 	"cmp"
 	"encoding/binary"
-	"fmt"
 	"hash/fnv"
 	"maps"
 	"slices"
 	"time"
 )
 
-// Kind tells what a fact is of.
-type Kind uint8
-
-const (
-	OfPooler   Kind = iota // of its owner; it has no subject
-	OfDatabase             // what its owner observes of the database that is the subject
-)
-
-// Key names a fact among its owner's.
-type Key struct {
-	Kind    Kind
-	Subject string // a database's id
-}
-
-// Fact is one thing that its owner says. The owner alone makes facts of its own, each with a higher sequence than all before it
-// in the same incarnation.
-type Fact struct {
-	Owner       string // a pooler's name
-	Incarnation uint64 // of the owner: higher after each restart, as it begins with the Unix time in milliseconds
-	Sequence    uint64
-	Key         Key
-	At          time.Duration // since the Unix epoch, on the owner's clock
-	Value       []byte        // opaque here
-}
-
-// End says that an incarnation of a pooler, and all before it, are gone.
-type End struct {
-	Owner       string
-	Incarnation uint64
-	At          time.Duration // when it was found, on the clock of who found it
-	Left        bool          // it said so itself; otherwise it was found not to answer
-}
-
-// Delta is what one pooler tells another.
-type Delta struct {
-	Facts []Fact
-	Ends  []End
-}
-
-// Empty tells whether there is nothing in it.
-func (d Delta) Empty() bool { return len(d.Facts)+len(d.Ends) == 0 }
-
-// Bounds are what a view holds and takes in.
-type Bounds struct {
-	Owners    int           // poolers that are remembered, gone ones included
-	Published int           // facts that an author says at once
-	Facts     int           // of one owner that are held: as databases come and go, more than it says at once
-	Value     int           // bytes
-	Name      int           // bytes of an owner's or a subject's name
-	Forget    time.Duration // facts older than this are not taken in, and an end is remembered for twice as long
-	Ahead     time.Duration // nor are those further in the future
-	Between   time.Duration // an owner says each fact again this often at the latest; a fraction of Forget
-}
-
-// DefaultBounds are for some 300 poolers and 120 databases.
-func DefaultBounds() Bounds {
-	return Bounds{Owners: 1024, Published: 256, Facts: 1024, Value: 512, Name: 128, Forget: 10 * time.Minute, Ahead: time.Minute,
-		Between: 2 * time.Minute}
-}
-
 // owner is what is known of one pooler: of its highest incarnation alone. In order: a higher incarnation is above a lower one,
 // and within one its end is above all that it has said.
 type owner struct {
@@ -163,18 +102,6 @@
 	return true
 }
 
-// ahead tells whether what was said at a time by an incarnation is of the future. A refuted end makes an incarnation a little
-// higher than its start.
-func (b Bounds) ahead(now, at time.Duration, incarnation uint64) bool {
-	return at > now+b.Ahead || incarnation > uint64((now+2*b.Ahead).Milliseconds())
-}
-
-// above orders facts of one owner, incarnation and key. An owner makes no two with one sequence; if one does, as when two
-// processes bear its name, the larger text stands, at every pooler alike.
-func above(f, had Fact) bool {
-	return cmp.Or(cmp.Compare(f.Sequence, had.Sequence), cmp.Compare(f.At, had.At), bytes.Compare(f.Value, had.Value)) > 0
-}
-
 // end takes in the end of an incarnation and tells whether it was new.
 func (v *View) end(now time.Duration, e End) bool {
 	switch {
@@ -366,13 +293,6 @@
 	return d
 }
 
-func (f Fact) hash() uint64 {
-	h := fnv.New64a()
-	fmt.Fprintf(h, "%q %d %d %d %q %d ", f.Owner, f.Incarnation, f.Sequence, f.Key.Kind, f.Key.Subject, f.At)
-	h.Write(f.Value)
-	return spread(h.Sum64())
-}
-
 // end is that of a pooler that is gone.
 func (o *owner) end(name string) End {
 	return End{Owner: name, Incarnation: o.incarnation, At: o.at, Left: o.left}
@@ -387,77 +307,3 @@
 	h.Write(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(text, o.incarnation), uint64(o.at)))
 	return spread(h.Sum64())
 }
-
-// spread makes sums of hashes as good as hashes: FNV's last bytes move its low bits alone.
-func spread(x uint64) uint64 {
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
-}
-
-// Publisher makes the facts of one pooler.
-type Publisher struct {
-	name        string
-	incarnation uint64
-	sequence    uint64
-	said        map[Key]Fact
-	bounds      Bounds
-}
-
-// NewPublisher returns the author of an incarnation, which must be higher than all that were known of the name.
-func NewPublisher(name string, incarnation uint64, b Bounds) *Publisher {
-	return &Publisher{name: name, incarnation: incarnation, said: map[Key]Fact{}, bounds: b}
-}
-
-// Incarnation is the author's.
-func (a *Publisher) Incarnation() uint64 { return a.incarnation }
-
-// Publish returns the facts that are to be told on: of these values those that have changed, or are to be said again so
-// that nobody forgets them. What is left out of the values is no longer said, and forgotten in time.
-func (a *Publisher) Publish(now time.Duration, values map[Key][]byte) (d Delta) {
-	maps.DeleteFunc(a.said, func(key Key, _ Fact) bool { _, still := values[key]; return !still })
-	keys := slices.SortedFunc(maps.Keys(values), func(x, y Key) int {
-		return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.Subject, y.Subject))
-	})
-	for _, key := range keys[:min(len(keys), a.bounds.Published)] {
-		had, said := a.said[key]
-		if said && bytes.Equal(had.Value, values[key]) && now-had.At < a.bounds.Between {
-			continue
-		}
-		a.sequence++
-		f := Fact{Owner: a.name, Incarnation: a.incarnation, Sequence: a.sequence, Key: key, At: now, Value: bytes.Clone(values[key])}
-		a.said[key] = f
-		d.Facts = append(d.Facts, f)
-	}
-	return d
-}
-
-// Leave is the author's word that it ends. Nothing is to be said or refuted after it.
-func (a *Publisher) Leave(now time.Duration) Delta {
-	return Delta{Ends: []End{{Owner: a.name, Incarnation: a.incarnation, At: now, Left: true}}}
-}
-
-// Refute takes in what is told of the author's own name. A pooler that is told of its own end while it lives, or that
-// somebody with a higher incarnation bears its name, goes on with one that is higher still, and says all again: it
-// returns true.
-//
-// What views turn down as of the future it does not answer: one higher still would be turned down as well, and the pooler would
-// never be heard again.
-func (a *Publisher) Refute(now time.Duration, d Delta) bool {
-	highest, wrong := a.incarnation, false
-	for _, e := range d.Ends {
-		if e.Owner == a.name && e.Incarnation >= a.incarnation && !a.bounds.ahead(now, e.At, e.Incarnation) {
-			highest, wrong = max(highest, e.Incarnation), true
-		}
-	}
-	for _, f := range d.Facts {
-		if f.Owner == a.name && f.Incarnation > a.incarnation && !a.bounds.ahead(now, f.At, f.Incarnation) {
-			highest, wrong = max(highest, f.Incarnation), true
-		}
-	}
-	if wrong {
-		a.incarnation, a.sequence = highest+1, 0
-		clear(a.said)
-	}
-	return wrong
-}
