--- a/internal/membership/advisor.go
+++ b/internal/membership/advisor.go
@@ -6,122 +6,139 @@
 	"time"
 )
 
-// Uses are what a pooler does with the view. Each stands alone, and none replaces what the pooler knows by itself.
+// Uses are the purposes for which a pooler uses the view. They are independent of each other, and none of them replaces
+// what the pooler knows by itself. The zero value uses it for nothing.
 type Uses struct {
-	Count       bool `toml:"count"`       // the live poolers are counted, in place of the number in the settings
-	Suspicion   bool `toml:"doubt"`       // a database that others doubt, or say leads, is asked
-	Connections int  `toml:"connections"` // idle ones that all poolers together keep to one database; 0: each as many as ever
+	Count       bool `toml:"count"`       // count the live poolers, in place of the number in the settings
+	Suspicion   bool `toml:"doubt"`       // probe databases that others report as bad, or as a primary
+	Connections int  `toml:"connections"` // idle ones of all poolers together to one database; 0: no common limit
 }
 
-// AdvisorBounds are the times and counts of the uses.
+// AdvisorBounds are the times and counts by which an Advisor decides.
 type AdvisorBounds struct {
-	Stands  time.Duration // a lower count of poolers is believed once it has stood for so long
-	Turn    time.Duration // poolers ask a database that is doubted one after the other, so far apart
-	Turns   time.Duration // ... and all of them within this
-	Again   time.Duration // a pooler asks a database twice, and twice more after so long
-	Askings int           // databases that are asked in one step
-	Least   int           // poolers whose word it takes: one may be the only one that is cut off
+	StableFor     time.Duration // a lower count of poolers is used once it has been stable for this long
+	TurnInterval  time.Duration // poolers probe a suspected database one after the other, at this interval
+	AllTurns      time.Duration // within which all poolers have their turn, however many there are
+	RetryInterval time.Duration // a pooler probes a suspected database twice, and twice more at this interval
+	ProbesPerStep int           // databases that are probed in one step
+	MinSuspecting int           // poolers that must report a database as bad: a single one may be cut off itself
 }
 
-// DefaultAdvisorBounds is for periods of 200 ms.
+// DefaultAdvisorBounds returns bounds for periods of 200 ms.
 func DefaultAdvisorBounds() AdvisorBounds {
-	return AdvisorBounds{Stands: 10 * time.Second, Turn: 50 * time.Millisecond, Turns: time.Second, Again: 2 * time.Second, Askings: 4,
-		Least: 2}
+	return AdvisorBounds{
+		StableFor:     10 * time.Second,
+		TurnInterval:  50 * time.Millisecond,
+		AllTurns:      time.Second,
+		RetryInterval: 2 * time.Second,
+		ProbesPerStep: 4,
+		MinSuspecting: 2,
+	}
 }
 
-// Hints is what the view comes down to for the pooler that holds it. The zero value changes nothing.
+// Hints are what a pooler should do by the view. The zero value changes nothing.
 type Hints struct {
-	Routers int            // that share the databases; 0: as many as the settings say
-	Ask     []string       // databases to probe now
-	Idle    map[string]int // idle connections that may be kept to each database; nil: as many as ever
+	Routers         int            // that share the databases; 0: as many as the settings say
+	Probe           []string       // databases to probe now
+	IdleConnections map[string]int // that may be kept open, by database; nil: no common limit
+}
+
+// AdvisorCounters count an advisor's decisions.
+type AdvisorCounters struct {
+	Probes     int64 // that it has asked for
+	Suspicions int64 // times a database came under suspicion
 }
 
-// Advisor decides what a pooler does with the view. It is pure: the time and what there is to be seen are handed to it.
+// Advisor decides what a pooler does by the view. It is a deterministic state machine: the time, the view and the
+// pooler's own observations are passed to it. It is not safe for concurrent use.
 type Advisor struct {
-	Count struct{ Asked, Doubts int64 }
+	Counters AdvisorCounters
 
-	name    string
-	uses    Uses
-	bounds  AdvisorBounds
-	routers int // as in the settings
-	counted int // that is believed; 0: all that are known
-	lower   int // a lower one, which has stood since
-	since   time.Duration
-	doubts  map[string]*doubt
-	words   map[string][]PeerObservation // of the last step
+	name         string
+	uses         Uses
+	bounds       AdvisorBounds
+	routers      int // as in the settings
+	believed     int // count of poolers in use; 0: all that are known
+	lowerCount   int // a lower one that has been observed since lowerSince; 0: none
+	lowerSince   time.Duration
+	suspicions   map[string]*suspicion
+	observations map[string][]PeerObservation // of the last step, by database
 }
 
-// NewAdvisor returns one for a pooler of this name, where the settings say that there are so many.
-func NewAdvisor(name string, u Uses, b AdvisorBounds, routers int) *Advisor {
-	return &Advisor{name: name, uses: u, bounds: b, routers: routers, doubts: map[string]*doubt{}}
+// NewAdvisor returns the advisor of the pooler of this name. Routers is the number of poolers in the settings.
+func NewAdvisor(name string, uses Uses, bounds AdvisorBounds, routers int) *Advisor {
+	return &Advisor{name: name, uses: uses, bounds: bounds, routers: routers, suspicions: map[string]*suspicion{}}
 }
 
-// Settings takes in how many poolers the settings say there are.
-func (a *Advisor) Settings(routers int) { a.routers, a.counted, a.lower = routers, 0, 0 }
+// Configure sets the number of poolers in the settings, and forgets the earlier counts.
+func (a *Advisor) Configure(routers int) { a.routers, a.believed, a.lowerCount = routers, 0, 0 }
 
-// Step decides anew. It is called once a period.
-func (a *Advisor) Step(now time.Duration, v *View, sights []LocalObservation) (out Hints) {
-	live := v.Live()
-	a.words = v.Observations()
-	if !slices.Contains(live, a.name) { // nothing has been said yet
+// Step returns the hints of one period.
+func (a *Advisor) Step(now time.Duration, view *View, local []LocalObservation) (hints Hints) {
+	live := view.Live()
+	a.observations = view.Observations()
+	if !slices.Contains(live, a.name) { // This pooler has published nothing yet.
 		return Hints{}
 	}
 	if a.uses.Count {
 		known := len(live)
-		for _, e := range v.Gone() {
-			if !e.Left {
+		for _, end := range view.Gone() {
+			if !end.Left {
 				known++
 			}
 		}
-		out.Routers = a.count(now, len(live), max(known, a.routers))
+		hints.Routers = a.countPoolers(now, len(live), max(known, a.routers))
 	}
 	if a.uses.Connections > 0 {
-		out.Idle = a.idle(max(len(live), cmp.Or(out.Routers, a.routers), 1), live, sights)
+		poolers := max(len(live), cmp.Or(hints.Routers, a.routers), 1)
+		hints.IdleConnections = a.idleQuotas(poolers, live, local)
 	}
 	if a.uses.Suspicion {
-		out.Ask = a.ask(now, live, sights)
+		hints.Probe = a.databasesToProbe(now, live, local)
 	}
-	return out
+	return hints
 }
 
-// count is how many poolers to reckon with, of n that live and known that there are: the settings' number, or with those that went
-// without a word, if more. What each may do is a whole shared by the count, so that a count that is too low is what does harm.
-// One that is higher is believed at once, a lower one once it has stood, and only while it is more than half of those
-// known: of the sides of a cut one at the most is, and the others go on with all that are known.
+// countPoolers returns by how many poolers capacity is to be divided. Live ones are in view; known ones are those of
+// the settings or, if they are more, the live ones and those that failed. Too low a count overloads the databases, too
+// high a count only leaves capacity unused. A higher count is therefore used at once, a lower one after it has been
+// stable, and only while more than half of the known poolers are live: at most one side of a network partition has
+// that majority, and the other side goes on with all that are known.
 //
-// So where the known ones are K, all those that live together have less than twice the whole whatever their views, as each has at
-// most 1/m of it with m > K/2. In a cut into sides of n > K/2 and K-n, each side with its own view, they have n/n + (K-n)/K
-// of it, less than one and a half. Where all see the same n, they have the whole.
-func (a *Advisor) count(now time.Duration, n, known int) int {
+// With K known poolers, this bounds the capacity used by all live poolers together. Whatever their views are, it is
+// less than twice the total, as each uses at most 1/m of it with m > K/2. In a partition into sides of n > K/2 and K-n,
+// each with its own view, it is n/n + (K-n)/K, less than one and a half. With equal views of n, it is the exact total.
+func (a *Advisor) countPoolers(now time.Duration, live, known int) int {
 	switch {
-	case n >= known:
-		a.counted, a.lower = n, 0
-		return n
-	case 2*n <= known: // the smaller side of a cut, or the settings are of another fleet
-		a.counted, a.lower = 0, 0
+	case live >= known:
+		a.believed, a.lowerCount = live, 0
+		return live
+	case 2*live <= known: // The minority side of a partition, or the settings are of another installation.
+		a.believed, a.lowerCount = 0, 0
 		return known
 	}
-	counted := cmp.Or(a.counted, known)
+	believed := cmp.Or(a.believed, known)
 	switch {
-	case n >= counted:
-		a.counted, a.lower = n, 0
-	case a.lower == 0 || n > a.lower: // the highest that it has been since it fell
-		a.lower, a.since = n, now
-	case now-a.since >= a.bounds.Stands:
-		a.counted, a.lower = a.lower, 0
+	case live >= believed:
+		a.believed, a.lowerCount = live, 0
+	case a.lowerCount == 0 || live > a.lowerCount: // The highest count since it became lower.
+		a.lowerCount, a.lowerSince = live, now
+	case now-a.lowerSince >= a.bounds.StableFor:
+		a.believed, a.lowerCount = a.lowerCount, 0
 	}
-	return cmp.Or(a.counted, known)
+	return cmp.Or(a.believed, known)
 }
 
-// idle deals the connections of each database out to n poolers. Where those are all live ones, the whole is dealt, and what is left
-// over of it goes to those who come first by rendezvous hashing: to others for each database.
-func (a *Advisor) idle(n int, live []string, sights []LocalObservation) map[string]int {
-	idle := make(map[string]int, len(sights))
-	for _, s := range sights {
-		idle[s.Database] = a.uses.Connections / n
-		if n == len(live) && rank(s.Database, a.name, live) < a.uses.Connections%n {
-			idle[s.Database]++
+// idleQuotas divides the idle connections to each database among the poolers. If all of them are live, the remainder of
+// the division goes to the first ones by rendezvous hashing, which are others for each database.
+func (a *Advisor) idleQuotas(poolers int, live []string, local []LocalObservation) map[string]int {
+	quotas := make(map[string]int, len(local))
+	share, remainder := a.uses.Connections/poolers, a.uses.Connections%poolers
+	for _, own := range local {
+		quotas[own.Database] = share
+		if poolers == len(live) && rendezvousRank(own.Database, a.name, live) < remainder {
+			quotas[own.Database]++
 		}
 	}
-	return idle
+	return quotas
 }
--- a/internal/membership/advisor_test.go
+++ b/internal/membership/advisor_test.go
@@ -28,7 +28,7 @@
 }
 
 // A higher number counts at once, a lower one once it has stood, and one of half or less not at all; who left is not missed.
-func TestCount(t *testing.T) {
+func TestPoolersAreCounted(t *testing.T) {
 	for _, c := range []struct {
 		what     string
 		settings int
@@ -63,7 +63,7 @@
 
 // Whatever the views are, with everybody in any of them or not, all together have less than twice the whole; in a cut, once
 // each side has its own view, less than one and a half; and seeing the same, not more than the whole.
-func TestCountIsSafe(t *testing.T) {
+func TestCountBoundsUsedCapacity(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 11))
 		k := 1 + random.IntN(40)
@@ -117,7 +117,7 @@
 
 // The connections of a database are dealt out whole where all see the same, and to others for each database; never more than
 // twice in any views.
-func TestIdle(t *testing.T) {
+func TestIdleConnectionsAreDivided(t *testing.T) {
 	var sights []LocalObservation
 	for i := range 20 {
 		sights = append(sights, LocalObservation{Database: fmt.Sprint("db", i)})
@@ -128,7 +128,7 @@
 		sum := 0
 		for i := range 7 {
 			a := NewAdvisor(fmt.Sprint("n", i), Uses{Connections: 24}, DefaultAdvisorBounds(), 7)
-			idle := a.Step(now, v, sights).Idle[s.Database]
+			idle := a.Step(now, v, sights).IdleConnections[s.Database]
 			if idle == 4 {
 				first[fmt.Sprint("n", i)]++
 			}
@@ -138,5 +138,5 @@
 	}
 	require.Len(t, first, 7, "what is left over falls on all")
 	alone := NewAdvisor("n0", Uses{Connections: 24}, DefaultAdvisorBounds(), 7).Step(now, viewOf(1), sights)
-	require.Equal(t, 3, alone.Idle["db0"], "with nobody else in sight, what the settings say")
+	require.Equal(t, 3, alone.IdleConnections["db0"], "with nobody else in sight, what the settings say")
 }
--- a/internal/membership/disseminator.go
+++ b/internal/membership/disseminator.go
@@ -8,136 +8,158 @@
 	"time"
 )
 
-// DisseminatorBounds are how much a pooler says.
+// DisseminatorBounds limit what a pooler sends.
 type DisseminatorBounds struct {
-	Peers      int           // that are told news in one period
-	News       int           // bytes of news for each of them: what a datagram holds
-	Exchange   int           // bytes of one answer to a summary, over a stream
-	Every      time.Duration // a summary is sent to somebody this often
-	Remembered int           // news that wait to be told; beyond that the ones told most often are left to the exchanges
+	Fanout          int           // peers that receive updates in one period
+	UpdateBytes     int           // of updates to one of them: what fits into a datagram
+	AnswerBytes     int           // of the answer to one summary, over a stream
+	SummaryInterval time.Duration // a summary is sent to one peer this often
+	PendingUpdates  int           // updates queued; those sent most often are left to the summaries beyond it
 }
 
-// DefaultDisseminatorBounds is for some 300 poolers and periods of 200 ms.
+// DefaultDisseminatorBounds returns bounds for some 300 poolers and periods of 200 ms.
 func DefaultDisseminatorBounds() DisseminatorBounds {
-	return DisseminatorBounds{Peers: 3, News: 1200, Exchange: 256 << 10, Every: 2 * time.Second, Remembered: 4096}
+	return DisseminatorBounds{
+		Fanout:          3,
+		UpdateBytes:     1200,
+		AnswerBytes:     256 << 10,
+		SummaryInterval: 2 * time.Second,
+		PendingUpdates:  4096,
+	}
 }
 
-// Message is what one pooler sends another.
+// Message is what one pooler sends to another.
 type Message struct {
 	To      string
-	News    Delta
-	Summary map[string]uint64 // asks for what it lacks; nil: asks for nothing
+	Updates Delta
+	Summary map[string]uint64 // requests what the sender lacks; nil: requests nothing
 }
 
-// news is one fact or end that is still told on.
-type news struct {
-	one  Delta
-	size int
-	told int
+// pendingUpdate is one fact or end that is still to be passed on.
+type pendingUpdate struct {
+	delta         Delta
+	size          int
+	transmissions int
 }
 
-// Disseminator decides what a pooler tells whom: news to a few peers a period, each as often as it takes to reach all, and a summary to
-// one peer now and then, so that what was lost is made good and sides of a cut that is over find together. It is pure: the
-// time, the peers and chance are handed to it.
+// Disseminator decides what a pooler sends to whom. It sends each update to a few random peers a period, as often as an
+// epidemic protocol needs to reach all, and now and then a summary to one random peer (anti-entropy), which repairs
+// losses and merges the views of two sides after a network partition. It is a deterministic state machine: the time,
+// the peers and the source of randomness are passed to it. It is not safe for concurrent use.
 type Disseminator struct {
 	View      *View
 	Publisher *Publisher
 
-	bounds DisseminatorBounds
-	random *rand.Rand
-	news   []news
-	asked  time.Duration // when a summary was last sent
-	from   int           // where the next answer to a summary begins
-	left   bool          // the pooler has said that it ends
+	bounds       DisseminatorBounds
+	random       *rand.Rand
+	pending      []pendingUpdate
+	lastSummary  time.Duration // when one was last sent
+	answerOffset int           // where the next answer to a summary begins
+	left         bool          // Leave has been called
 }
 
-// NewDisseminator returns the talk of a pooler that knows nothing yet.
-func NewDisseminator(v *View, a *Publisher, b DisseminatorBounds, random *rand.Rand) *Disseminator {
-	return &Disseminator{View: v, Publisher: a, bounds: b, random: random}
+// NewDisseminator returns a disseminator with nothing to send.
+func NewDisseminator(
+	view *View, publisher *Publisher, bounds DisseminatorBounds, random *rand.Rand,
+) *Disseminator {
+	return &Disseminator{View: view, Publisher: publisher, bounds: bounds, random: random}
 }
 
-// Receive takes in what a peer tells. What is new is told on; what tells of the pooler itself is refuted.
-func (t *Disseminator) Receive(now time.Duration, d Delta) {
-	t.tell(t.View.Merge(now, d))
-	if !t.left {
-		t.Publisher.Refute(now, d) // what it says from then on is said in the next period
+// Receive merges what a peer sent. New entries are passed on; wrong ones about this pooler itself are refuted, in the
+// next period.
+func (d *Disseminator) Receive(now time.Duration, delta Delta) {
+	d.enqueue(d.View.Merge(now, delta))
+	if !d.left {
+		d.Publisher.Refute(now, delta)
 	}
 }
 
-// Leave says that the pooler ends, and returns that for all whom it reaches at once. Nothing else is said from then on.
-func (t *Disseminator) Leave(now time.Duration) Delta {
-	t.left = true
-	d := t.Publisher.Leave(now)
-	t.tell(t.View.Merge(now, d))
-	return d
+// Leave returns the announcement that this pooler ends, for all peers that can be reached at once. Nothing is published
+// after it.
+func (d *Disseminator) Leave(now time.Duration) Delta {
+	d.left = true
+	delta := d.Publisher.Leave(now)
+	d.enqueue(d.View.Merge(now, delta))
+	return delta
 }
 
-func (t *Disseminator) tell(d Delta) {
-	for _, f := range d.Facts {
-		t.news = append(t.news, news{Delta{Facts: []Fact{f}}, f.size(), 0})
+func (d *Disseminator) enqueue(delta Delta) {
+	for _, fact := range delta.Facts {
+		d.pending = append(d.pending, pendingUpdate{delta: Delta{Facts: []Fact{fact}}, size: fact.size()})
 	}
-	for _, e := range d.Ends {
-		t.news = append(t.news, news{Delta{Ends: []End{e}}, e.size(), 0})
+	for _, end := range delta.Ends {
+		d.pending = append(d.pending, pendingUpdate{delta: Delta{Ends: []End{end}}, size: end.size()})
 	}
 }
 
-// Found takes in that the pooler itself has found the present incarnation of another to be gone.
-func (t *Disseminator) Found(now time.Duration, name string) {
-	if incarnation, gone := t.View.Incarnation(name); incarnation > 0 && !gone {
-		t.tell(t.View.Merge(now, Delta{Ends: []End{{Owner: name, Incarnation: incarnation, At: now}}}))
+// MarkFailed records that this pooler has detected the end of another's present incarnation.
+func (d *Disseminator) MarkFailed(now time.Duration, name string) {
+	if incarnation, gone := d.View.Incarnation(name); incarnation > 0 && !gone {
+		d.enqueue(d.View.Merge(now, Delta{Ends: []End{{Owner: name, Incarnation: incarnation, At: now}}}))
 	}
 }
 
-// Period is what is sent in one period: values are what the pooler says of itself and of databases now, peers are those that it
-// may reach.
-func (t *Disseminator) Period(now time.Duration, values map[Key][]byte, peers []string) (out []Message) {
-	if !t.left {
-		t.tell(t.View.Merge(now, t.Publisher.Publish(now, values)))
+// NextMessages returns the messages of one period. Values are what the pooler publishes now, peers those that can be
+// reached.
+func (d *Disseminator) NextMessages(now time.Duration, values map[Key][]byte, peers []string) (messages []Message) {
+	if !d.left {
+		d.enqueue(d.View.Merge(now, d.Publisher.Publish(now, values)))
 	}
 	if len(peers) == 0 {
 		return nil
 	}
-	// Told least first: fresh news goes before what most have heard.
-	slices.SortStableFunc(t.news, func(a, b news) int { return cmp.Compare(a.told, b.told) })
-	t.news = t.news[:min(len(t.news), t.bounds.Remembered)]
-	for _, i := range t.random.Perm(len(peers))[:min(t.bounds.Peers, len(peers))] {
-		m, left := Message{To: peers[i]}, t.bounds.News
-		for k := range t.news {
-			n := &t.news[k]
-			if n.size > left {
-				continue
-			}
-			left -= n.size
-			n.told++
-			m.News.Facts = append(m.News.Facts, n.one.Facts...)
-			m.News.Ends = append(m.News.Ends, n.one.Ends...)
-		}
-		if !m.News.Empty() {
-			out = append(out, m)
+	// Updates that were sent least go first: most poolers have the others already.
+	slices.SortStableFunc(d.pending, func(a, b pendingUpdate) int {
+		return cmp.Compare(a.transmissions, b.transmissions)
+	})
+	d.pending = d.pending[:min(len(d.pending), d.bounds.PendingUpdates)]
+	for _, i := range d.random.Perm(len(peers))[:min(d.bounds.Fanout, len(peers))] {
+		if updates := d.takeUpdates(); !updates.Empty() {
+			messages = append(messages, Message{To: peers[i], Updates: updates})
 		}
 	}
-	often := 2 * bits.Len(uint(len(peers))) // as epidemics go: a few times the logarithm reaches nearly all
-	t.news = slices.DeleteFunc(t.news, func(n news) bool { return n.told >= often })
-	if now-t.asked >= t.bounds.Every {
-		t.asked = now
-		out = append(out, Message{To: peers[t.random.IntN(len(peers))], Summary: t.View.Summary()})
+	enough := transmissionsToReach(len(peers))
+	d.pending = slices.DeleteFunc(d.pending, func(update pendingUpdate) bool { return update.transmissions >= enough })
+	if now-d.lastSummary >= d.bounds.SummaryInterval {
+		d.lastSummary = now
+		messages = append(messages, Message{To: peers[d.random.IntN(len(peers))], Summary: d.View.Summary()})
 	}
-	return out
+	return messages
 }
 
-// Answer is what one with that summary lacks, as much as one answer holds: it begins at another place each time, so that who
-// asks often enough gets all.
-func (t *Disseminator) Answer(summary map[string]uint64) (d Delta) {
-	missing := t.View.Missing(summary)
-	d.Ends = missing.Ends
-	left := t.bounds.Exchange
+// takeUpdates returns as many of the pending updates as fit into one message, and counts their transmission.
+func (d *Disseminator) takeUpdates() (updates Delta) {
+	room := d.bounds.UpdateBytes
+	for i := range d.pending {
+		update := &d.pending[i]
+		if update.size > room {
+			continue
+		}
+		room -= update.size
+		update.transmissions++
+		updates.Facts = append(updates.Facts, update.delta.Facts...)
+		updates.Ends = append(updates.Ends, update.delta.Ends...)
+	}
+	return updates
+}
+
+// transmissionsToReach returns how often each pooler passes an update on. In an epidemic protocol a small multiple of
+// the logarithm of the number of peers reaches nearly all of them.
+func transmissionsToReach(peers int) int { return 2 * bits.Len(uint(peers)) }
+
+// Answer returns what a pooler with that summary lacks, within the bound. Successive answers begin at different places,
+// so that a pooler that asks repeatedly receives everything.
+func (d *Disseminator) Answer(summary map[string]uint64) (answer Delta) {
+	missing := d.View.Missing(summary)
+	answer.Ends = missing.Ends
+	room := d.bounds.AnswerBytes
 	for range len(missing.Facts) {
-		f := missing.Facts[t.from%len(missing.Facts)]
-		if left -= f.size(); left < 0 {
+		fact := missing.Facts[d.answerOffset%len(missing.Facts)]
+		if room -= fact.size(); room < 0 {
 			break
 		}
-		t.from++
-		d.Facts = append(d.Facts, f)
+		d.answerOffset++
+		answer.Facts = append(answer.Facts, fact)
 	}
-	return d
+	return answer
 }
--- a/internal/membership/disseminator_test.go
+++ b/internal/membership/disseminator_test.go
@@ -28,14 +28,16 @@
 }
 
 func newCrowd(seed uint64, n, databases int) *crowd {
-	c := &crowd{now: now, random: rand.New(rand.NewPCG(seed, 3)), all: map[string]*Disseminator{}, values: map[string]map[Key][]byte{},
-		side: map[string]int{}}
+	c := &crowd{
+		now: now, random: rand.New(rand.NewPCG(seed, 3)), all: map[string]*Disseminator{}, values: map[string]map[Key][]byte{},
+		side: map[string]int{},
+	}
 	for i := range n {
 		name := fmt.Sprintf("n%03d", i)
 		c.names = append(c.names, name)
 		c.values[name] = map[Key][]byte{{}: []byte("up")}
 		for j := range databases {
-			c.values[name][Key{OfDatabase, fmt.Sprintf("s-%08x", j)}] = []byte("ok")
+			c.values[name][Key{KindDatabase, fmt.Sprintf("s-%08x", j)}] = []byte("ok")
 		}
 		c.start(name)
 	}
@@ -59,17 +61,17 @@
 		}
 		if s.m.Summary != nil { // over a stream, which loses nothing; the asker hears at once
 			d := to.Answer(s.m.Summary)
-			c.weigh(Message{News: d})
+			c.weigh(Message{Updates: d})
 			if asks := c.all[s.from]; asks != nil {
 				asks.Receive(c.now, d)
 				back := asks.Answer(to.View.Summary())
-				c.weigh(Message{News: back})
+				c.weigh(Message{Updates: back})
 				to.Receive(c.now, back)
 			}
 			continue
 		}
 		if c.random.Float64() >= c.loss {
-			to.Receive(c.now, s.m.News)
+			to.Receive(c.now, s.m.Updates)
 		}
 	}
 	for _, name := range c.names {
@@ -83,7 +85,7 @@
 				peers = append(peers, other)
 			}
 		}
-		for _, m := range t.Period(c.now, c.values[name], peers) {
+		for _, m := range t.NextMessages(c.now, c.values[name], peers) {
 			c.weigh(m)
 			c.sent = append(c.sent, struct {
 				from string
@@ -94,10 +96,10 @@
 }
 
 func (c *crowd) weigh(m Message) {
-	for _, f := range m.News.Facts {
+	for _, f := range m.Updates.Facts {
 		c.bytes += f.size()
 	}
-	for _, e := range m.News.Ends {
+	for _, e := range m.Updates.Ends {
 		c.bytes += e.size()
 	}
 	for name := range m.Summary {
@@ -144,11 +146,11 @@
 		c.step()
 		report("a change", 1+c.settle(t, 200, all))
 		delete(c.all, "n002")
-		c.all["n000"].Found(c.now, "n002")
+		c.all["n000"].MarkFailed(c.now, "n002")
 		report("a crash, found by one", c.settle(t, 200, func(string) int { return n - 1 }))
 		c.start("n002")
 		report("its restart", c.settle(t, 200, all))
-		c.all["n000"].Found(c.now, "n003")
+		c.all["n000"].MarkFailed(c.now, "n003")
 		c.step()
 		report("found wrongly, and refuted", 1+c.settle(t, 200, all))
 		half := n / 2
@@ -161,7 +163,7 @@
 			if i == 0 || i == half { // one of each side finds all of the other gone
 				for j, other := range c.names {
 					if (i < half) != (j < half) {
-						c.all[name].Found(c.now, other)
+						c.all[name].MarkFailed(c.now, other)
 					}
 				}
 			}
@@ -187,12 +189,12 @@
 	periods := c.settle(t, 400, func(string) int { return 30 })
 	t.Logf("30 poolers, 120 databases: %d periods, %.0f KB a pooler", periods, float64(c.bytes)/1024/30)
 	for _, name := range c.names {
-		for _, m := range c.all[name].Period(c.now, c.values[name], c.names) {
+		for _, m := range c.all[name].NextMessages(c.now, c.values[name], c.names) {
 			size := 0
-			for _, f := range m.News.Facts {
+			for _, f := range m.Updates.Facts {
 				size += f.size()
 			}
-			require.LessOrEqual(t, size, DefaultDisseminatorBounds().News)
+			require.LessOrEqual(t, size, DefaultDisseminatorBounds().UpdateBytes)
 		}
 	}
 }
--- a/internal/membership/gossip/gossip.go
+++ b/internal/membership/gossip/gossip.go
@@ -249,11 +249,11 @@
 		g.mu.Lock()
 		now := g.clock()
 		g.count.Periods++
-		g.talk.View.Forget(now)
+		g.talk.View.Expire(now)
 		g.judge(now)
 		values := g.period(now, g.talk.View)
-		for _, m := range g.talk.Period(now, values, slices.Sorted(maps.Keys(g.members))) {
-			g.send(m.To, wire{Facts: m.News.Facts, Ends: m.News.Ends, Summary: m.Summary, Step: step(m)})
+		for _, m := range g.talk.NextMessages(now, values, slices.Sorted(maps.Keys(g.members))) {
+			g.send(m.To, wire{Facts: m.Updates.Facts, Ends: m.Updates.Ends, Summary: m.Summary, Step: step(m)})
 		}
 		g.agree(now)
 		g.mu.Unlock()
@@ -265,7 +265,7 @@
 func (g *Gossip) judge(now time.Duration) {
 	for name, p := range g.missing {
 		incarnation, gone := g.talk.View.Incarnation(name)
-		left := gone && g.talk.View.Left(name)
+		left := gone && g.talk.View.HasLeft(name)
 		if !left && now-p.went < verdict*g.pace.Period {
 			continue
 		}
@@ -273,7 +273,7 @@
 		why := "it has left"
 		if !left {
 			why = "it does not answer"
-			g.talk.Found(now, name)
+			g.talk.MarkFailed(now, name)
 			g.remember(name, p.node.Address(), now)
 		} else {
 			delete(g.remembered, name)
@@ -296,11 +296,11 @@
 			continue
 		}
 		u, known := g.unmet[name]
-		if latest := g.talk.View.Latest(name); !known || latest != u.latest {
+		if latest := g.talk.View.LatestSequence(name); !known || latest != u.latest {
 			g.unmet[name] = unmet{latest, now}
 		} else if now-u.since >= unmetFor*g.pace.Rejoin {
 			delete(g.unmet, name)
-			g.talk.Found(now, name)
+			g.talk.MarkFailed(now, name)
 			g.log.Info().Str("pooler", name).Str("why", "it was never found").Msg("fleet: is gone")
 		}
 	}
@@ -417,7 +417,7 @@
 			}
 		}
 		for name, a := range g.remembered { // in any order, a few at a time
-			if there[a.at] || g.talk.View.Left(name) {
+			if there[a.at] || g.talk.View.HasLeft(name) {
 				delete(g.remembered, name)
 			} else if len(try) < tries+len(g.config.Seeds) {
 				try = append(try, a.at)
--- a/internal/membership/gossip/process_test.go
+++ b/internal/membership/gossip/process_test.go
@@ -320,7 +320,7 @@
 	b := f.Beds["n1"]
 	b.Eventually(func() bool {
 		s := f.State("n1")
-		return s.Versions >= 1 && s.Garbled >= 2 && s.Ahead >= 2 && s.Old >= 1 && s.Large >= 1
+		return s.Versions >= 1 && s.Garbled >= 2 && s.Future >= 2 && s.Stale >= 1 && s.Invalid >= 1
 	}, "it is counted")
 	b.Eventually(func() bool { return f.State("n0").Refuted >= 1 }, "n0 lives")
 	f.Settled("all the same", f.Names...)
--- a/internal/membership/gossip/state.go
+++ b/internal/membership/gossip/state.go
@@ -53,9 +53,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now, v := g.clock(), g.talk.View
-	facts, oldest := v.Extent()
+	facts, oldest := v.FactAge()
 	s := State{Name: g.name, Waits: g.waits, Digest: hex(v.Digest()), Agree: g.agreement.agrees, AgreeSince: g.agreement.since.Milliseconds(),
-		Live: v.Live(), Facts: facts, Counters: g.count, ViewCounters: v.Count}
+		Live: v.Live(), Facts: facts, Counters: g.count, ViewCounters: v.Counters}
 	if facts > 0 {
 		s.OldestMS = max(0, (now - oldest).Milliseconds())
 	}
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -90,7 +90,7 @@
 		}
 		v.digest = o.view.digest
 		a := *o.author
-		a.said = maps.Clone(a.said)
+		a.published = maps.Clone(a.published)
 		o.view, o.author = v, &a
 		c.over[i] = maps.Clone(m.over[i])
 	}
@@ -332,7 +332,7 @@
 		"an end is forgotten when a late message comes": {sound.after(func(v *View, d Delta) {
 			for _, f := range d.Facts {
 				if o := v.owners[f.Owner]; o != nil && o.gone && o.incarnation == f.Incarnation {
-					v.clear(f.Owner, o)
+					v.clearOwner(f.Owner, o)
 					o.gone = false
 				}
 			}
@@ -348,7 +348,7 @@
 		"an older incarnation is heard": {sound.after(func(v *View, d Delta) {
 			for _, f := range d.Facts {
 				if o := v.owners[f.Owner]; o != nil && f.Incarnation < o.incarnation && !o.gone {
-					v.clear(f.Owner, o)
+					v.clearOwner(f.Owner, o)
 					o.incarnation = f.Incarnation
 				}
 			}
--- a/internal/membership/publisher.go
+++ b/internal/membership/publisher.go
@@ -2,75 +2,79 @@
 
 import (
 	"bytes"
-	"cmp"
 	"maps"
 	"slices"
 	"time"
 )
 
-// Publisher makes the facts of one pooler.
+// Publisher creates the facts of one pooler. It is not safe for concurrent use.
 type Publisher struct {
 	name        string
 	incarnation uint64
 	sequence    uint64
-	said        map[Key]Fact
+	published   map[Key]Fact
 	bounds      Bounds
 }
 
-// NewPublisher returns the author of an incarnation, which must be higher than all that were known of the name.
-func NewPublisher(name string, incarnation uint64, b Bounds) *Publisher {
-	return &Publisher{name: name, incarnation: incarnation, said: map[Key]Fact{}, bounds: b}
+// NewPublisher returns the publisher of an incarnation, which must be higher than all earlier ones of that name.
+func NewPublisher(name string, incarnation uint64, bounds Bounds) *Publisher {
+	return &Publisher{name: name, incarnation: incarnation, published: map[Key]Fact{}, bounds: bounds}
 }
 
-// Incarnation is the author's.
-func (a *Publisher) Incarnation() uint64 { return a.incarnation }
+// Incarnation returns the present incarnation. Refute makes it higher.
+func (p *Publisher) Incarnation() uint64 { return p.incarnation }
 
-// Publish returns the facts that are to be told on: of these values those that have changed, or are to be said again so
-// that nobody forgets them. What is left out of the values is no longer said, and forgotten in time.
-func (a *Publisher) Publish(now time.Duration, values map[Key][]byte) (d Delta) {
-	maps.DeleteFunc(a.said, func(key Key, _ Fact) bool { _, still := values[key]; return !still })
-	keys := slices.SortedFunc(maps.Keys(values), func(x, y Key) int {
-		return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.Subject, y.Subject))
+// Publish returns new facts for those of the values that have changed, or whose facts are so old that others would
+// soon expire them. A key that is absent from the values is no longer published, and expires at the others.
+func (p *Publisher) Publish(now time.Duration, values map[Key][]byte) (delta Delta) {
+	maps.DeleteFunc(p.published, func(key Key, _ Fact) bool {
+		_, present := values[key]
+		return !present
 	})
-	for _, key := range keys[:min(len(keys), a.bounds.Published)] {
-		had, said := a.said[key]
-		if said && bytes.Equal(had.Value, values[key]) && now-had.At < a.bounds.Between {
+	keys := slices.SortedFunc(maps.Keys(values), compareKeys)
+	for _, key := range keys[:min(len(keys), p.bounds.Published)] {
+		last, known := p.published[key]
+		if known && bytes.Equal(last.Value, values[key]) && now-last.At < p.bounds.RepublishInterval {
 			continue
 		}
-		a.sequence++
-		f := Fact{Owner: a.name, Incarnation: a.incarnation, Sequence: a.sequence, Key: key, At: now, Value: bytes.Clone(values[key])}
-		a.said[key] = f
-		d.Facts = append(d.Facts, f)
+		p.sequence++
+		fact := Fact{
+			Owner: p.name, Incarnation: p.incarnation, Sequence: p.sequence,
+			Key: key, At: now, Value: bytes.Clone(values[key]),
+		}
+		p.published[key] = fact
+		delta.Facts = append(delta.Facts, fact)
 	}
-	return d
+	return delta
 }
 
-// Leave is the author's word that it ends. Nothing is to be said or refuted after it.
-func (a *Publisher) Leave(now time.Duration) Delta {
-	return Delta{Ends: []End{{Owner: a.name, Incarnation: a.incarnation, At: now, Left: true}}}
+// Leave returns the announcement that this pooler ends. Publish and Refute must not be called after it.
+func (p *Publisher) Leave(now time.Duration) Delta {
+	return Delta{Ends: []End{{Owner: p.name, Incarnation: p.incarnation, At: now, Left: true}}}
 }
 
-// Refute takes in what is told of the author's own name. A pooler that is told of its own end while it lives, or that
-// somebody with a higher incarnation bears its name, goes on with one that is higher still, and says all again: it
-// returns true.
+// Refute handles what others say of this pooler's own name. If they take this incarnation for gone, or know a higher
+// one, the publisher continues with an incarnation that is higher still, and publishes all its facts anew. It returns
+// whether it did so.
 //
-// What views turn down as of the future it does not answer: one higher still would be turned down as well, and the pooler would
-// never be heard again.
-func (a *Publisher) Refute(now time.Duration, d Delta) bool {
-	highest, wrong := a.incarnation, false
-	for _, e := range d.Ends {
-		if e.Owner == a.name && e.Incarnation >= a.incarnation && !a.bounds.ahead(now, e.At, e.Incarnation) {
-			highest, wrong = max(highest, e.Incarnation), true
+// Facts and ends that views reject as being in the future are not refuted: the next incarnation would be rejected as
+// well, and the pooler would be excluded for good.
+func (p *Publisher) Refute(now time.Duration, delta Delta) bool {
+	highest, refuted := p.incarnation, false
+	for _, end := range delta.Ends {
+		if end.Owner == p.name && end.Incarnation >= p.incarnation && !p.bounds.inFuture(now, end.At, end.Incarnation) {
+			highest, refuted = max(highest, end.Incarnation), true
 		}
 	}
-	for _, f := range d.Facts {
-		if f.Owner == a.name && f.Incarnation > a.incarnation && !a.bounds.ahead(now, f.At, f.Incarnation) {
-			highest, wrong = max(highest, f.Incarnation), true
+	for _, fact := range delta.Facts {
+		if fact.Owner == p.name && fact.Incarnation > p.incarnation &&
+			!p.bounds.inFuture(now, fact.At, fact.Incarnation) {
+			highest, refuted = max(highest, fact.Incarnation), true
 		}
 	}
-	if wrong {
-		a.incarnation, a.sequence = highest+1, 0
-		clear(a.said)
+	if refuted {
+		p.incarnation, p.sequence = highest+1, 0
+		clear(p.published)
 	}
-	return wrong
+	return refuted
 }
--- a/internal/membership/publisher_test.go
+++ b/internal/membership/publisher_test.go
@@ -7,25 +7,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An author says what has changed, and the rest again before it is forgotten; told of its own end it refutes it.
-func TestAuthor(t *testing.T) {
+// A publisher publishes what has changed, and the rest again before it expires; it refutes its own end.
+func TestPublisherRepublishesAndRefutes(t *testing.T) {
 	bounds := DefaultBounds()
 	a, v := NewPublisher("n", 3, bounds), NewView(bounds)
-	values := map[Key][]byte{{}: []byte("x"), {OfDatabase, "a"}: []byte("y")}
+	values := map[Key][]byte{{}: []byte("x"), {KindDatabase, "a"}: []byte("y")}
 	at := now
 	said := 0
-	for ; at < now+3*bounds.Forget; at += bounds.Between / 4 {
+	for ; at < now+3*bounds.Retention; at += bounds.RepublishInterval / 4 {
 		d := a.Publish(at, values)
 		said += len(d.Facts)
 		v.Merge(at, d)
-		v.Forget(at)
+		v.Expire(at)
 		require.Len(t, v.All().Facts, 2)
 	}
-	require.Less(t, said, 3*2*int(bounds.Forget/bounds.Between)+3)
-	delete(values, Key{OfDatabase, "a"})
+	require.Less(t, said, 3*2*int(bounds.Retention/bounds.RepublishInterval)+3)
+	delete(values, Key{KindDatabase, "a"})
 	v.Merge(at, a.Publish(at, values))
-	v.Forget(at + bounds.Forget)
-	require.Empty(t, v.FactsUnder(Key{OfDatabase, "a"}))
+	v.Expire(at + bounds.Retention)
+	require.Empty(t, v.FactsUnder(Key{KindDatabase, "a"}))
 
 	require.False(t, a.Refute(at, Delta{Ends: []End{{"n", 2, at, false}, {"m", 9, at, false}}}))
 	end := Delta{Ends: []End{{"n", 3, at, false}}}
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -1,22 +1,21 @@
 package membership
 
-import (
-	"hash/fnv"
-)
+import "hash/fnv"
 
-// rank is the place of a name among others in an order that is another one for each subject, and at every pooler alike (rendezvous
-// hashing): one that comes or goes moves nobody else past each other.
-func rank(subject, name string, among []string) (place int) {
-	weight := func(other string) uint64 {
-		h := fnv.New64a()
-		h.Write([]byte(subject + "\x00" + other))
-		return spread(h.Sum64())
-	}
-	own := weight(name)
+// rendezvousRank returns the place of a name among others, in an order that differs for each subject and is the same at
+// every pooler (rendezvous hashing). When another name joins or leaves, the remaining names keep their relative order.
+func rendezvousRank(subject, name string, among []string) (place int) {
+	own := rendezvousWeight(subject, name)
 	for _, other := range among {
-		if w := weight(other); w > own || w == own && other < name {
+		if weight := rendezvousWeight(subject, other); weight > own || weight == own && other < name {
 			place++
 		}
 	}
 	return place
 }
+
+func rendezvousWeight(subject, name string) uint64 {
+	h := fnv.New64a()
+	_, _ = h.Write([]byte(subject + "\x00" + name)) // it returns no errors
+	return mixHash(h.Sum64())
+}
--- a/internal/membership/reporter.go
+++ b/internal/membership/reporter.go
@@ -1,60 +1,66 @@
 package membership
 
 import (
+	"maps"
 	"time"
 )
 
-// Reporter turns what a pooler sees into what it says of databases. Said is what is not plain, what was not plain a while ago,
-// and where another has said otherwise, so that a fault that one alone sees shows as that.
+// Reporter turns a pooler's local observations into those that it publishes: those that differ from the default, those
+// that did so until recently, and those that contradict another pooler, so that operators see which pooler is alone
+// with its finding.
 type Reporter struct {
-	said  map[string]spoken
-	keeps time.Duration
+	reported  map[string]report // by database
+	retention time.Duration
 }
 
-type spoken struct {
-	word Observation
-	last time.Duration // when it was last not plain, or contested
+// report is a published observation.
+type report struct {
+	observation Observation
+	lastNotable time.Duration // when it last differed from the default or was contested
 }
 
-// NewReporter returns a reporter that goes on with a word for so long after it has become plain. It must be longer than it takes
-// to tell all, as what is no longer said stays in others' views until it is old.
-func NewReporter(keeps time.Duration) *Reporter {
-	return &Reporter{said: map[string]spoken{}, keeps: keeps}
+// NewReporter returns a reporter that publishes an observation for this long after it has become the default again.
+// That must be longer than an update takes to reach all poolers: a fact that is no longer published stays in their
+// views until it expires.
+func NewReporter(retention time.Duration) *Reporter {
+	return &Reporter{reported: map[string]report{}, retention: retention}
 }
 
-// Report returns the facts on databases. Contested names those of which another pooler says that they are bad.
-func (r *Reporter) Report(now time.Duration, sights []LocalObservation, contested func(database string) bool) map[Key][]byte {
-	values, seen := map[Key][]byte{}, map[string]bool{}
-	for _, s := range sights {
-		seen[s.Database] = true
-		w := Observation{State: s.State, Cold: s.Cold, Primary: s.Primary}
-		had, known := r.said[s.Database]
-		if known && had.word.same(w) {
-			w = had.word
-		} else {
-			w.Since = now.Milliseconds()
-			if s.Primary {
-				w.At = s.Position.Milliseconds()
-			}
-		}
-		k := spoken{w, had.last}
+// Report returns the values to publish. Contested tells whether another pooler says that a database is bad.
+func (r *Reporter) Report(
+	now time.Duration, observations []LocalObservation, contested func(database string) bool,
+) map[Key][]byte {
+	values, present := map[Key][]byte{}, map[string]bool{}
+	for _, local := range observations {
+		present[local.Database] = true
+		previous, known := r.reported[local.Database]
+		next := report{local.publishable(now, previous.observation, known), previous.lastNotable}
 		switch {
-		case !w.plain() || w.State == Healthy && contested(s.Database):
-			k.last = now
+		case !next.observation.isDefault() || local.State == Healthy && contested(local.Database):
+			next.lastNotable = now
 		case !known:
-			continue // it is, and was, plain
+			continue // it was the default before
 		}
-		if now-k.last >= r.keeps {
-			delete(r.said, s.Database)
+		if now-next.lastNotable >= r.retention {
+			delete(r.reported, local.Database)
 			continue
 		}
-		r.said[s.Database] = k
-		values[Key{OfDatabase, s.Database}] = w.Append(nil)
-	}
-	for name := range r.said { // databases that are no more
-		if !seen[name] {
-			delete(r.said, name)
-		}
+		r.reported[local.Database] = next
+		values[Key{KindDatabase, local.Database}] = next.observation.Append(nil)
 	}
+	maps.DeleteFunc(r.reported, func(database string, _ report) bool { return !present[database] })
 	return values
 }
+
+// publishable returns the observation to publish: the previous one, with its times, as long as nothing else differs.
+func (l LocalObservation) publishable(now time.Duration, previous Observation, known bool) Observation {
+	observation := Observation{State: l.State, Cold: l.WarmingUp, Primary: l.Primary}
+	if known && previous.equalExceptTimes(observation) {
+		return previous
+	}
+	observation.Since = now.Milliseconds()
+	if l.Primary {
+		observation.Position = l.Position.Milliseconds()
+	}
+	return observation
+}
--- a/internal/membership/reporter_test.go
+++ b/internal/membership/reporter_test.go
@@ -8,13 +8,15 @@
 )
 
 // What is said of databases is what is not plain, and where another says otherwise; it ends a while after.
-func TestReporter(t *testing.T) {
+func TestReporterPublishesWhatIsNotDefault(t *testing.T) {
 	r := NewReporter(time.Minute)
 	never := func(string) bool { return false }
-	sights := []LocalObservation{{Database: "a", State: Healthy}, {Database: "b", State: Unresponsive}, {Database: "c", State: Healthy, Primary: true,
-		Position: now}}
+	sights := []LocalObservation{{Database: "a", State: Healthy}, {Database: "b", State: Unresponsive}, {
+		Database: "c", State: Healthy, Primary: true,
+		Position: now,
+	}}
 	word := func(at time.Duration, database string, contested func(string) bool) (Observation, bool) {
-		return ParseObservation(r.Report(at, sights, contested)[Key{OfDatabase, database}])
+		return ParseObservation(r.Report(at, sights, contested)[Key{KindDatabase, database}])
 	}
 	_, said := word(now, "a", never)
 	require.False(t, said, "plain")
@@ -23,7 +25,7 @@
 	b, _ = word(now+time.Second, "b", never)
 	require.Equal(t, now.Milliseconds(), b.Since, "it stands")
 	c, _ := word(now+time.Second, "c", never)
-	require.Equal(t, Observation{State: Healthy, Primary: true, Since: now.Milliseconds(), At: now.Milliseconds()}, c)
+	require.Equal(t, Observation{State: Healthy, Primary: true, Since: now.Milliseconds(), Position: now.Milliseconds()}, c)
 	sights[1].State = Healthy
 	b, _ = word(now+2*time.Second, "b", never)
 	require.Equal(t, Observation{State: Healthy, Since: (now + 2*time.Second).Milliseconds()}, b, "it is taken back")
@@ -38,7 +40,7 @@
 		_, ok := ParseObservation([]byte(odd))
 		require.False(t, ok, "%q", odd)
 	}
-	w := Observation{State: Failing, Cold: true, Primary: true, Since: 1 << 40, At: 7}
+	w := Observation{State: Failing, Cold: true, Primary: true, Since: 1 << 40, Position: 7}
 	again, ok := ParseObservation(append(w.Append(nil), "more of a newer version"...))
 	require.True(t, ok)
 	require.Equal(t, w, again)
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -1,73 +1,92 @@
 package membership
 
 import (
+	"maps"
 	"slices"
 	"time"
 )
 
-// doubt is of a database that others say something of which this pooler has not seen.
-type doubt struct {
-	due   time.Duration
-	asked int
+// probesInARow is how often a suspected database is probed in successive steps before the pause of RetryInterval. One
+// failed probe proves nothing, and two are enough.
+const probesInARow = 2
+
+// suspicion is held of a database as long as other poolers report something of it that this pooler has not seen.
+type suspicion struct {
+	nextProbe time.Duration
+	probes    int // asked for so far
 }
 
-// ask names the databases of which others have something to say that is newer than all that this pooler has seen of them: that
-// some are bad, each by its own evidence, or that one leads. Their word is a reason to ask, and what comes back is evidence. They
-// ask in turn, so that a database that is in trouble is not asked by all at once.
-func (a *Advisor) ask(now time.Duration, live []string, sights []LocalObservation) (ask []string) {
-	left := map[string]bool{}
-	for _, s := range sights {
-		bad, leads := 0, false
-		var heard []string // from whom
-		for _, w := range a.words[s.Database] {
-			heard = append(heard, w.Pooler)
-			if w.Pooler == a.name || w.Since <= s.Heard.Milliseconds() {
-				continue
-			}
-			if w.State.Bad() {
-				bad++
-			}
-			leads = leads || w.Primary && !s.Primary
-		}
-		if !s.MayAsk || s.State.Bad() || bad < a.bounds.Least && !leads {
+// databasesToProbe returns the suspected databases whose probe is due. Poolers probe in turn, so that a database in
+// trouble does not receive the probes of all at once.
+func (a *Advisor) databasesToProbe(now time.Duration, live []string, local []LocalObservation) (probe []string) {
+	suspected := map[string]bool{}
+	for _, own := range local {
+		if !a.isSuspected(own) {
 			continue
 		}
-		left[s.Database] = true
-		d := a.doubts[s.Database]
-		if d == nil {
-			// Those who said it need not ask. Against a herd: the others take turns.
-			askers := slices.DeleteFunc(slices.Clone(live), func(name string) bool { return name != a.name && slices.Contains(heard, name) })
-			turn := min(a.bounds.Turn, a.bounds.Turns/time.Duration(len(askers)))
-			d = &doubt{due: now + time.Duration(rank(s.Database, a.name, askers))*turn}
-			a.doubts[s.Database] = d
-			a.Count.Doubts++
+		suspected[own.Database] = true
+		current := a.suspicions[own.Database]
+		if current == nil {
+			current = &suspicion{nextProbe: now + a.firstTurn(own.Database, live)}
+			a.suspicions[own.Database] = current
+			a.Counters.Suspicions++
 		}
-		if now < d.due || len(ask) == a.bounds.Askings {
+		if now < current.nextProbe || len(probe) == a.bounds.ProbesPerStep {
 			continue
 		}
-		ask = append(ask, s.Database)
-		a.Count.Asked++
-		if d.asked++; d.asked%2 == 0 { // A probe that fails once proves nothing, and twice is enough.
-			d.due = now + a.bounds.Again
+		probe = append(probe, own.Database)
+		a.Counters.Probes++
+		current.probes++
+		if current.probes%probesInARow == 0 {
+			current.nextProbe = now + a.bounds.RetryInterval
 		}
 	}
-	for name := range a.doubts {
-		if !left[name] {
-			delete(a.doubts, name)
+	maps.DeleteFunc(a.suspicions, func(database string, _ *suspicion) bool { return !suspected[database] })
+	return probe
+}
+
+// isSuspected tells whether other poolers report something of a database that is newer than this pooler's evidence:
+// several that it is bad, or one that it is a primary. Their reports are a reason to probe, and the result of the probe
+// is evidence.
+func (a *Advisor) isSuspected(own LocalObservation) bool {
+	bad, isPrimary := 0, false
+	for _, reported := range a.observations[own.Database] {
+		if reported.Pooler == a.name || reported.Since <= own.LastAnswer.Milliseconds() {
+			continue
 		}
+		if reported.State.Bad() {
+			bad++
+		}
+		isPrimary = isPrimary || reported.Primary && !own.Primary
+	}
+	return own.MayProbe && !own.State.Bad() && (bad >= a.bounds.MinSuspecting || isPrimary)
+}
+
+// firstTurn returns how long this pooler waits before its first probe of a database that has come under suspicion.
+// Poolers that have published an observation of the database need not probe it, and take no turn.
+func (a *Advisor) firstTurn(database string, live []string) time.Duration {
+	var reporting []string
+	for _, reported := range a.observations[database] {
+		reporting = append(reporting, reported.Pooler)
 	}
-	return ask
+	waiting := slices.DeleteFunc(slices.Clone(live), func(name string) bool {
+		return name != a.name && slices.Contains(reporting, name)
+	})
+	interval := min(a.bounds.TurnInterval, a.bounds.AllTurns/time.Duration(len(waiting)))
+	return time.Duration(rendezvousRank(database, a.name, waiting)) * interval
 }
 
-// Contested tells whether somebody said at the last step that a database is bad.
+// Contested tells whether any pooler reported a database as bad at the last step.
 func (a *Advisor) Contested(database string) bool {
-	return slices.ContainsFunc(a.words[database], func(h PeerObservation) bool { return h.State.Bad() })
+	return slices.ContainsFunc(a.observations[database], func(reported PeerObservation) bool {
+		return reported.State.Bad()
+	})
 }
 
-// Suspected are the databases of which others say what this pooler has not seen, sorted.
+// Suspected returns the databases that are under suspicion, sorted.
 func (a *Advisor) Suspected() []string {
-	names := make([]string, 0, len(a.doubts))
-	for name := range a.doubts {
+	names := make([]string, 0, len(a.suspicions))
+	for name := range a.suspicions {
 		names = append(names, name)
 	}
 	slices.Sort(names)
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,189 +1,214 @@
-// Package membership holds what the poolers of an installation know together: who lives, and what each observes. This file is the
-// pure part: no clock, goroutine or I/O. A View is a join-semilattice: merging is commutative, associative and
-// idempotent, so that poolers that have heard the same, in any order and any number of times, hold the same.
+// Package membership is the state that the poolers of an installation share: which poolers are live, and what each of
+// them observes of the databases. It does no I/O, reads no clock and starts no goroutine; internal/membership/gossip
+// runs it on a network.
+//
+// Each pooler publishes facts (Publisher). All poolers hold those of all others (View) and exchange updates and
+// summaries (Disseminator). A View is a join-semilattice: merging is commutative, associative and idempotent, so that
+// poolers that have received the same updates, in any order and any number of times, hold the same. Advisor derives
+// from a view what its own pooler should do.
 package membership
 
 import (
 	"bytes"
-	"cmp"
-	"encoding/binary"
-	"hash/fnv"
 	"maps"
 	"slices"
 	"time"
 )
 
-// owner is what is known of one pooler: of its highest incarnation alone. In order: a higher incarnation is above a lower one,
-// and within one its end is above all that it has said.
-type owner struct {
+// ownerState is what a view holds of one pooler: its highest known incarnation. A higher incarnation supersedes a lower
+// one, and within an incarnation its end supersedes all its facts.
+type ownerState struct {
 	incarnation uint64
 	gone, left  bool
 	at          time.Duration // of the end
 	facts       map[Key]Fact
 }
 
-// View is what one pooler knows. It is not safe for concurrent use.
+// endRecord returns the end of a pooler that is gone.
+func (o *ownerState) endRecord(name string) End {
+	return End{Owner: name, Incarnation: o.incarnation, At: o.at, Left: o.left}
+}
+
+// View is what one pooler knows of all poolers. It is not safe for concurrent use.
 type View struct {
-	Count ViewCounters
+	Counters ViewCounters
 
 	bounds Bounds
-	owners map[string]*owner
-	digest uint64 // the sum of the hashes of all entries, so that it needs no order
+	owners map[string]*ownerState
+	digest uint64 // sum of the hashes of all entries: independent of their order
 }
 
-// ViewCounters count what was turned down.
+// ViewCounters count the facts and ends that a view rejected.
 type ViewCounters struct {
-	Old, Ahead, Large, Crowd int64 // too old or of the past; of the future; too large; more than is held
+	Stale    int64 `json:"Old"`   // older than Bounds.Retention, or of an incarnation that is over
+	Future   int64 `json:"Ahead"` // further in the future than Bounds.ClockSkew
+	Invalid  int64 `json:"Large"` // malformed or too large
+	Overflow int64 `json:"Crowd"` // no room for another owner or fact
 }
 
-// NewView returns a view that knows nothing.
-func NewView(b Bounds) *View { return &View{bounds: b, owners: map[string]*owner{}} }
+// NewView returns an empty view.
+func NewView(bounds Bounds) *View { return &View{bounds: bounds, owners: map[string]*ownerState{}} }
 
-// Digest is equal for views that hold the same; others differ but for a chance of one in 2^64.
+// Digest returns a hash of everything in the view, equal at all poolers whose views are equal.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Merge takes in what another pooler tells, and returns what of it was new: that is to be told on, nothing else.
-func (v *View) Merge(now time.Duration, d Delta) (news Delta) {
-	for _, f := range d.Facts {
-		if v.fact(now, f) {
-			news.Facts = append(news.Facts, f)
+// Merge adds what another pooler sent, and returns the part of it that was new, which is to be passed on.
+func (v *View) Merge(now time.Duration, delta Delta) (news Delta) {
+	for _, fact := range delta.Facts {
+		if v.mergeFact(now, fact) {
+			news.Facts = append(news.Facts, fact)
 		}
 	}
-	for _, e := range d.Ends {
-		if v.end(now, e) {
-			news.Ends = append(news.Ends, e)
+	for _, end := range delta.Ends {
+		if v.mergeEnd(now, end) {
+			news.Ends = append(news.Ends, end)
 		}
 	}
 	return news
 }
 
-// fact takes in one fact and tells whether it was new.
-func (v *View) fact(now time.Duration, f Fact) bool {
+// mergeFact adds one fact and tells whether it was new.
+func (v *View) mergeFact(now time.Duration, fact Fact) bool {
 	switch {
-	case len(f.Value) > v.bounds.Value || len(f.Owner) > v.bounds.Name || len(f.Key.Subject) > v.bounds.Name || f.Owner == "" ||
-		(f.Key.Kind == OfDatabase) == (f.Key.Subject == "") || f.Key.Kind > OfDatabase:
-		v.Count.Large++
+	case !v.bounds.validFact(fact):
+		v.Counters.Invalid++
 		return false
-	case v.bounds.ahead(now, f.At, f.Incarnation): // Against a wrong clock: it would be the newest for ever.
-		v.Count.Ahead++
+	case v.bounds.inFuture(now, fact.At, fact.Incarnation): // With a wrong clock, it would stay the newest for ever.
+		v.Counters.Future++
 		return false
-	case f.At < now-v.bounds.Forget: // Against the return of what has been forgotten since.
-		v.Count.Old++
+	case fact.At < now-v.bounds.Retention: // It may have been expired here already, and must not return.
+		v.Counters.Stale++
 		return false
 	}
-	o := v.owners[f.Owner]
-	switch {
-	case o == nil:
-		if !v.room() {
-			return false
-		}
-		o = &owner{incarnation: f.Incarnation, facts: map[Key]Fact{}}
-		v.owners[f.Owner] = o
-	case f.Incarnation < o.incarnation || f.Incarnation == o.incarnation && o.gone:
-		v.Count.Old++
+	owner := v.ownerOf(fact)
+	if owner == nil {
 		return false
-	case f.Incarnation > o.incarnation: // It has restarted: what it said before is void, and so is its end.
-		v.clear(f.Owner, o)
-		o.incarnation, o.gone, o.left, o.at = f.Incarnation, false, false, 0
 	}
-	had, known := o.facts[f.Key]
+	current, known := owner.facts[fact.Key]
 	switch {
-	case !known && len(o.facts) >= v.bounds.Facts:
-		v.Count.Crowd++
+	case !known && len(owner.facts) >= v.bounds.Facts:
+		v.Counters.Overflow++
 		return false
-	case known && !above(f, had):
+	case known && !supersedes(fact, current):
 		return false
 	case known:
-		v.digest -= had.hash()
+		v.digest -= current.hash()
 	}
-	f.Value = bytes.Clone(f.Value)
-	o.facts[f.Key] = f
-	v.digest += f.hash()
+	fact.Value = bytes.Clone(fact.Value)
+	owner.facts[fact.Key] = fact
+	v.digest += fact.hash()
 	return true
 }
 
-// end takes in the end of an incarnation and tells whether it was new.
-func (v *View) end(now time.Duration, e End) bool {
+// ownerOf returns the state to which a fact is to be added, in the fact's incarnation. It returns nil, and counts it,
+// where that incarnation is over or there is no room.
+func (v *View) ownerOf(fact Fact) *ownerState {
+	owner := v.owners[fact.Owner]
 	switch {
-	case e.Owner == "" || len(e.Owner) > v.bounds.Name:
-		v.Count.Large++
+	case owner == nil:
+		if !v.hasRoom() {
+			return nil
+		}
+		owner = &ownerState{incarnation: fact.Incarnation, facts: map[Key]Fact{}}
+		v.owners[fact.Owner] = owner
+	case fact.Incarnation < owner.incarnation || fact.Incarnation == owner.incarnation && owner.gone:
+		v.Counters.Stale++
+		return nil
+	case fact.Incarnation > owner.incarnation: // It has restarted: its earlier facts and its end are void.
+		v.clearOwner(fact.Owner, owner)
+		owner.incarnation, owner.gone, owner.left, owner.at = fact.Incarnation, false, false, 0
+	}
+	return owner
+}
+
+// mergeEnd adds the end of an incarnation and tells whether it was new.
+func (v *View) mergeEnd(now time.Duration, end End) bool {
+	switch {
+	case end.Owner == "" || len(end.Owner) > v.bounds.NameBytes:
+		v.Counters.Invalid++
 		return false
-	case v.bounds.ahead(now, e.At, e.Incarnation):
-		v.Count.Ahead++
+	case v.bounds.inFuture(now, end.At, end.Incarnation):
+		v.Counters.Future++
 		return false
-	case e.At < now-2*v.bounds.Forget:
-		v.Count.Old++
+	case end.At < now-2*v.bounds.Retention:
+		v.Counters.Stale++
 		return false
 	}
-	o := v.owners[e.Owner]
-	if o == nil {
-		if !v.room() {
+	owner := v.owners[end.Owner]
+	switch {
+	case owner == nil:
+		if !v.hasRoom() {
 			return false
 		}
-		o = &owner{facts: map[Key]Fact{}}
-		v.owners[e.Owner] = o
-	} else if e.Incarnation < o.incarnation {
-		v.Count.Old++
+		owner = &ownerState{facts: map[Key]Fact{}}
+		v.owners[end.Owner] = owner
+	case end.Incarnation < owner.incarnation:
+		v.Counters.Stale++
+		return false
+	case end.Incarnation == owner.incarnation && owner.gone:
+		return v.mergeRepeatedEnd(owner, end)
+	}
+	v.clearOwner(end.Owner, owner)
+	owner.incarnation, owner.gone, owner.left, owner.at = end.Incarnation, true, end.Left, end.At
+	v.digest += end.hash()
+	return true
+}
+
+// mergeRepeatedEnd merges an end that is known already and tells whether that changed it. The later time is kept, and
+// the owner's own announcement takes precedence over detection by others, in whatever order they arrive.
+func (v *View) mergeRepeatedEnd(owner *ownerState, end End) bool {
+	at, left := max(end.At, owner.at), end.Left || owner.left
+	if at == owner.at && left == owner.left {
 		return false
-	} else if e.Incarnation == o.incarnation && o.gone {
-		// Found twice: it is remembered from the later time on, and its own word goes before others' finding, everywhere.
-		at, left := max(e.At, o.at), e.Left || o.left
-		if at == o.at && left == o.left {
-			return false
-		}
-		v.digest -= o.endHash(e.Owner)
-		o.at, o.left = at, left
-		v.digest += o.endHash(e.Owner)
-		return true
 	}
-	v.clear(e.Owner, o)
-	o.incarnation, o.gone, o.left, o.at = e.Incarnation, true, e.Left, e.At
-	v.digest += o.endHash(e.Owner)
+	v.digest -= owner.endRecord(end.Owner).hash()
+	owner.at, owner.left = at, left
+	v.digest += owner.endRecord(end.Owner).hash()
 	return true
 }
 
-// room tells whether one more owner may be remembered. Against names made up without end.
-func (v *View) room() bool {
+// hasRoom tells whether one more owner can be held, and counts it if not. The limit protects from invented names.
+func (v *View) hasRoom() bool {
 	if len(v.owners) < v.bounds.Owners {
 		return true
 	}
-	v.Count.Crowd++
+	v.Counters.Overflow++
 	return false
 }
 
-// clear forgets all that an owner has said.
-func (v *View) clear(name string, o *owner) {
-	for _, f := range o.facts {
-		v.digest -= f.hash()
+// clearOwner removes all facts of an owner, and its end from the digest.
+func (v *View) clearOwner(name string, owner *ownerState) {
+	for _, fact := range owner.facts {
+		v.digest -= fact.hash()
 	}
-	if o.gone {
-		v.digest -= o.endHash(name)
+	if owner.gone {
+		v.digest -= owner.endRecord(name).hash()
 	}
-	clear(o.facts)
+	clear(owner.facts)
 }
 
-// Forget drops what is older than the bounds allow: facts that their owner no longer repeats, and ends for which no fact can
-// come any more. What it drops cannot come back: it would be turned down as too old.
-func (v *View) Forget(now time.Duration) {
-	for name, o := range v.owners {
-		for key, f := range o.facts {
-			if f.At < now-v.bounds.Forget {
-				v.digest -= f.hash()
-				delete(o.facts, key)
+// Expire removes facts that their owners no longer publish again, and ends for which no fact can arrive any more. What
+// it removes cannot return: it would be rejected as stale.
+func (v *View) Expire(now time.Duration) {
+	for name, owner := range v.owners {
+		for key, fact := range owner.facts {
+			if fact.At < now-v.bounds.Retention {
+				v.digest -= fact.hash()
+				delete(owner.facts, key)
 			}
 		}
-		if o.gone && o.at < now-2*v.bounds.Forget || !o.gone && len(o.facts) == 0 {
-			v.clear(name, o)
+		if owner.gone && owner.at < now-2*v.bounds.Retention || !owner.gone && len(owner.facts) == 0 {
+			v.clearOwner(name, owner)
 			delete(v.owners, name)
 		}
 	}
 }
 
-// Live are the names of the poolers that are there as far as is known, sorted.
+// Live returns the names of the poolers that are not known to be gone, sorted.
 func (v *View) Live() []string {
 	var names []string
-	for name, o := range v.owners {
-		if !o.gone {
+	for name, owner := range v.owners {
+		if !owner.gone {
 			names = append(names, name)
 		}
 	}
@@ -191,119 +216,101 @@
 	return names
 }
 
-// Gone are the ends that are remembered, by name in order.
+// Gone returns the ends that are held, sorted by name.
 func (v *View) Gone() (ends []End) {
 	for _, name := range slices.Sorted(maps.Keys(v.owners)) {
-		if o := v.owners[name]; o.gone {
-			ends = append(ends, o.end(name))
+		if owner := v.owners[name]; owner.gone {
+			ends = append(ends, owner.endRecord(name))
 		}
 	}
 	return ends
 }
 
-// Extent is how many facts are held, and when the oldest was said.
-func (v *View) Extent() (facts int, oldest time.Duration) {
-	for _, o := range v.owners {
-		for _, f := range o.facts {
-			if facts++; oldest == 0 || f.At < oldest {
-				oldest = f.At
+// FactAge returns the number of facts held, and when the oldest of them was published (since the Unix epoch).
+func (v *View) FactAge() (facts int, oldest time.Duration) {
+	for _, owner := range v.owners {
+		for _, fact := range owner.facts {
+			if facts++; oldest == 0 || fact.At < oldest {
+				oldest = fact.At
 			}
 		}
 	}
 	return facts, oldest
 }
 
-// Incarnation is the highest one known of a pooler, and whether it is gone; 0 where nothing is known.
+// Incarnation returns the highest known incarnation of a pooler, and whether it is gone. It is 0 for an unknown name.
 func (v *View) Incarnation(name string) (incarnation uint64, gone bool) {
-	if o := v.owners[name]; o != nil {
-		return o.incarnation, o.gone
+	if owner := v.owners[name]; owner != nil {
+		return owner.incarnation, owner.gone
 	}
 	return 0, false
 }
 
-// Latest is the sequence of a pooler's last word that is held; 0 where there is none.
-func (v *View) Latest(name string) (sequence uint64) {
-	if o := v.owners[name]; o != nil {
-		for _, f := range o.facts {
-			sequence = max(sequence, f.Sequence)
+// LatestSequence returns the highest sequence among a pooler's facts; 0 if there are none.
+func (v *View) LatestSequence(name string) (sequence uint64) {
+	if owner := v.owners[name]; owner != nil {
+		for _, fact := range owner.facts {
+			sequence = max(sequence, fact.Sequence)
 		}
 	}
 	return sequence
 }
 
-// FactsUnder returns what live poolers say under a key, by their names in order.
+// FactsUnder returns the facts of live poolers under a key, sorted by owner.
 func (v *View) FactsUnder(key Key) []Fact {
 	var facts []Fact
 	for _, name := range v.Live() {
-		if f, said := v.owners[name].facts[key]; said {
-			facts = append(facts, f)
+		if fact, known := v.owners[name].facts[key]; known {
+			facts = append(facts, fact)
 		}
 	}
 	return facts
 }
 
-// Left tells whether a pooler is gone by its own word.
-func (v *View) Left(name string) bool {
-	o := v.owners[name]
-	return o != nil && o.gone && o.left
+// HasLeft tells whether a pooler is gone by its own announcement.
+func (v *View) HasLeft(name string) bool {
+	owner := v.owners[name]
+	return owner != nil && owner.gone && owner.left
 }
 
-// All returns everything, in a fixed order, to be told to one who knows nothing.
-func (v *View) All() (d Delta) {
+// All returns everything in the view, in a fixed order.
+func (v *View) All() (delta Delta) {
 	for _, name := range slices.Sorted(maps.Keys(v.owners)) {
-		o := v.owners[name]
-		if o.gone {
-			d.Ends = append(d.Ends, o.end(name))
+		owner := v.owners[name]
+		if owner.gone {
+			delta.Ends = append(delta.Ends, owner.endRecord(name))
 		}
-		keys := slices.SortedFunc(maps.Keys(o.facts), func(a, b Key) int {
-			return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Subject, b.Subject))
-		})
-		for _, key := range keys {
-			d.Facts = append(d.Facts, o.facts[key])
+		for _, key := range slices.SortedFunc(maps.Keys(owner.facts), compareKeys) {
+			delta.Facts = append(delta.Facts, owner.facts[key])
 		}
 	}
-	return d
+	return delta
 }
 
-// Summary is a hash for each pooler that is known, so that two views find with little talk where they differ.
+// Summary returns a hash for each known pooler, by which another pooler finds out where its view differs.
 func (v *View) Summary() map[string]uint64 {
 	sums := make(map[string]uint64, len(v.owners))
-	for name, o := range v.owners {
+	for name, owner := range v.owners {
 		sum := uint64(0)
-		if o.gone {
-			sum = o.endHash(name)
+		if owner.gone {
+			sum = owner.endRecord(name).hash()
 		}
-		for _, f := range o.facts {
-			sum += f.hash()
+		for _, fact := range owner.facts {
+			sum += fact.hash()
 		}
 		sums[name] = sum
 	}
 	return sums
 }
 
-// Missing returns what one with that summary lacks, or has otherwise.
-func (v *View) Missing(summary map[string]uint64) (d Delta) {
+// Missing returns everything on the poolers for which a view with that summary holds something else or nothing.
+func (v *View) Missing(summary map[string]uint64) (delta Delta) {
 	all, own := v.All(), v.Summary()
-	differs := func(name string) bool {
+	same := func(name string) bool {
 		sum, known := summary[name]
-		return !known || sum != own[name]
-	}
-	d.Facts = slices.DeleteFunc(all.Facts, func(f Fact) bool { return !differs(f.Owner) })
-	d.Ends = slices.DeleteFunc(all.Ends, func(e End) bool { return !differs(e.Owner) })
-	return d
-}
-
-// end is that of a pooler that is gone.
-func (o *owner) end(name string) End {
-	return End{Owner: name, Incarnation: o.incarnation, At: o.at, Left: o.left}
-}
-
-func (o *owner) endHash(name string) uint64 {
-	h := fnv.New64a()
-	text := []byte(name + "\x00end")
-	if o.left {
-		text[len(text)-1]++
+		return known && sum == own[name]
 	}
-	h.Write(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(text, o.incarnation), uint64(o.at)))
-	return spread(h.Sum64())
+	delta.Facts = slices.DeleteFunc(all.Facts, func(fact Fact) bool { return same(fact.Owner) })
+	delta.Ends = slices.DeleteFunc(all.Ends, func(end End) bool { return same(end.Owner) })
+	return delta
 }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -27,7 +27,7 @@
 			a := NewPublisher(name, uint64(10*life+1), DefaultBounds())
 			for said := range 6 {
 				values := map[Key][]byte{}
-				for _, key := range []Key{{OfPooler, ""}, {OfDatabase, "a"}, {OfDatabase, "b"}} {
+				for _, key := range []Key{{KindPooler, ""}, {KindDatabase, "a"}, {KindDatabase, "b"}} {
 					values[key] = fmt.Appendf(nil, "%d %d %d", life, said, random.IntN(2))
 				}
 				for _, f := range a.Publish(now+time.Duration(said)*time.Second, values).Facts {
@@ -92,7 +92,7 @@
 
 // Facts of the gone do not come back: not with a late message, not when the end itself has been forgotten, and an older
 // incarnation is not heard beside a newer one. A restart is.
-func TestNothingReturns(t *testing.T) {
+func TestExpiredFactsDoNotReturn(t *testing.T) {
 	bounds := DefaultBounds()
 	v := NewView(bounds)
 	say := func(incarnation uint64, at time.Duration) Delta {
@@ -105,8 +105,8 @@
 	require.Empty(t, v.Live())
 	v.Merge(now+time.Second, old)
 	require.Empty(t, v.Live(), "a late message")
-	for at := now; at < now+3*bounds.Forget; at += bounds.Forget / 3 {
-		v.Forget(at)
+	for at := now; at < now+3*bounds.Retention; at += bounds.Retention / 3 {
+		v.Expire(at)
 		v.Merge(at, old)
 		require.Empty(t, v.Live(), "after %v", at-now)
 	}
@@ -122,7 +122,7 @@
 }
 
 // What is wrong is turned down and counted: of the future, too long, too many, without a name.
-func TestTurnedDown(t *testing.T) {
+func TestInvalidEntriesAreRejectedAndCounted(t *testing.T) {
 	bounds := DefaultBounds()
 	bounds.Owners, bounds.Facts = 2, 2
 	v := NewView(bounds)
@@ -132,14 +132,14 @@
 		return Delta{Facts: []Fact{f}}
 	}
 	for _, wrong := range []func(*Fact){
-		func(f *Fact) { f.At = now + bounds.Ahead + 1 },
-		func(f *Fact) { f.At = now - bounds.Forget - 1 },
+		func(f *Fact) { f.At = now + bounds.ClockSkew + 1 },
+		func(f *Fact) { f.At = now - bounds.Retention - 1 },
 		func(f *Fact) { f.Incarnation = 1 << 63 },
-		func(f *Fact) { f.Value = make([]byte, bounds.Value+1) },
+		func(f *Fact) { f.Value = make([]byte, bounds.ValueBytes+1) },
 		func(f *Fact) { f.Owner = "" },
-		func(f *Fact) { f.Owner = string(make([]byte, bounds.Name+1)) },
-		func(f *Fact) { f.Key = Key{OfDatabase, ""} },
-		func(f *Fact) { f.Key = Key{OfPooler, "x"} },
+		func(f *Fact) { f.Owner = string(make([]byte, bounds.NameBytes+1)) },
+		func(f *Fact) { f.Key = Key{KindDatabase, ""} },
+		func(f *Fact) { f.Key = Key{KindPooler, "x"} },
 		func(f *Fact) { f.Key = Key{9, "x"} },
 	} {
 		require.True(t, v.Merge(now, fact(wrong)).Empty())
@@ -147,13 +147,13 @@
 	require.True(t, v.Merge(now, Delta{Ends: []End{{"", 1, now, false}, {"n", 1 << 63, now, false}, {"n", 1, now + time.Hour, false}, {"n", 1, 0, false}}}).Empty())
 	require.True(t, v.All().Empty())
 	for i := range 9 {
-		v.Merge(now, fact(func(f *Fact) { f.Key = Key{OfDatabase, fmt.Sprint(i)} }))
+		v.Merge(now, fact(func(f *Fact) { f.Key = Key{KindDatabase, fmt.Sprint(i)} }))
 		v.Merge(now, fact(func(f *Fact) { f.Owner = fmt.Sprint("n", i) }))
 		v.Merge(now, Delta{Ends: []End{{fmt.Sprint("m", i), 1, now, false}}})
 	}
 	require.Len(t, v.Live(), 2)
 	require.Len(t, v.All().Facts, 3)
-	require.Equal(t, ViewCounters{Old: 2, Ahead: 4, Large: 7, Crowd: 7 + 8 + 9}, v.Count)
+	require.Equal(t, ViewCounters{Stale: 2, Future: 4, Invalid: 7, Overflow: 7 + 8 + 9}, v.Counters)
 }
 
 // BenchmarkMerge merges the whole of what 300 poolers say of 120 databases into a view that holds it.
@@ -175,7 +175,7 @@
 	for i := range poolers {
 		values := map[Key][]byte{{}: make([]byte, 64)}
 		for j := range databases {
-			values[Key{OfDatabase, fmt.Sprintf("s-%08x", j)}] = make([]byte, 24)
+			values[Key{KindDatabase, fmt.Sprintf("s-%08x", j)}] = make([]byte, 24)
 		}
 		v.Merge(now, NewPublisher(fmt.Sprint("n", i), 1, DefaultBounds()).Publish(now, values))
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -100,19 +100,19 @@
 	f := p.pooler.Core.Figures()
 	sights := make([]membership.LocalObservation, 0, len(f.Databases))
 	for _, s := range f.Databases {
-		sights = append(sights, membership.LocalObservation{Database: s.Name, State: state(s.Health), Cold: s.Cold, Primary: s.Primary,
-			Position: s.Position, Heard: s.LastHeard, MayAsk: s.MayAsk})
+		sights = append(sights, membership.LocalObservation{Database: s.Name, State: state(s.Health), WarmingUp: s.Cold, Primary: s.Primary,
+			Position: s.Position, LastAnswer: s.LastHeard, MayProbe: s.MayAsk})
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.routers > 0 {
-		p.advisor.Settings(p.routers)
+		p.advisor.Configure(p.routers)
 		p.routers = 0
 	}
 	advice := p.advisor.Step(now, v, sights)
-	changed := advice.Routers != p.advice.Routers || !same(advice.Idle, p.advice.Idle)
-	p.doubted, p.asked = p.advisor.Suspected(), p.advisor.Count.Asked
-	if changed || len(advice.Ask) > 0 || p.lost.Load() || now-p.renewed >= renew {
+	changed := advice.Routers != p.advice.Routers || !same(advice.IdleConnections, p.advice.IdleConnections)
+	p.doubted, p.asked = p.advisor.Suspected(), p.advisor.Counters.Probes
+	if changed || len(advice.Probe) > 0 || p.lost.Load() || now-p.renewed >= renew {
 		p.renewed = now
 		p.lost.Store(false)
 		p.pooler.Do(func() { p.apply(advice) })
@@ -120,7 +120,7 @@
 	if advice.Routers != p.advice.Routers {
 		p.pooler.Log.Info().Int("poolers", advice.Routers).Int("before", p.advice.Routers).Msg("fleet: counted")
 	}
-	for _, database := range advice.Ask {
+	for _, database := range advice.Probe {
 		p.pooler.Log.Info().Str("database", database).Msg("fleet: asked, as others doubt it or say that it leads")
 	}
 	p.advice = advice
@@ -189,7 +189,7 @@
 func (p *Peers) apply(a membership.Hints) {
 	c := p.pooler.Core
 	p.hold(a)
-	for _, database := range a.Ask {
+	for _, database := range a.Probe {
 		c.ProbeByName(database)
 	}
 	if p.lease != nil {
@@ -204,7 +204,7 @@
 
 func (p *Peers) hold(a membership.Hints) {
 	p.pooler.Core.SetRouters(a.Routers)
-	p.pooler.Keep(a.Idle)
+	p.pooler.Keep(a.IdleConnections)
 }
 
 // Status is what operators see of what is done with the view.
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -84,7 +84,7 @@
 func (w *world) hears(name string, words map[string]membership.Observation) {
 	values := map[membership.Key][]byte{{}: []byte(`{"listen":"there"}`)}
 	for database, word := range words {
-		values[membership.Key{Kind: membership.OfDatabase, Subject: database}] = word.Append(nil)
+		values[membership.Key{Kind: membership.KindDatabase, Subject: database}] = word.Append(nil)
 	}
 	w.view.Merge(w.now, membership.NewPublisher(name, uint64(w.now.Milliseconds()), membership.DefaultBounds()).Publish(w.now, values))
 }
@@ -124,13 +124,13 @@
 	w.hears("n1", bad)
 	w.hears("n2", bad)
 	said := w.pass(4*time.Second, true)
-	word, ok := membership.ParseObservation(said[membership.Key{Kind: membership.OfDatabase, Subject: "db3"}])
+	word, ok := membership.ParseObservation(said[membership.Key{Kind: membership.KindDatabase, Subject: "db3"}])
 	require.True(t, ok)
 	require.Equal(t, membership.Failing, word.State, "it does not answer probes")
 	w.silent["db3"] = false
 	w.core.ProbeByName("db3")
 	said = w.pass(time.Second, true)
-	word, _ = membership.ParseObservation(said[membership.Key{Kind: membership.OfDatabase, Subject: "db3"}])
+	word, _ = membership.ParseObservation(said[membership.Key{Kind: membership.KindDatabase, Subject: "db3"}])
 	require.Equal(t, membership.Healthy, word.State, "taken back")
 	var self peers.Self
 	require.NoError(t, json.Unmarshal(said[membership.Key{}], &self))
