--- a/internal/membership/gossip/memory_test.go
+++ b/internal/membership/gossip/address_file_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -12,12 +11,8 @@
 	"testing"
 	"time"
 
-	"github.com/hashicorp/go-msgpack/v2/codec"
-	"github.com/hashicorp/memberlist"
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
-
-	"capercove/internal/membership"
 )
 
 const epoch = 1_800_000_000 * time.Second
@@ -180,74 +175,3 @@
 	require.NoError(t, err)
 	require.Equal(t, []string{path("fleet-members"), path("fleet-members-2"), path("other")}, left)
 }
-
-// A suspicion ends when the pooler speaks, and one of a former life that comes late ends when it joins again: nobody has to wait
-// until it is that pooler's turn to be asked.
-func TestSuspicionEnds(t *testing.T) {
-	now, b := epoch, membership.DefaultBounds()
-	talk := membership.NewDisseminator(membership.NewView(b), membership.NewPublisher("a", 1, b), membership.DefaultDisseminatorBounds(), rand.New(rand.NewPCG(1, 1)))
-	g := &Gossip{name: "a", pace: DefaultTiming(), log: zerolog.Nop(), clock: func() time.Duration { return now }, talk: talk, members: map[string]*peer{},
-		missing: map[string]*peer{}, remembered: map[string]address{}, logged: map[string]time.Duration{}, agreement: newAgreement(time.Second, now),
-		heard: heard{answered: map[string]time.Duration{}, suspected: map[string]time.Duration{}}}
-	other := &memberlist.Node{Name: "b", Addr: net.IPv4(127, 0, 0, 1), Port: 1}
-	suspect := func() {
-		library{g}.Write([]byte("[INFO] memberlist: Suspect b has failed, no acks received"))
-		require.Contains(t, g.heard.suspected, "b")
-	}
-	events{g}.NotifyJoin(other)
-	suspect()
-	var text []byte
-	require.NoError(t, codec.NewEncoderBytes(&text, &handle).Encode(wire{Version: version, From: "b"}))
-	for i := range 8 * len(text) { // one bit turned over anywhere
-		bad := seal(text)
-		bad[4+i/8] ^= 1 << (i % 8)
-		g.hear(bad)
-	}
-	require.Equal(t, int64(8*len(text)), g.count.Garbled)
-	require.Contains(t, g.heard.suspected, "b")
-	g.hear(seal(text))
-	require.Empty(t, g.heard.suspected, "it has spoken")
-	suspect()
-	events{g}.NotifyLeave(other)
-	require.Empty(t, g.heard.suspected)
-	suspect() // late
-	events{g}.NotifyJoin(other)
-	require.Empty(t, g.heard.suspected, "a new life")
-}
-
-// Views agree where another's digest has been this pooler's a moment ago, or becomes it soon; they do not once one has differed
-// for long; nothing heard is neither.
-func TestAgreement(t *testing.T) {
-	there := map[string]bool{"b": true}
-	at := func(s float64) time.Duration { return epoch + time.Duration(s*float64(time.Second)) }
-	a := newAgreement(10*time.Second, epoch)
-	say := func(now time.Duration, own uint64) string {
-		a.step(now, own, there)
-		return a.verdict(now, a.others["b"])
-	}
-	require.Equal(t, "?", say(at(0), 1))
-	a.tell(at(1), "b", 1)
-	require.Equal(t, "yes", say(at(1), 1))
-	say(at(2), 2)
-	a.tell(at(3), "b", 1)
-	require.Equal(t, "yes", say(at(3), 2), "it was this pooler's a moment ago")
-	a.tell(at(4), "b", 3)
-	require.Equal(t, "?", say(at(4), 2), "it may still come to agree")
-	require.Equal(t, "yes", say(at(5), 3))
-	a.tell(at(6), "b", 4)
-	a.tell(at(11), "b", 5) // another that differs does not begin anew
-	require.Equal(t, "?", say(at(15), 3))
-	require.True(t, a.agrees)
-	require.Equal(t, "no", say(at(16), 3))
-	require.False(t, a.agrees)
-	require.Equal(t, at(16), a.since)
-	a.tell(at(17), "b", 3)
-	require.Equal(t, "yes", say(at(17), 3))
-	require.True(t, a.agrees)
-	clear(there)
-	a.step(at(18), 3, there)
-	require.Empty(t, a.others)
-	a.tell(at(19), "b", 9)
-	require.Empty(t, a.others, "it is not there")
-	require.LessOrEqual(t, len(a.own), 3)
-}
--- a/internal/membership/gossip/library.go
+++ b/internal/membership/gossip/delegate.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"encoding/binary"
 	"fmt"
-	"net"
-	"net/netip"
 	"regexp"
 	"slices"
 	"time"
@@ -104,46 +102,3 @@
 	}
 	return len(line), nil
 }
-
-func (h *heard) answer(name string, now time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.answered[name] = now
-	delete(h.suspected, name)
-}
-
-func (h *heard) suspect(name string, now time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if _, already := h.suspected[name]; !already && len(h.suspected) < rememberedMost {
-		h.suspected[name] = now
-	}
-}
-
-func (h *heard) forget(name string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.answered, name)
-	delete(h.suspected, name)
-}
-
-func (h *heard) refuse() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.refused++
-}
-
-// transport dials from the own address, so that peers, and relays before them, can tell who it is.
-type transport struct {
-	*memberlist.NetTransport
-	own netip.Addr
-}
-
-func (t transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.own.AsSlice()}}
-	return d.Dial("tcp", a.Addr)
-}
-
-func (t transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
-}
