--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,9 +1,11 @@
-// Package peers stands between what poolers know together and one pooler: it says what the pooler sees, and hands the pooler what
-// the view comes down to. What is decided is in package fleet; nothing here is on a request's path.
+// Package peers connects one pooler with the view that poolers share: it publishes what the pooler observes, and
+// applies to the pooler the hints that are derived from the view. The decisions are made in package membership.
+// Nothing here is on the path of a request.
 package peers
 
 import (
 	"encoding/json"
+	"maps"
 	"math"
 	"sync"
 	"sync/atomic"
@@ -18,205 +20,249 @@
 )
 
 const (
-	lease = 3 * time.Second  // without word from the fleet's part for so long, the pooler is as if there were none
-	renew = time.Second      // it is renewed this often
-	anew  = 10 * time.Second // what changes all the time is said anew this often at the most
-	apart = 1.5              // ... and only if it differs by this factor
+	hintsLease    = 3 * time.Second // hints that are not renewed for this long no longer apply
+	renewInterval = time.Second
+
+	measureInterval = 10 * time.Second // between measurements of the load that is published
+	notableFactor   = 1.5              // a measurement is published only if it differs from the last by this factor
+
+	reportRetention = time.Minute // an observation is published for this long after it became the default again
 )
 
-// Self is what a pooler says of itself.
+// Self is what a pooler publishes of itself.
 type Self struct {
 	Version     string      `json:"version,omitempty"`
 	Zone        string      `json:"zone,omitempty"`
-	Since       int64       `json:"since_ms"` // Unix
+	Since       int64       `json:"since_ms"` // Unix ms: start of the process
 	Listen      string      `json:"listen"`
 	Management  string      `json:"management,omitempty"`
-	Settings    string      `json:"settings"`           // a digest: equal where the settings are
-	Load        int         `json:"load"`               // requests a second, roughly
-	Connections int         `json:"connections"`        // clients' and databases', roughly
-	Groups      map[int]int `json:"groups,omitempty"`   // of the load, by group of databases
-	Counted     int         `json:"counted,omitempty"`  // poolers that it reckons with
-	Stopping    bool        `json:"stopping,omitempty"` // it has been told to end
+	Settings    string      `json:"settings"`           // digest of the settings
+	Load        int         `json:"load"`               // requests per second, roughly
+	Connections int         `json:"connections"`        // of clients and to databases, roughly
+	Groups      map[int]int `json:"groups,omitempty"`   // Load by group of databases
+	Counted     int         `json:"counted,omitempty"`  // poolers by which it divides capacity
+	Stopping    bool        `json:"stopping,omitempty"` // it is shutting down
 }
 
-// Pooler is what is told and asked here. All but Figures is called on the event loop only.
+// Pooler gives access to the pooler. Its functions are called on the event loop, except Do.
 type Pooler struct {
 	Core        *core.Core
-	Do          func(func())         // runs on the event loop, soon
-	Keep        func(map[string]int) // bounds idle connections by database
-	Connections func() int           // that are open
+	Do          func(func())         // runs a function on the event loop
+	Keep        func(map[string]int) // limits idle connections by database; nil: no limit
+	Connections func() int           // number of open ones
 	Log         zerolog.Logger
 }
 
-// Peers is one pooler's. Period is called by the fleet's goroutine alone.
+// Peers connects one pooler with the shared view. Period must be called by one goroutine at a time; the other methods
+// are safe for concurrent use.
 type Peers struct {
 	pooler   Pooler
 	advisor  *membership.Advisor
 	reporter *membership.Reporter
 
-	open atomic.Int64 // connections, as last counted
-	lost atomic.Bool  // the lease ran out, or nothing came yet
-
-	mu      sync.Mutex // guards all below; never held on the event loop, which must not wait for the fleet's part
-	self    Self
-	doubted []string
-	advice  membership.Hints
-	asked   int64
-	routers int // of new settings; 0: none have come
+	openConnections atomic.Int64 // as last counted on the event loop
+	leaseLost       atomic.Bool  // the lease ran out, or no hints were applied yet
 
-	// The fleet's goroutine's.
-	taken   int64         // requests, when the load was last told
-	asks    map[int]int64 // ... by group
-	told    time.Duration
-	renewed time.Duration
+	mu            sync.Mutex // guards the fields below; never locked on the event loop, which must not wait for Period
+	self          Self
+	suspected     []string
+	hints         membership.Hints // of the last period
+	probes        int64            // asked for by the hints
+	newRouters    int              // of settings that Period has not used yet; 0: none
+	lastMeasured  time.Duration    // 0: never
+	lastRequests  int64            // counted at lastMeasured
+	groupRequests map[int]int64    // counted at lastMeasured, by group
+	lastRenewed   time.Duration
 
-	lease *timerwheel.Timer // the event loop's
+	lease *timerwheel.Timer // used on the event loop alone
 }
 
-// New returns the peers of a pooler that says this of itself, where the settings say that there are so many routers.
-func New(name string, u membership.Uses, self Self, routers int, p Pooler) *Peers {
-	peers := &Peers{pooler: p, advisor: membership.NewAdvisor(name, u, membership.DefaultAdvisorBounds(), routers), self: self,
-		reporter: membership.NewReporter(time.Minute)}
-	peers.lost.Store(true)
+// New returns the peers of the pooler of this name. Self is what it publishes first, routers the number of poolers in
+// the settings.
+func New(name string, uses membership.Uses, self Self, routers int, pooler Pooler) *Peers {
+	peers := &Peers{
+		pooler:   pooler,
+		advisor:  membership.NewAdvisor(name, uses, membership.DefaultAdvisorBounds(), routers),
+		reporter: membership.NewReporter(reportRetention),
+		self:     self,
+	}
+	peers.leaseLost.Store(true)
 	return peers
 }
 
-// Configured takes in new settings.
+// Configured notes new settings: their digest, and the number of poolers in them.
 func (p *Peers) Configured(digest string, routers int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.self.Settings, p.routers = digest, routers
+	p.self.Settings, p.newRouters = digest, routers
 }
 
-// Stopping says that the pooler has been told to end.
+// Stopping publishes from the next period on that the pooler is shutting down.
 func (p *Peers) Stopping() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.self.Stopping = true
 }
 
-// Period takes in the view and returns what the pooler says.
-func (p *Peers) Period(now time.Duration, v *membership.View) map[membership.Key][]byte {
-	f := p.pooler.Core.Figures()
-	sights := make([]membership.LocalObservation, 0, len(f.Databases))
-	for _, s := range f.Databases {
-		sights = append(sights, membership.LocalObservation{Database: s.Name, State: state(s.Health), WarmingUp: s.Cold, Primary: s.Primary,
-			Position: s.Position, LastAnswer: s.LastHeard, MayProbe: s.MayAsk})
-	}
+// Period derives hints from the view, has them applied, and returns the values that the pooler publishes. It is called
+// once in each gossip period.
+func (p *Peers) Period(now time.Duration, view *membership.View) map[membership.Key][]byte {
+	figures := p.pooler.Core.Figures()
+	local := localObservations(figures.Databases)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.routers > 0 {
-		p.advisor.Configure(p.routers)
-		p.routers = 0
-	}
-	advice := p.advisor.Step(now, v, sights)
-	changed := advice.Routers != p.advice.Routers || !same(advice.IdleConnections, p.advice.IdleConnections)
-	p.doubted, p.asked = p.advisor.Suspected(), p.advisor.Counters.Probes
-	if changed || len(advice.Probe) > 0 || p.lost.Load() || now-p.renewed >= renew {
-		p.renewed = now
-		p.lost.Store(false)
-		p.pooler.Do(func() { p.apply(advice) })
-	}
-	if advice.Routers != p.advice.Routers {
-		p.pooler.Log.Info().Int("poolers", advice.Routers).Int("before", p.advice.Routers).Msg("fleet: counted")
-	}
-	for _, database := range advice.Probe {
-		p.pooler.Log.Info().Str("database", database).Msg("fleet: asked, as others doubt it or say that it leads")
+	if p.newRouters > 0 {
+		p.advisor.Configure(p.newRouters)
+		p.newRouters = 0
 	}
-	p.advice = advice
-	p.self.Counted = advice.Routers
-	if now-p.told >= anew {
-		taken := int64(0)
-		for _, c := range f.Classes {
-			taken += c.Taken
-		}
-		load := float64(taken-p.taken) / (now - p.told).Seconds()
-		if p.told > 0 && differs(load, float64(p.self.Load)) {
-			p.self.Load = int(math.Round(load))
-		}
-		if open := int(p.open.Load()); differs(float64(open), float64(p.self.Connections)) {
-			p.self.Connections = open
-		}
-		if p.told > 0 {
-			p.self.Groups = groups(p.self.Groups, f.Asks, p.asks, (now - p.told).Seconds())
-		}
-		p.told, p.taken, p.asks = now, taken, f.Asks
+	hints := p.advisor.Step(now, view, local)
+	p.suspected, p.probes = p.advisor.Suspected(), p.advisor.Counters.Probes
+	if p.mustApply(now, hints) {
+		p.lastRenewed = now
+		p.leaseLost.Store(false)
+		p.pooler.Do(func() { p.apply(hints) })
 	}
-	text, err := json.Marshal(p.self)
-	if err != nil {
-		panic(err) // a fault of this program: there is nothing in it that cannot be written
+	p.logHints(hints)
+	p.hints = hints
+	p.self.Counted = hints.Routers
+	if now-p.lastMeasured >= measureInterval {
+		p.measure(now, figures)
 	}
-	values := p.reporter.Report(now, sights, p.advisor.Contested)
-	values[membership.Key{}] = text
+	values := p.reporter.Report(now, local, p.advisor.Contested)
+	values[membership.Key{}] = p.self.encode()
 	return values
 }
 
-// groups are the loads of groups of databases: said anew where one differs from what was said.
-func groups(said map[int]int, asks, before map[int]int64, seconds float64) map[int]int {
-	rates, anew := map[int]int{}, false
-	for group, n := range asks {
-		rate := float64(n-before[group]) / seconds
-		rates[group] = int(math.Round(rate))
-		anew = anew || differs(rate, float64(said[group]))
-	}
-	if !anew {
-		return said
+func localObservations(databases []core.DatabaseStatus) []membership.LocalObservation {
+	local := make([]membership.LocalObservation, 0, len(databases))
+	for _, database := range databases {
+		local = append(local, membership.LocalObservation{
+			Database:   database.Name,
+			State:      stateOf[database.Health],
+			WarmingUp:  database.Cold,
+			Primary:    database.Primary,
+			Position:   database.Position,
+			LastAnswer: database.LastHeard,
+			MayProbe:   database.MayAsk,
+		})
 	}
-	return rates
+	return local
+}
+
+var stateOf = [...]membership.State{
+	routing.HealthUnknown: membership.Unknown,
+	routing.Healthy:       membership.Healthy,
+	routing.Unresponsive:  membership.Unresponsive,
+	routing.Failing:       membership.Failing,
+	routing.NotListening:  membership.NotListening,
+}
+
+// mustApply tells whether hints are to be applied now: they have changed, or the lease is lost or to be renewed. The
+// caller holds mu.
+func (p *Peers) mustApply(now time.Duration, hints membership.Hints) bool {
+	changed := hints.Routers != p.hints.Routers || !equalLimits(hints.IdleConnections, p.hints.IdleConnections)
+	return changed || len(hints.Probe) > 0 || p.leaseLost.Load() || now-p.lastRenewed >= renewInterval
 }
 
-// differs tells whether a number is so far from the one that was said that it is to be said anew. Against facts that never rest.
-func differs(x, said float64) bool { return max(x, said)+1 > apart*(min(x, said)+1) }
+// equalLimits tells whether two limits on idle connections are the same. No limit (nil) differs from an empty one.
+func equalLimits(a, b map[string]int) bool { return (a == nil) == (b == nil) && maps.Equal(a, b) }
 
-func same(a, b map[string]int) bool {
-	if len(a) != len(b) || (a == nil) != (b == nil) {
-		return false
+// logHints logs what is new in hints. The caller holds mu.
+func (p *Peers) logHints(hints membership.Hints) {
+	if hints.Routers != p.hints.Routers {
+		p.pooler.Log.Info().Int("poolers", hints.Routers).Int("before", p.hints.Routers).Msg("fleet: counted")
 	}
-	for name, n := range a {
-		if m, has := b[name]; !has || m != n {
-			return false
+	for _, database := range hints.Probe {
+		p.pooler.Log.Info().Str("database", database).Msg("fleet: asked, as others doubt it or say that it leads")
+	}
+}
+
+// measure updates the load and the connections that are published. The caller holds mu.
+func (p *Peers) measure(now time.Duration, figures core.Figures) {
+	requests := int64(0)
+	for _, class := range figures.Classes {
+		requests += class.Taken
+	}
+	if p.lastMeasured > 0 {
+		seconds := (now - p.lastMeasured).Seconds()
+		if load := float64(requests-p.lastRequests) / seconds; isNotable(load, float64(p.self.Load)) {
+			p.self.Load = int(math.Round(load))
 		}
+		p.self.Groups = groupLoads(p.self.Groups, figures.Asks, p.groupRequests, seconds)
+	}
+	if open := int(p.openConnections.Load()); isNotable(float64(open), float64(p.self.Connections)) {
+		p.self.Connections = open
+	}
+	p.lastMeasured, p.lastRequests, p.groupRequests = now, requests, figures.Asks
+}
+
+// groupLoads returns the loads by group to publish: the published ones as long as none differs notably from the load
+// since the counts before.
+func groupLoads(published map[int]int, counts, before map[int]int64, seconds float64) map[int]int {
+	loads, notable := map[int]int{}, false
+	for group, count := range counts {
+		load := float64(count-before[group]) / seconds
+		loads[group] = int(math.Round(load))
+		notable = notable || isNotable(load, float64(published[group]))
 	}
-	return true
+	if !notable {
+		return published
+	}
+	return loads
+}
+
+// isNotable tells whether a measurement differs so much from the published one that it is to be published. It keeps
+// small changes from being sent to all poolers all the time.
+func isNotable(measured, published float64) bool {
+	return max(measured, published)+1 > notableFactor*(min(measured, published)+1)
 }
 
-func state(h routing.Health) membership.State {
-	return [...]membership.State{routing.HealthUnknown: membership.Unknown, routing.Healthy: membership.Healthy, routing.Unresponsive: membership.Unresponsive,
-		routing.Failing: membership.Failing, routing.NotListening: membership.NotListening}[h]
+func (s Self) encode() []byte {
+	text, err := json.Marshal(s)
+	if err != nil {
+		panic(err) // a fault of this program: all fields can be encoded
+	}
+	return text
 }
 
-// apply hands advice to the pooler, on the event loop. It holds for the lease: against a fleet's part that stands still.
-func (p *Peers) apply(a membership.Hints) {
-	c := p.pooler.Core
-	p.hold(a)
-	for _, database := range a.Probe {
-		c.ProbeByName(database)
+// apply applies hints to the pooler, on the event loop. They hold for the lease: if Period is not called any more, the
+// pooler continues by its settings alone.
+func (p *Peers) apply(hints membership.Hints) {
+	p.setLimits(hints)
+	for _, database := range hints.Probe {
+		p.pooler.Core.ProbeByName(database)
 	}
 	if p.lease != nil {
 		p.lease.Stop()
 	}
-	p.lease = c.Wheel.At(c.Now()+lease, func() {
-		p.hold(membership.Hints{})
-		p.lost.Store(true)
+	p.lease = p.pooler.Core.Wheel.At(p.pooler.Core.Now()+hintsLease, func() {
+		p.setLimits(membership.Hints{})
+		p.leaseLost.Store(true)
 	})
-	p.open.Store(int64(p.pooler.Connections()))
+	p.openConnections.Store(int64(p.pooler.Connections()))
 }
 
-func (p *Peers) hold(a membership.Hints) {
-	p.pooler.Core.SetRouters(a.Routers)
-	p.pooler.Keep(a.IdleConnections)
+func (p *Peers) setLimits(hints membership.Hints) {
+	p.pooler.Core.SetRouters(hints.Routers)
+	p.pooler.Keep(hints.IdleConnections)
 }
 
-// Status is what operators see of what is done with the view.
+// Status is what operators see of the use of the view.
 type Status struct {
-	Counted int      `json:"counted"` // poolers that are reckoned with; 0: as many as the settings say
-	Doubted []string `json:"doubted"` // databases of which others say what this pooler has not seen
-	Asked   int64    `json:"asked"`   // probes on others' word
-	Lost    bool     `json:"lost"`    // the fleet's part has not been heard from: all is as without it
+	Counted int      `json:"counted"` // poolers by which capacity is divided; 0: as many as the settings say
+	Doubted []string `json:"doubted"` // databases under suspicion
+	Asked   int64    `json:"asked"`   // probes of them
+	Lost    bool     `json:"lost"`    // no hints apply: the lease ran out
 }
 
+// Status returns the use of the view in the last period.
 func (p *Peers) Status() Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Status{Counted: p.advice.Routers, Doubted: append([]string{}, p.doubted...), Asked: p.asked, Lost: p.lost.Load()}
+	return Status{
+		Counted: p.hints.Routers,
+		Doubted: append([]string{}, p.suspected...),
+		Asked:   p.probes,
+		Lost:    p.leaseLost.Load(),
+	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -16,8 +16,8 @@
 	"capercove/routing"
 )
 
-// world is a core driven by hand, with three databases of which some are silent, and a view that the test fills.
-type world struct {
+// fixture is a core driven by hand, with three databases of which some do not answer, and a view that the test fills.
+type fixture struct {
 	now    time.Duration
 	core   *core.Core
 	peers  *peers.Peers
@@ -27,11 +27,11 @@
 	idle   map[string]int
 }
 
-func (w *world) Send(*core.Attempt)   {}
-func (w *world) Cancel(*core.Attempt) {}
-func (w *world) Subscribe()           {}
+func (w *fixture) Send(*core.Attempt)   {}
+func (w *fixture) Cancel(*core.Attempt) {}
+func (w *fixture) Subscribe()           {}
 
-func (w *world) Probe(m *core.Member) {
+func (w *fixture) Probe(m *core.Member) {
 	w.probes[m.Name]++
 	if w.silent[m.Name] {
 		w.core.Probed(m, routing.TimedOut, 250*time.Millisecond, routing.Evidence{})
@@ -44,11 +44,14 @@
 	w.core.Probed(m, routing.OK, 0, routing.Evidence{Role: role, Position: w.now})
 }
 
-func newWorld(u membership.Uses) *world {
-	w := &world{now: 1_800_000_000 * time.Second, silent: map[string]bool{}, probes: map[string]int{}}
-	s := routing.Settings{Routers: 3, MaxAttempts: 4, CanProbe: true, DrainGrace: time.Second, SlowStartShare: 0.2, SlowStartTime: 10 * time.Second,
+func newFixture(u membership.Uses) *fixture {
+	w := &fixture{now: 1_800_000_000 * time.Second, silent: map[string]bool{}, probes: map[string]int{}}
+	s := routing.Settings{
+		Routers: 3, MaxAttempts: 4, CanProbe: true, DrainGrace: time.Second, SlowStartShare: 0.2, SlowStartTime: 10 * time.Second,
 		OverloadMultiple: 3, OverloadWindow: time.Second, Classes: []routing.Class{
-			{Read: routing.AnyRead, LatencyObjective: 200 * time.Millisecond, Deadline: 5 * time.Second, Weight: 1}}}
+			{Read: routing.AnyRead, LatencyObjective: 200 * time.Millisecond, Deadline: 5 * time.Second, Weight: 1},
+		},
+	}
 	l := limits.For(limits.Machine{MemoryMB: 64, Sockets: 256}, 250*time.Millisecond, 15*time.Second, 5*time.Second)
 	w.core = core.New(core.Settings{Settings: s, Names: []string{"read"}}, 1, l, zerolog.Nop(), func() time.Duration { return w.now },
 		func() {}, func() {})
@@ -61,13 +64,15 @@
 	}
 	w.core.UpdateMembers(list, true)
 	w.view = membership.NewView(membership.DefaultBounds())
-	w.peers = peers.New("n0", u, peers.Self{Listen: "here", Settings: "a"}, 3, peers.Pooler{Core: w.core, Log: zerolog.Nop(),
-		Do: func(f func()) { f() }, Keep: func(idle map[string]int) { w.idle = idle }, Connections: func() int { return 7 }})
+	w.peers = peers.New("n0", u, peers.Self{Listen: "here", Settings: "a"}, 3, peers.Pooler{
+		Core: w.core, Log: zerolog.Nop(),
+		Do: func(f func()) { f() }, Keep: func(idle map[string]int) { w.idle = idle }, Connections: func() int { return 7 },
+	})
 	return w
 }
 
-// pass lets time pass, with periods of 200 ms if the fleet's part goes on. It returns what is said last.
-func (w *world) pass(d time.Duration, goesOn bool) (said map[membership.Key][]byte) {
+// pass lets time pass, with periods of 200 ms if the exchange is running. It returns what was published last.
+func (w *fixture) pass(d time.Duration, goesOn bool) (said map[membership.Key][]byte) {
 	for end := w.now + d; w.now < end; {
 		w.now += 5 * time.Millisecond
 		w.core.Tick()
@@ -80,25 +85,25 @@
 	return said
 }
 
-// hears takes in what another says.
-func (w *world) hears(name string, words map[string]membership.Observation) {
+// hears merges what another pooler publishes.
+func (w *fixture) hears(name string, observations map[string]membership.Observation) {
 	values := map[membership.Key][]byte{{}: []byte(`{"listen":"there"}`)}
-	for database, word := range words {
-		values[membership.Key{Kind: membership.KindDatabase, Subject: database}] = word.Append(nil)
+	for database, observation := range observations {
+		values[membership.Key{Kind: membership.KindDatabase, Subject: database}] = observation.Append(nil)
 	}
 	w.view.Merge(w.now, membership.NewPublisher(name, uint64(w.now.Milliseconds()), membership.DefaultBounds()).Publish(w.now, values))
 }
 
-func (w *world) unavailable() int { return w.core.Figures().Unavailable }
+func (w *fixture) unavailable() int { return w.core.Figures().Unavailable }
 
-// A database that two others find silent is asked and found silent here too, though this pooler has no request that would have told
-// it; one that answers stays, whatever others say; with the use off, nothing is asked.
-func TestDoubtIsCheckedBySelf(t *testing.T) {
+// A database that two others report as unresponsive is probed and found so here, too, though this pooler has sent it no
+// request; one that answers stays available, whatever others report; with the use off, nothing is probed.
+func TestSuspectedDatabaseIsProbed(t *testing.T) {
 	for _, c := range []struct {
 		doubt, silent bool
 		out           int
 	}{{true, true, 1}, {true, false, 0}, {false, true, 0}} {
-		w := newWorld(membership.Uses{Suspicion: c.doubt})
+		w := newFixture(membership.Uses{Suspicion: c.doubt})
 		w.pass(time.Second, true)
 		w.silent["db3"] = c.silent
 		bad := map[string]membership.Observation{"db3": {State: membership.Unresponsive, Since: w.now.Milliseconds() + 1}}
@@ -116,22 +121,22 @@
 	}
 }
 
-// What is seen is said, and taken back; the settings' digest follows a reload.
-func TestSays(t *testing.T) {
-	w := newWorld(membership.Uses{Suspicion: true})
+// Observations are published, and withdrawn when they end; the digest of the settings follows a reload.
+func TestObservationsArePublishedAndWithdrawn(t *testing.T) {
+	w := newFixture(membership.Uses{Suspicion: true})
 	bad := map[string]membership.Observation{"db3": {State: membership.Unresponsive, Since: w.now.Milliseconds() + 5000}}
 	w.silent["db3"] = true
 	w.hears("n1", bad)
 	w.hears("n2", bad)
 	said := w.pass(4*time.Second, true)
-	word, ok := membership.ParseObservation(said[membership.Key{Kind: membership.KindDatabase, Subject: "db3"}])
+	observation, ok := membership.ParseObservation(said[membership.Key{Kind: membership.KindDatabase, Subject: "db3"}])
 	require.True(t, ok)
-	require.Equal(t, membership.Failing, word.State, "it does not answer probes")
+	require.Equal(t, membership.Failing, observation.State, "it does not answer probes")
 	w.silent["db3"] = false
 	w.core.ProbeByName("db3")
 	said = w.pass(time.Second, true)
-	word, _ = membership.ParseObservation(said[membership.Key{Kind: membership.KindDatabase, Subject: "db3"}])
-	require.Equal(t, membership.Healthy, word.State, "taken back")
+	observation, _ = membership.ParseObservation(said[membership.Key{Kind: membership.KindDatabase, Subject: "db3"}])
+	require.Equal(t, membership.Healthy, observation.State, "taken back")
 	var self peers.Self
 	require.NoError(t, json.Unmarshal(said[membership.Key{}], &self))
 	require.Equal(t, peers.Self{Listen: "here", Settings: "a", Connections: 7}, self)
@@ -141,9 +146,9 @@
 	require.Equal(t, peers.Self{Listen: "here", Settings: "b", Connections: 7, Stopping: true}, self)
 }
 
-// Without word from the fleet's part all is as without it, within the lease.
-func TestLeaseEnds(t *testing.T) {
-	w := newWorld(membership.Uses{Count: true, Connections: 10})
+// If no period runs any more, the hints end with their lease, and the settings apply again.
+func TestHintsEndWithTheLease(t *testing.T) {
+	w := newFixture(membership.Uses{Count: true, Connections: 10})
 	for _, name := range []string{"n1", "n2", "n3", "n4"} {
 		w.hears(name, nil)
 	}
@@ -159,15 +164,17 @@
 	require.Equal(t, 5, w.core.Count.Routers, "it goes on")
 }
 
-// Nothing is sent on others' word to a database that is draining, gone or banned, nor twice at once.
-func TestAskKeepsTheRules(t *testing.T) {
-	w := newWorld(membership.Uses{})
+// No probe is sent by others' reports to a database that is draining, gone or excluded, nor twice at once.
+func TestProbeByNameKeepsTheRules(t *testing.T) {
+	w := newFixture(membership.Uses{})
 	require.True(t, w.core.ProbeByName("db1"))
 	require.False(t, w.core.ProbeByName("odd"))
 	w.core.Exclude(map[routing.NodeID]time.Duration{1: w.now})
 	require.False(t, w.core.ProbeByName("db1"))
-	w.core.UpdateMembers([]core.Member{{Name: "db2", Node: routing.Node{ID: 2, State: routing.Draining, Group: 1}},
-		{Name: "db3", Node: routing.Node{ID: 3, State: routing.Gone, Group: 1}}}, false)
+	w.core.UpdateMembers([]core.Member{
+		{Name: "db2", Node: routing.Node{ID: 2, State: routing.Draining, Group: 1}},
+		{Name: "db3", Node: routing.Node{ID: 3, State: routing.Gone, Group: 1}},
+	}, false)
 	require.False(t, w.core.ProbeByName("db2"))
 	require.False(t, w.core.ProbeByName("db3"))
 }
