--- a/internal/membership/advisor_test.go
+++ b/internal/membership/advisor_test.go
@@ -27,7 +27,8 @@
 	return ends
 }
 
-// A higher number counts at once, a lower one once it has stood, and one of half or less not at all; who left is not missed.
+// A higher number counts at once, a lower one once it has stood, and one of half or less not at all; who left is not
+// missed.
 func TestPoolersAreCounted(t *testing.T) {
 	for _, c := range []struct {
 		what     string
@@ -61,8 +62,8 @@
 	require.Zero(t, a.Step(now, NewView(DefaultBounds()), nil).Routers, "nothing is known")
 }
 
-// Whatever the views are, with everybody in any of them or not, all together have less than twice the whole; in a cut, once
-// each side has its own view, less than one and a half; and seeing the same, not more than the whole.
+// Whatever the views are, with everybody in any of them or not, all together have less than twice the whole; in a
+// cut, once each side has its own view, less than one and a half; and seeing the same, not more than the whole.
 func TestCountBoundsUsedCapacity(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 11))
@@ -115,20 +116,20 @@
 	}
 }
 
-// The connections of a database are dealt out whole where all see the same, and to others for each database; never more than
-// twice in any views.
+// The connections of a database are dealt out whole where all see the same, and to others for each database; never
+// more than twice in any views.
 func TestIdleConnectionsAreDivided(t *testing.T) {
-	var sights []LocalObservation
+	var local []LocalObservation
 	for i := range 20 {
-		sights = append(sights, LocalObservation{Database: fmt.Sprint("db", i)})
+		local = append(local, LocalObservation{Database: fmt.Sprint("db", i)})
 	}
 	v := viewOf(7)
 	first := map[string]int{}
-	for _, s := range sights {
+	for _, s := range local {
 		sum := 0
 		for i := range 7 {
 			a := NewAdvisor(fmt.Sprint("n", i), Uses{Connections: 24}, DefaultAdvisorBounds(), 7)
-			idle := a.Step(now, v, sights).IdleConnections[s.Database]
+			idle := a.Step(now, v, local).IdleConnections[s.Database]
 			if idle == 4 {
 				first[fmt.Sprint("n", i)]++
 			}
@@ -137,6 +138,6 @@
 		require.Equal(t, 24, sum, s.Database)
 	}
 	require.Len(t, first, 7, "what is left over falls on all")
-	alone := NewAdvisor("n0", Uses{Connections: 24}, DefaultAdvisorBounds(), 7).Step(now, viewOf(1), sights)
+	alone := NewAdvisor("n0", Uses{Connections: 24}, DefaultAdvisorBounds(), 7).Step(now, viewOf(1), local)
 	require.Equal(t, 3, alone.IdleConnections["db0"], "with nobody else in sight, what the settings say")
 }
--- a/internal/membership/disseminator_test.go
+++ b/internal/membership/disseminator_test.go
@@ -107,7 +107,8 @@
 	}
 }
 
-// settle steps until all that can reach each other hold the same, with so many of them live, and returns the periods it took.
+// settle steps until all that can reach each other hold the same, with so many of them live, and returns the periods
+// it took.
 func (c *crowd) settle(t *testing.T, most int, live func(name string) int) int {
 	t.Helper()
 	for n := range most {
@@ -128,8 +129,8 @@
 	return most
 }
 
-// Hundreds of poolers settle after a start together, a change, a crash, a restart with nothing in mind, a cut and its end, with
-// a tenth of the datagrams lost; what is found wrongly is refuted.
+// Hundreds of poolers settle after a start together, a change, a crash, a restart with nothing in mind, a cut and its
+// end, with a tenth of the datagrams lost; what is found wrongly is refuted.
 func TestCrowdSettles(t *testing.T) {
 	for _, n := range []int{5, 30, 300} {
 		c := newCrowd(uint64(n), n, 0)
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -10,9 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The model check explores all interleavings of a small world: three poolers that say things, crash, restart with nothing in
-// mind, are found gone, rightly and wrongly, and refute it, while each message between two of them may be late, doubled or
-// lost. Every state must keep the invariants, and from every state talk between all that live must settle it.
+// The model check explores all interleavings of a small world: three poolers that say things, crash, restart with
+// nothing in mind, are found gone, rightly and wrongly, and refute it, while each message between two of them may be
+// late, doubled or lost. Every state must keep the invariants, and from every state talk between all that live must
+// settle it.
 
 type message struct {
 	to int
@@ -20,9 +21,9 @@
 }
 
 type member struct {
-	up     bool
-	view   *View
-	author *Publisher
+	up        bool
+	view      *View
+	publisher *Publisher
 }
 
 type model struct {
@@ -68,7 +69,7 @@
 	m.clock += 10
 	m.members[i] = member{true, NewView(DefaultBounds()), NewPublisher(name(i), m.clock, DefaultBounds())}
 	m.over[i] = map[string]uint64{}
-	m.members[i].view.Merge(now, m.members[i].author.Publish(now, values(0)))
+	m.members[i].view.Merge(now, m.members[i].publisher.Publish(now, values(0)))
 }
 
 func values(n int) map[Key][]byte { return map[Key][]byte{{}: {byte('0' + n)}} }
@@ -89,9 +90,9 @@
 			v.owners[n] = &k
 		}
 		v.digest = o.view.digest
-		a := *o.author
+		a := *o.publisher
 		a.published = maps.Clone(a.published)
-		o.view, o.author = v, &a
+		o.view, o.publisher = v, &a
 		c.over[i] = maps.Clone(m.over[i])
 	}
 	return &c
@@ -103,7 +104,7 @@
 	fmt.Fprint(&b, m.clock, m.left)
 	for i, o := range m.members {
 		if o.up {
-			fmt.Fprint(&b, o.author.incarnation, o.author.sequence, o.view.All(), m.over[i])
+			fmt.Fprint(&b, o.publisher.incarnation, o.publisher.sequence, o.view.All(), m.over[i])
 		}
 		b.WriteByte('/')
 	}
@@ -123,8 +124,8 @@
 	for _, e := range news.Ends {
 		m.over[i][e.Owner] = max(m.over[i][e.Owner], e.Incarnation)
 	}
-	if r.refute(o.author, d) {
-		again := o.author.Publish(now, values(0))
+	if r.refute(o.publisher, d) {
+		again := o.publisher.Publish(now, values(0))
 		r.merge(o.view, again)
 		news.Facts = append(news.Facts, again.Facts...)
 		on = true
@@ -178,7 +179,7 @@
 		case m.left.say > 0:
 			step(name(i)+" says something", func(c *model) {
 				c.left.say--
-				d := c.members[i].author.Publish(now, values(c.left.say+1))
+				d := c.members[i].publisher.Publish(now, values(c.left.say+1))
 				c.hear(r, i, d, false)
 				c.tell(i, d)
 			})
@@ -235,7 +236,8 @@
 	return ""
 }
 
-// unsettled lets all that live talk until nothing is news, with those that are down found gone, and tells what is wrong then.
+// unsettled lets all that live talk until nothing is news, with those that are down found gone, and tells what is
+// wrong then.
 func (m *model) unsettled(r rules) string {
 	c := m.clone()
 	c.messages = nil
@@ -273,10 +275,10 @@
 			if other.up && !slices.EqualFunc(o.view.FactsUnder(Key{}), first.FactsUnder(Key{}), func(a, b Fact) bool { return a.hash() == b.hash() }) {
 				return "facts differ"
 			}
-			if other.up && incarnation != other.author.incarnation {
+			if other.up && incarnation != other.publisher.incarnation {
 				return fmt.Sprintf("%s is known by an incarnation that is over", name(j))
 			}
-			if f := o.view.owners[name(j)]; other.up && f.facts[Key{}].Sequence != other.author.sequence {
+			if f := o.view.owners[name(j)]; other.up && f.facts[Key{}].Sequence != other.publisher.sequence {
 				return fmt.Sprintf("%s has said more than %s knows", name(j), name(i))
 			}
 		}
--- a/internal/membership/reporter_test.go
+++ b/internal/membership/reporter_test.go
@@ -11,12 +11,12 @@
 func TestReporterPublishesWhatIsNotDefault(t *testing.T) {
 	r := NewReporter(time.Minute)
 	never := func(string) bool { return false }
-	sights := []LocalObservation{{Database: "a", State: Healthy}, {Database: "b", State: Unresponsive}, {
+	local := []LocalObservation{{Database: "a", State: Healthy}, {Database: "b", State: Unresponsive}, {
 		Database: "c", State: Healthy, Primary: true,
 		Position: now,
 	}}
 	word := func(at time.Duration, database string, contested func(string) bool) (Observation, bool) {
-		return ParseObservation(r.Report(at, sights, contested)[Key{KindDatabase, database}])
+		return ParseObservation(r.Report(at, local, contested)[Key{KindDatabase, database}])
 	}
 	_, said := word(now, "a", never)
 	require.False(t, said, "plain")
@@ -26,14 +26,14 @@
 	require.Equal(t, now.Milliseconds(), b.Since, "it stands")
 	c, _ := word(now+time.Second, "c", never)
 	require.Equal(t, Observation{State: Healthy, Primary: true, Since: now.Milliseconds(), Position: now.Milliseconds()}, c)
-	sights[1].State = Healthy
+	local[1].State = Healthy
 	b, _ = word(now+2*time.Second, "b", never)
 	require.Equal(t, Observation{State: Healthy, Since: (now + 2*time.Second).Milliseconds()}, b, "it is taken back")
 	_, said = word(now+62*time.Second, "b", never)
 	require.False(t, said, "all have heard it")
 	_, said = word(now+63*time.Second, "a", func(string) bool { return true })
 	require.True(t, said, "another says otherwise")
-	sights = sights[1:]
+	local = local[1:]
 	_, said = word(now+64*time.Second, "a", never)
 	require.False(t, said, "it is no more")
 	for _, odd := range []string{"", "\x01\x00\x05", "\x09\x00\x05\x05", "\x01\x00\x00\x05", "\x01\x00\x80\x80"} {
