--- a/internal/membership/disseminator_test.go
+++ b/internal/membership/disseminator_test.go
@@ -29,8 +29,8 @@
 
 func newCrowd(seed uint64, n, databases int) *crowd {
 	c := &crowd{
-		now: now, random: rand.New(rand.NewPCG(seed, 3)), all: map[string]*Disseminator{}, values: map[string]map[Key][]byte{},
-		side: map[string]int{},
+		now: now, random: rand.New(rand.NewPCG(seed, 3)), all: map[string]*Disseminator{},
+		values: map[string]map[Key][]byte{}, side: map[string]int{},
 	}
 	for i := range n {
 		name := fmt.Sprintf("n%03d", i)
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -161,7 +161,10 @@
 		}
 		step(fmt.Sprintf("%s hears %v", name(x.to), x.d), func(c *model) { drop(c); c.hear(r, x.to, x.d, false) })
 		if m.left.double > 0 {
-			step(fmt.Sprintf("%s hears a copy of %v", name(x.to), x.d), func(c *model) { c.left.double--; c.hear(r, x.to, x.d, false) })
+			step(fmt.Sprintf("%s hears a copy of %v", name(x.to), x.d), func(c *model) {
+				c.left.double--
+				c.hear(r, x.to, x.d, false)
+			})
 		}
 		if m.left.lose > 0 {
 			step(fmt.Sprintf("%v to %s is lost", x.d, name(x.to)), func(c *model) { c.left.lose--; drop(c) })
@@ -272,7 +275,8 @@
 			if live := incarnation > 0 && !gone; live != other.up {
 				return fmt.Sprintf("at %s, %s lives: %v", name(i), name(j), live)
 			}
-			if other.up && !slices.EqualFunc(o.view.FactsUnder(Key{}), first.FactsUnder(Key{}), func(a, b Fact) bool { return a.hash() == b.hash() }) {
+			equal := func(a, b Fact) bool { return a.hash() == b.hash() }
+			if other.up && !slices.EqualFunc(o.view.FactsUnder(Key{}), first.FactsUnder(Key{}), equal) {
 				return "facts differ"
 			}
 			if other.up && incarnation != other.publisher.incarnation {
--- a/internal/membership/publisher_test.go
+++ b/internal/membership/publisher_test.go
@@ -35,7 +35,8 @@
 	require.Equal(t, []string{"n"}, v.Live())
 	require.True(t, a.Refute(at, Delta{Facts: []Fact{{Owner: "n", Incarnation: 9, At: at}}}), "another bears its name")
 	require.Equal(t, uint64(10), a.Incarnation())
-	require.False(t, a.Refute(at, Delta{Facts: []Fact{{Owner: "n", Incarnation: 1 << 63, At: at}}}), "of the future: it would never be heard again")
+	require.False(t, a.Refute(at, Delta{Facts: []Fact{{Owner: "n", Incarnation: 1 << 63, At: at}}}),
+		"of the future: it would never be heard again")
 	require.False(t, a.Refute(at, Delta{Ends: []End{{"n", 11, at + time.Hour, false}}}))
 	require.Equal(t, uint64(10), a.Incarnation())
 }
--- a/internal/membership/reporter_test.go
+++ b/internal/membership/reporter_test.go
@@ -11,10 +11,11 @@
 func TestReporterPublishesWhatIsNotDefault(t *testing.T) {
 	r := NewReporter(time.Minute)
 	never := func(string) bool { return false }
-	local := []LocalObservation{{Database: "a", State: Healthy}, {Database: "b", State: Unresponsive}, {
-		Database: "c", State: Healthy, Primary: true,
-		Position: now,
-	}}
+	local := []LocalObservation{
+		{Database: "a", State: Healthy},
+		{Database: "b", State: Unresponsive},
+		{Database: "c", State: Healthy, Primary: true, Position: now},
+	}
 	word := func(at time.Duration, database string, contested func(string) bool) (Observation, bool) {
 		return ParseObservation(r.Report(at, local, contested)[Key{KindDatabase, database}])
 	}
@@ -25,7 +26,8 @@
 	b, _ = word(now+time.Second, "b", never)
 	require.Equal(t, now.Milliseconds(), b.Since, "it stands")
 	c, _ := word(now+time.Second, "c", never)
-	require.Equal(t, Observation{State: Healthy, Primary: true, Since: now.Milliseconds(), Position: now.Milliseconds()}, c)
+	ms := now.Milliseconds()
+	require.Equal(t, Observation{State: Healthy, Primary: true, Since: ms, Position: ms}, c)
 	local[1].State = Healthy
 	b, _ = word(now+2*time.Second, "b", never)
 	require.Equal(t, Observation{State: Healthy, Since: (now + 2*time.Second).Milliseconds()}, b, "it is taken back")
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -35,7 +35,8 @@
 				}
 			}
 			for range random.IntN(3) { // by several who found it
-				all = append(all, Delta{Ends: []End{{name, a.Incarnation(), now + time.Duration(random.IntN(9))*time.Second, random.IntN(2) == 0}}})
+				at := now + time.Duration(random.IntN(9))*time.Second
+				all = append(all, Delta{Ends: []End{{name, a.Incarnation(), at, random.IntN(2) == 0}}})
 			}
 		}
 	}
@@ -144,7 +145,12 @@
 	} {
 		require.True(t, v.Merge(now, fact(wrong)).Empty())
 	}
-	require.True(t, v.Merge(now, Delta{Ends: []End{{"", 1, now, false}, {"n", 1 << 63, now, false}, {"n", 1, now + time.Hour, false}, {"n", 1, 0, false}}}).Empty())
+	require.True(t, v.Merge(now, Delta{Ends: []End{
+		{"", 1, now, false},
+		{"n", 1 << 63, now, false},
+		{"n", 1, now + time.Hour, false},
+		{"n", 1, 0, false},
+	}}).Empty())
 	require.True(t, v.All().Empty())
 	for i := range 9 {
 		v.Merge(now, fact(func(f *Fact) { f.Key = Key{KindDatabase, fmt.Sprint(i)} }))
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -79,7 +79,7 @@
 		w.core.Flush()
 		if goesOn && w.now%(200*time.Millisecond) == 0 {
 			said = w.peers.Period(w.now, w.view)
-			w.view.Merge(w.now, membership.NewPublisher("n0", uint64(w.now.Milliseconds()), membership.DefaultBounds()).Publish(w.now, said))
+			w.publish("n0", said)
 		}
 	}
 	return said
@@ -91,7 +91,13 @@
 	for database, observation := range observations {
 		values[membership.Key{Kind: membership.KindDatabase, Subject: database}] = observation.Append(nil)
 	}
-	w.view.Merge(w.now, membership.NewPublisher(name, uint64(w.now.Milliseconds()), membership.DefaultBounds()).Publish(w.now, values))
+	w.publish(name, values)
+}
+
+// publish merges values of a pooler into the view, as those of a new incarnation.
+func (w *fixture) publish(name string, values map[membership.Key][]byte) {
+	publisher := membership.NewPublisher(name, uint64(w.now.Milliseconds()), membership.DefaultBounds())
+	w.view.Merge(w.now, publisher.Publish(w.now, values))
 }
 
 func (w *fixture) unavailable() int { return w.core.Figures().Unavailable }
