--- a/internal/membership/gossip/address_file.go
+++ b/internal/membership/gossip/address_file.go
@@ -17,29 +17,31 @@
 	"time"
 )
 
-// address is where a pooler was, and when it was last there.
+// address is where a pooler was reached.
 type address struct {
-	at   string
-	last time.Duration // since the Unix epoch
+	addr     string
+	lastSeen time.Duration // since the Unix epoch
 }
 
+// The file of remembered addresses. Its first line holds the header and the name of the cluster, each other line a
+// name, an address and a time in Unix milliseconds, and the last line a checksum.
 const (
-	memoryName  = "fleet-members"
-	memoryHead  = "capercove members 1 "
-	memoryMost  = 512 << 10 // bytes
-	memoryAhead = time.Hour // by which the clock of who wrote an entry may have been ahead
-	// temporaryNames are those of files that are to take the memory's place. Two processes of one name may write at once.
-	temporaryNames = memoryName + "-*"
-)
+	addressFileName     = "fleet-members"
+	addressFileHeader   = "capercove members 1 "
+	maxAddressFileBytes = 512 << 10
+	maxWriterSkew       = time.Hour // a time in the file may be this far in the future and still be trusted
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+	// temporaryPattern matches the files that are renamed to addressFileName once they are complete. Two processes of
+	// one pooler may write at the same time.
+	temporaryPattern = addressFileName + "-*"
+)
 
-// load reads the file. None is an empty one; one that is damaged, of another version or of another cluster is an error, and
-// nothing of it is used.
-func load(dir, cluster string, now time.Duration) (map[string]address, error) {
-	path := filepath.Join(dir, memoryName)
-	if info, err := os.Stat(path); err == nil && info.Size() > memoryMost {
-		return nil, fmt.Errorf("%s: %d bytes, %d at most", path, info.Size(), memoryMost)
+// loadAddressFile reads the file in a directory. It returns no addresses if there is no file, and an error if the
+// file is damaged, or of another version or cluster.
+func loadAddressFile(dir, cluster string, now time.Duration) (map[string]address, error) {
+	path := filepath.Join(dir, addressFileName)
+	if info, err := os.Stat(path); err == nil && info.Size() > maxAddressFileBytes {
+		return nil, fmt.Errorf("%s: %d bytes, %d at most", path, info.Size(), maxAddressFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -49,103 +51,127 @@
 		return nil, err
 	}
 	body, sum, found := strings.Cut(string(text), "\nsum ")
-	if !found || sum != fmt.Sprintf("%08x\n", crc32.Checksum([]byte(body), castagnoli)) {
+	if !found || sum != addressFileSum(body) {
 		return nil, fmt.Errorf("%s: damaged: the checksum is wrong", path)
 	}
 	lines := strings.Split(body, "\n")
-	if lines[0] != fmt.Sprintf("%s%q", memoryHead, cluster) {
+	if lines[0] != addressFileFirstLine(cluster) {
 		return nil, fmt.Errorf("%s:1: of another version or cluster", path)
 	}
-	members := map[string]address{}
+	addresses := map[string]address{}
 	for i, line := range lines[1:] {
-		var name, at string
-		var ms int64
-		if _, err := fmt.Sscanf(line, "%q %s %d", &name, &at, &ms); err != nil {
-			return nil, fmt.Errorf("%s:%d: %w", path, i+2, err)
-		}
-		if _, err := netip.ParseAddrPort(at); err != nil {
-			return nil, fmt.Errorf("%s:%d: %w", path, i+2, err)
+		name, parsed, err := parseAddressLine(line)
+		if err != nil {
+			return nil, fmt.Errorf("%s:%d: %w", path, i+2, err) // counted from 1, after the first line
 		}
-		members[name] = address{at, time.Duration(ms) * time.Millisecond}
+		addresses[name] = parsed
 	}
-	return chosen(members, now), nil
+	return selectAddresses(addresses, now), nil
+}
+
+// formatAddressFile returns the text of the file.
+func formatAddressFile(cluster string, addresses map[string]address) string {
+	var b strings.Builder
+	b.WriteString(addressFileFirstLine(cluster))
+	for _, name := range slices.Sorted(maps.Keys(addresses)) {
+		known := addresses[name]
+		fmt.Fprintf(&b, "\n%q %s %d", name, known.addr, known.lastSeen.Milliseconds())
+	}
+	return b.String() + "\nsum " + addressFileSum(b.String())
+}
+
+func addressFileFirstLine(cluster string) string {
+	return fmt.Sprintf("%s%q", addressFileHeader, cluster)
 }
 
-// chosen are the addresses that are of use, within the bound, those of poolers that were there last before others.
-// One that is too old is left out only where the times can be trusted. They cannot where the newest is too old or
-// any is ahead: a clock has been stepped, now or when they were written, or this pooler was away for long. An
-// address that nobody answers costs no more than a seed that is not up, and having none costs the way back to the
-// others.
-func chosen(members map[string]address, now time.Duration) map[string]address {
-	names := slices.SortedFunc(maps.Keys(members), func(a, b string) int {
-		return cmp.Or(cmp.Compare(members[b].last, members[a].last), strings.Compare(a, b))
+func addressFileSum(body string) string {
+	return fmt.Sprintf("%08x\n", crc32.Checksum([]byte(body), castagnoli))
+}
+
+func parseAddressLine(line string) (name string, parsed address, err error) {
+	var ms int64
+	if _, err := fmt.Sscanf(line, "%q %s %d", &name, &parsed.addr, &ms); err != nil {
+		return "", address{}, err
+	}
+	if _, err := netip.ParseAddrPort(parsed.addr); err != nil {
+		return "", address{}, err
+	}
+	parsed.lastSeen = time.Duration(ms) * time.Millisecond
+	return name, parsed, nil
+}
+
+// selectAddresses returns the addresses that are of use: maxAddresses at most, those seen last before others.
+//
+// An address that is too old is left out only if the times can be trusted. They cannot be if the newest is too old or
+// any is in the future: then a clock was stepped, now or when the file was written, or this pooler was away for long.
+// An address that nobody answers costs no more than a seed that is not running, while having none may cost the way
+// back to the others.
+func selectAddresses(addresses map[string]address, now time.Duration) map[string]address {
+	names := slices.SortedFunc(maps.Keys(addresses), func(a, b string) int {
+		return cmp.Or(cmp.Compare(addresses[b].lastSeen, addresses[a].lastSeen), strings.Compare(a, b))
 	})
 	if len(names) == 0 {
 		return nil
 	}
-	newest := members[names[0]].last
-	trusted := newest <= now+memoryAhead && now-newest < addressKept
-	kept := map[string]address{}
-	for _, name := range names[:min(len(names), rememberedMost)] {
-		a := members[name]
-		if trusted && now-a.last >= addressKept {
+	newest := addresses[names[0]].lastSeen
+	trusted := newest <= now+maxWriterSkew && now-newest < addressRetention
+	selected := map[string]address{}
+	for _, name := range names[:min(len(names), maxAddresses)] {
+		known := addresses[name]
+		if trusted && now-known.lastSeen >= addressRetention {
 			break
 		}
-		kept[name] = address{a.at, min(a.last, now)}
+		selected[name] = address{known.addr, min(known.lastSeen, now)}
 	}
-	return kept
+	return selected
 }
 
-// memoryFile is what is written to: *os.File, or in tests one that fails.
-type memoryFile interface {
+// writableFile is the part of *os.File that is needed to write. Tests pass one that fails.
+type writableFile interface {
 	io.StringWriter
 	Sync() error
 }
 
-// write writes a text and has it on disk when it returns.
-func write(f memoryFile, text string) error {
-	if _, err := f.WriteString(text); err != nil {
+// writeSynced writes a text and flushes it to disk.
+func writeSynced(file writableFile, text string) error {
+	if _, err := file.WriteString(text); err != nil {
 		return err
 	}
-	return f.Sync()
+	return file.Sync()
 }
 
-// keep writes the file anew and puts it in place of the old one, so that there is a whole one at any time.
-func keep(dir, cluster string, members map[string]address, write func(f memoryFile, text string) error) error {
-	var b strings.Builder
-	fmt.Fprintf(&b, "%s%q", memoryHead, cluster)
-	for _, name := range slices.Sorted(maps.Keys(members)) {
-		fmt.Fprintf(&b, "\n%q %s %d", name, members[name].at, members[name].last.Milliseconds())
-	}
-	text := fmt.Sprintf("%s\nsum %08x\n", b.String(), crc32.Checksum([]byte(b.String()), castagnoli))
-	f, err := os.CreateTemp(dir, temporaryNames)
+// saveAddressFile replaces the file in a directory atomically, so that a complete one exists at any time.
+func saveAddressFile(
+	dir, cluster string, addresses map[string]address, write func(file writableFile, text string) error,
+) error {
+	file, err := os.CreateTemp(dir, temporaryPattern)
 	if err != nil {
 		return err
 	}
-	err = write(f, text)
-	if err = errors.Join(err, f.Close()); err == nil {
-		err = os.Rename(f.Name(), filepath.Join(dir, memoryName))
+	err = errors.Join(write(file, formatAddressFile(cluster, addresses)), file.Close())
+	if err == nil {
+		err = os.Rename(file.Name(), filepath.Join(dir, addressFileName))
 	}
 	if err != nil {
-		os.Remove(f.Name())
+		_ = os.Remove(file.Name()) // the first error tells more, and the next start removes the file
 		return err
 	}
-	return syncFolder(dir)
+	return syncDir(dir)
 }
 
-// syncFolder has the names in a folder on disk.
-func syncFolder(dir string) error {
-	f, err := os.Open(dir)
+// syncDir flushes the entries of a directory to disk.
+func syncDir(dir string) error {
+	file, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	return errors.Join(f.Sync(), f.Close())
+	return errors.Join(file.Sync(), file.Close())
 }
 
-// temporaries are the files in a folder that are to take the memory's place, as they are now.
-func temporaries(dir string) map[string]fs.FileInfo {
+// temporaryFiles returns the temporary files in a directory, with their present state.
+func temporaryFiles(dir string) map[string]fs.FileInfo {
 	found := map[string]fs.FileInfo{}
-	paths, _ := filepath.Glob(filepath.Join(dir, temporaryNames)) // errors for a bad pattern alone
+	paths, _ := filepath.Glob(filepath.Join(dir, temporaryPattern)) // its only error is a malformed pattern
 	for _, path := range paths {
 		if info, err := os.Lstat(path); err == nil && info.Mode().IsRegular() {
 			found[path] = info
@@ -154,10 +180,10 @@
 	return found
 }
 
-// removeUnchanged removes temporary files that are as they were when they were found: whoever wrote them has been
-// killed since then or before. The caller leaves more time in between than a write takes. A writer that was merely
-// stopped for that long fails at its rename, and writes again.
-func removeUnchanged(found map[string]fs.FileInfo) error {
+// removeAbandoned removes temporary files that have not changed since they were found: their writers were killed. The
+// caller leaves more time in between than a write takes. A writer that was only stopped for that long fails at its
+// rename, and writes again.
+func removeAbandoned(found map[string]fs.FileInfo) error {
 	var failed error
 	for path, before := range found {
 		now, err := os.Lstat(path)
@@ -174,8 +200,8 @@
 	return failed
 }
 
-// cause is what a failed file operation says beside the names of files, which are others each time.
-func cause(err error) string {
+// errorCause returns the text of a failed file operation without the names of files, which differ each time.
+func errorCause(err error) string {
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
 		return errno.Error()
--- a/internal/membership/gossip/address_file_test.go
+++ b/internal/membership/gossip/address_file_test.go
@@ -17,60 +17,60 @@
 
 const epoch = 1_800_000_000 * time.Second
 
-// What is remembered comes back. A file cut off at any byte, with any byte made otherwise, of another cluster or larger than any
-// that is written is turned down whole; none is no error.
+// What is remembered comes back. A file cut off at any byte, with any byte made otherwise, of another cluster or
+// larger than any that is written is turned down whole; none is no error.
 func TestRemembered(t *testing.T) {
 	dir := t.TempDir()
 	members := map[string]address{"n 1": {"127.0.0.1:7946", epoch}, `odd "name`: {"[::1]:7946", epoch - time.Hour}}
-	got, err := load(dir, "c", epoch)
+	got, err := loadAddressFile(dir, "c", epoch)
 	require.NoError(t, err)
 	require.Empty(t, got)
-	require.NoError(t, keep(dir, "c", members, write))
-	got, err = load(dir, "c", epoch)
+	require.NoError(t, saveAddressFile(dir, "c", members, writeSynced))
+	got, err = loadAddressFile(dir, "c", epoch)
 	require.NoError(t, err)
 	require.Equal(t, members, got)
-	_, err = load(dir, "other", epoch)
+	_, err = loadAddressFile(dir, "other", epoch)
 	require.ErrorContains(t, err, "fleet-members:1: of another version or cluster")
-	got, err = load(dir, "c", epoch+addressKept-time.Minute)
+	got, err = loadAddressFile(dir, "c", epoch+addressRetention-time.Minute)
 	require.NoError(t, err)
 	require.Equal(t, map[string]address{"n 1": members["n 1"]}, got, "the other was there long ago")
 
-	path := filepath.Join(dir, memoryName)
+	path := filepath.Join(dir, addressFileName)
 	whole, err := os.ReadFile(path)
 	require.NoError(t, err)
 	for i := range whole {
 		require.NoError(t, os.WriteFile(path, whole[:i], 0o600))
-		_, err = load(dir, "c", epoch)
+		_, err = loadAddressFile(dir, "c", epoch)
 		require.Error(t, err, "cut off at %d", i)
 		damaged := append([]byte{}, whole...)
 		damaged[i] ^= 1 << (i % 8)
 		require.NoError(t, os.WriteFile(path, damaged, 0o600))
-		_, err = load(dir, "c", epoch)
+		_, err = loadAddressFile(dir, "c", epoch)
 		require.Error(t, err, "bit turned in byte %d", i)
 	}
-	require.NoError(t, os.WriteFile(path, make([]byte, memoryMost+1), 0o600))
-	_, err = load(dir, "c", epoch)
+	require.NoError(t, os.WriteFile(path, make([]byte, maxAddressFileBytes+1), 0o600))
+	_, err = loadAddressFile(dir, "c", epoch)
 	require.ErrorContains(t, err, "at most")
-	require.NoError(t, keep(dir, "c", members, write), "it is written anew")
-	require.Error(t, keep(filepath.Join(dir, "none"), "c", members, write))
+	require.NoError(t, saveAddressFile(dir, "c", members, writeSynced), "it is written anew")
+	require.Error(t, saveAddressFile(filepath.Join(dir, "none"), "c", members, writeSynced))
 	left, err := filepath.Glob(filepath.Join(dir, "*"))
 	require.NoError(t, err)
 	require.Equal(t, []string{path}, left, "nothing is left behind")
 
 	many := map[string]address{}
-	for i := range 3 * rememberedMost {
+	for i := range 3 * maxAddresses {
 		many[fmt.Sprint("n", i)] = address{"127.0.0.1:1", epoch}
 	}
-	require.NoError(t, keep(dir, "c", many, write))
-	got, err = load(dir, "c", epoch)
+	require.NoError(t, saveAddressFile(dir, "c", many, writeSynced))
+	got, err = loadAddressFile(dir, "c", epoch)
 	require.NoError(t, err)
-	require.Len(t, got, rememberedMost)
+	require.Len(t, got, maxAddresses)
 }
 
 // Times that a step of the clock has made impossible cost no address: what is too old goes only where the times can
 // be trusted.
 func TestRememberedOverAStep(t *testing.T) {
-	fresh, old := epoch-time.Minute, epoch-addressKept-time.Hour
+	fresh, old := epoch-time.Minute, epoch-addressRetention-time.Hour
 	for _, c := range []struct {
 		name    string
 		members map[string]time.Duration
@@ -78,14 +78,30 @@
 		want    map[string]time.Duration
 	}{
 		{"no step", map[string]time.Duration{"a": fresh, "b": old}, epoch, map[string]time.Duration{"a": fresh}},
-		{"two hours back", map[string]time.Duration{"a": fresh, "b": old}, epoch - 2*time.Hour,
-			map[string]time.Duration{"a": epoch - 2*time.Hour, "b": old}},
-		{"to the beginning of all", map[string]time.Duration{"a": fresh}, time.Hour,
-			map[string]time.Duration{"a": time.Hour}},
-		{"a year ahead", map[string]time.Duration{"a": fresh, "b": old}, epoch + 8766*time.Hour,
-			map[string]time.Duration{"a": fresh, "b": old}},
-		{"a year ahead when one was written", map[string]time.Duration{"a": fresh, "b": epoch + 8766*time.Hour}, epoch,
-			map[string]time.Duration{"a": fresh, "b": epoch}},
+		{
+			"two hours back",
+			map[string]time.Duration{"a": fresh, "b": old},
+			epoch - 2*time.Hour,
+			map[string]time.Duration{"a": epoch - 2*time.Hour, "b": old},
+		},
+		{
+			"to the beginning of all",
+			map[string]time.Duration{"a": fresh},
+			time.Hour,
+			map[string]time.Duration{"a": time.Hour},
+		},
+		{
+			"a year ahead",
+			map[string]time.Duration{"a": fresh, "b": old},
+			epoch + 8766*time.Hour,
+			map[string]time.Duration{"a": fresh, "b": old},
+		},
+		{
+			"a year ahead when one was written",
+			map[string]time.Duration{"a": fresh, "b": epoch + 8766*time.Hour},
+			epoch,
+			map[string]time.Duration{"a": fresh, "b": epoch},
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir, members, want := t.TempDir(), map[string]address{}, map[string]address{}
@@ -95,27 +111,27 @@
 			for name, last := range c.want {
 				want[name] = address{"127.0.0.1:7946", last}
 			}
-			require.NoError(t, keep(dir, "c", members, write))
-			got, err := load(dir, "c", c.now)
+			require.NoError(t, saveAddressFile(dir, "c", members, writeSynced))
+			got, err := loadAddressFile(dir, "c", c.now)
 			require.NoError(t, err)
 			require.Equal(t, want, got)
 		})
 	}
 	many := map[string]address{}
-	for i := range 2 * rememberedMost {
+	for i := range 2 * maxAddresses {
 		many[fmt.Sprintf("n%04d", i)] = address{"127.0.0.1:1", epoch + time.Duration(i)*time.Second}
 	}
-	kept := chosen(many, epoch)
-	require.Len(t, kept, rememberedMost)
-	require.Contains(t, kept, fmt.Sprintf("n%04d", 2*rememberedMost-1), "the newest go before others")
+	kept := selectAddresses(many, epoch)
+	require.Len(t, kept, maxAddresses)
+	require.Contains(t, kept, fmt.Sprintf("n%04d", 2*maxAddresses-1), "the newest go before others")
 }
 
 // failingDisk lets every write fail while it is set, as a full disk would: some of the text is there, and no more.
 type failingDisk struct{ errno syscall.Errno }
 
-func (d *failingDisk) write(f memoryFile, text string) error {
+func (d *failingDisk) write(f writableFile, text string) error {
 	if d.errno == 0 {
-		return write(f, text)
+		return writeSynced(f, text)
 	}
 	if _, err := f.WriteString(text[:len(text)/2]); err != nil {
 		return err
@@ -128,27 +144,29 @@
 func TestRememberedOnAFailingDisk(t *testing.T) {
 	dir, now, disk := t.TempDir(), epoch, &failingDisk{}
 	var logged bytes.Buffer
-	g := &Gossip{name: "a", config: Config{Dir: dir, Cluster: "c"}, pace: DefaultTiming(), log: zerolog.New(&logged),
-		clock: func() time.Duration { return now }, write: disk.write,
-		remembered: map[string]address{"b": {"127.0.0.1:1", now}}}
+	g := &Gossip{
+		name: "a", config: Config{Dir: dir, Cluster: "c"}, timing: DefaultTiming(), log: zerolog.New(&logged),
+		clock: func() time.Duration { return now }, writeFile: disk.write,
+		remembered: map[string]address{"b": {"127.0.0.1:1", now}},
+	}
 	step := func() map[string]address {
-		now += g.pace.Rejoin
-		g.keep(false)
-		got, err := load(dir, "c", now)
+		now += g.timing.RejoinInterval
+		g.saveAddresses(false)
+		got, err := loadAddressFile(dir, "c", now)
 		require.NoError(t, err)
 		return got
 	}
-	g.changed = true
+	g.unsaved = true
 	require.Len(t, step(), 1)
 	for i, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		disk.errno = errno
 		name := fmt.Sprint("n", i)
-		g.remembered[name], g.changed = address{"127.0.0.1:2", now}, true
-		failed := g.count.Unkept
+		g.remembered[name], g.unsaved = address{"127.0.0.1:2", now}, true
+		failed := g.counters.SaveErrors
 		for range 5 {
 			require.NotContains(t, step(), name)
 		}
-		require.Equal(t, failed+5, g.count.Unkept)
+		require.Equal(t, failed+5, g.counters.SaveErrors)
 		require.Equal(t, 1, strings.Count(logged.String(), errno.Error()), logged.String())
 		disk.errno = 0
 		require.Contains(t, step(), name, "with no further change")
@@ -166,11 +184,11 @@
 	for _, name := range []string{"fleet-members-1", "fleet-members-2", "fleet-members-3", "fleet-members", "other"} {
 		require.NoError(t, os.WriteFile(path(name), []byte("half"), 0o600))
 	}
-	found := temporaries(dir)
+	found := temporaryFiles(dir)
 	require.Len(t, found, 3)
 	require.NoError(t, os.WriteFile(path("fleet-members-2"), []byte("half and more"), 0o600))
 	require.NoError(t, os.Remove(path("fleet-members-3")))
-	require.NoError(t, removeUnchanged(found))
+	require.NoError(t, removeAbandoned(found))
 	left, err := filepath.Glob(path("*"))
 	require.NoError(t, err)
 	require.Equal(t, []string{path("fleet-members"), path("fleet-members-2"), path("other")}, left)
--- a/internal/membership/gossip/addresses.go
+++ b/internal/membership/gossip/addresses.go
@@ -5,27 +5,34 @@
 	"time"
 )
 
-// A pooler that restarts finds the others through a small file, also when no seed is up. It holds addresses alone and counts as
-// no more than a seed: who is there is found out anew.
+// A pooler that restarts finds the others by a small file, even if no seed is running. The file holds addresses alone,
+// which are used like seeds: which poolers are live is found out anew.
 
-// keepRemembered writes the remembered members whenever they have changed. It has a goroutine of its own: a disk
-// that hangs must not keep the fleet from talking.
-func (g *Gossip) keepRemembered() {
+// remember keeps the address of a failed pooler, within the limit. The caller holds mu.
+func (g *Gossip) remember(name, addr string, now time.Duration) {
+	if _, known := g.remembered[name]; known || len(g.remembered) < maxAddresses {
+		g.remembered[name] = address{addr, now}
+	}
+}
+
+// runSaver saves the addresses whenever they have changed, until Stop. It has a goroutine of its own, as a disk that
+// hangs must not stop the exchange.
+func (g *Gossip) runSaver() {
 	if g.config.Dir == "" {
 		return
 	}
-	tick := time.NewTicker(g.pace.Period)
-	defer tick.Stop()
-	leftOver := temporaries(g.config.Dir)
-	clean := time.NewTimer(g.pace.Rejoin)
-	defer clean.Stop()
+	ticker := time.NewTicker(g.timing.Period)
+	defer ticker.Stop()
+	abandoned := temporaryFiles(g.config.Dir)
+	cleanup := time.NewTimer(g.timing.RejoinInterval)
+	defer cleanup.Stop()
 	for {
 		select {
-		case <-tick.C:
-			g.keep(false)
-		case <-clean.C:
-			if err := removeUnchanged(leftOver); err != nil {
-				g.log.Warn().Str("why", cause(err)).Msg("fleet: files that were left behind cannot be removed")
+		case <-ticker.C:
+			g.saveAddresses(false)
+		case <-cleanup.C:
+			if err := removeAbandoned(abandoned); err != nil {
+				g.log.Warn().Str("why", errorCause(err)).Msg("fleet: files that were left behind cannot be removed")
 			}
 		case <-g.stop:
 			return
@@ -33,36 +40,21 @@
 	}
 }
 
-// keep writes the remembered members and those that are there, if they have changed. What could not be written is
-// written again later.
-func (g *Gossip) keep(last bool) {
-	g.mu.Lock()
-	now := g.clock()
-	if g.config.Dir == "" || !g.changed || !last && now-g.kept < g.pace.Rejoin {
-		g.mu.Unlock()
+// saveAddresses saves the addresses of members and of remembered poolers if they have changed, once in each
+// RejoinInterval at most unless it is the last time. A failed attempt is repeated.
+func (g *Gossip) saveAddresses(last bool) {
+	addresses, due := g.addressesToSave(last)
+	if !due {
 		return
 	}
-	g.kept, g.changed = now, false
-	members := maps.Clone(g.remembered)
-	for name, p := range g.members {
-		members[name] = address{p.node.Address(), now}
-	}
-	g.mu.Unlock()
-	err := keep(g.config.Dir, g.config.Cluster, members, g.write)
-	why := ""
-	if err != nil {
-		why = cause(err)
-	}
-	g.mu.Lock()
-	before := g.unkept
-	g.unkept = why
+	err := saveAddressFile(g.config.Dir, g.config.Cluster, addresses, g.writeFile)
+	cause := ""
 	if err != nil {
-		g.count.Unkept++
-		g.changed = true
+		cause = errorCause(err)
 	}
-	g.mu.Unlock()
+	before := g.recordSave(cause)
 	switch {
-	case why == before:
+	case cause == before:
 	case err != nil:
 		g.log.Error().Err(err).Msg("fleet: the members cannot be remembered; tried again")
 	default:
@@ -70,9 +62,30 @@
 	}
 }
 
-// remember keeps an address, within the bound; mu is held.
-func (g *Gossip) remember(name, at string, now time.Duration) {
-	if _, has := g.remembered[name]; has || len(g.remembered) < rememberedMost {
-		g.remembered[name] = address{at, now}
+// addressesToSave returns the addresses to save now, and whether there is anything to do.
+func (g *Gossip) addressesToSave(last bool) (addresses map[string]address, due bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	now := g.clock()
+	if g.config.Dir == "" || !g.unsaved || !last && now-g.savedAt < g.timing.RejoinInterval {
+		return nil, false
+	}
+	g.savedAt, g.unsaved = now, false
+	addresses = maps.Clone(g.remembered)
+	for name, member := range g.members {
+		addresses[name] = address{member.node.Address(), now}
+	}
+	return addresses, true
+}
+
+// recordSave notes the cause of a failed attempt, or "", and returns that of the attempt before.
+func (g *Gossip) recordSave(cause string) (before string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	before, g.saveError = g.saveError, cause
+	if cause != "" {
+		g.counters.SaveErrors++
+		g.unsaved = true
 	}
+	return before
 }
--- a/internal/membership/gossip/agreement.go
+++ b/internal/membership/gossip/agreement.go
@@ -6,70 +6,73 @@
 	"time"
 )
 
-// agreement follows whether the views of the others are as this pooler's. Digests are heard late and views change meanwhile, so
-// that another's agrees if this pooler has held the same a moment ago, or comes to hold it soon. It is pure.
+// Whether another pooler's view agrees with this pooler's. The texts are shown to operators.
+const (
+	viewAgrees  = "yes"
+	viewDiffers = "no"
+	viewUnknown = "?" // nothing has been received, or it may still converge
+)
+
+// agreement tracks whether the views of the other poolers equal this pooler's, by their digests. Digests arrive late
+// while views change. Another view therefore agrees if this pooler had the same digest a moment ago, or gets it soon.
+// It is a deterministic state machine: the time is passed to it.
 type agreement struct {
-	within time.Duration
-	own    []held // what this pooler held of late, the newest last
-	others map[string]*told
+	tolerance  time.Duration
+	ownDigests []ownDigest // of the last moments, the newest last
+	peers      map[string]*peerDigest
 
-	agrees bool
-	since  time.Duration // of agrees
+	agrees bool          // no peer's view differs
+	since  time.Duration // when agrees last changed
 }
 
-type held struct {
-	digest uint64
-	until  time.Duration // when it was last held
+type ownDigest struct {
+	digest   uint64
+	lastHeld time.Duration
 }
 
-// told is what another said last of its view.
-type told struct {
-	digest uint64
-	at     time.Duration
-	known  bool          // it has said something since it is there
-	equal  bool          // it has been this pooler's too
-	opened time.Duration // of a digest that has not been this pooler's: when the first such came since one that has
+// peerDigest is the last digest of another pooler.
+type peerDigest struct {
+	digest       uint64
+	receivedAt   time.Duration
+	known        bool          // one has been received
+	matched      bool          // this pooler has had it, too
+	differsSince time.Duration // if not matched: when the first that differed arrived after one that matched
 }
 
-func newAgreement(within, now time.Duration) *agreement {
-	return &agreement{within: within, others: map[string]*told{}, since: now}
+func newAgreement(tolerance, now time.Duration) *agreement {
+	return &agreement{tolerance: tolerance, peers: map[string]*peerDigest{}, since: now}
 }
 
-// tell takes in another's digest.
-func (a *agreement) tell(now time.Duration, name string, digest uint64) {
-	o := a.others[name]
-	if o == nil {
-		return // it is not there, or not yet
+// receive handles another pooler's digest. It is ignored if the pooler was not present at the last update.
+func (a *agreement) receive(now time.Duration, name string, digest uint64) {
+	peer := a.peers[name]
+	if peer == nil {
+		return
 	}
-	if o.known && o.digest == digest && o.equal {
-		o.at = now
+	if peer.known && peer.digest == digest && peer.matched {
+		peer.receivedAt = now
 		return
 	}
-	equal := slices.ContainsFunc(a.own, func(h held) bool { return h.digest == digest })
-	if !equal && (!o.known || o.equal) {
-		o.opened = now
+	matched := slices.ContainsFunc(a.ownDigests, func(own ownDigest) bool { return own.digest == digest })
+	if !matched && (!peer.known || peer.matched) {
+		peer.differsSince = now
 	}
-	o.digest, o.at, o.known, o.equal = digest, now, true, equal
+	peer.digest, peer.receivedAt, peer.known, peer.matched = digest, now, true, matched
 }
 
-// step takes in this pooler's digest and who is there, and tells whether the verdict on all has changed.
-func (a *agreement) step(now time.Duration, digest uint64, there map[string]bool) (changed bool) {
-	if n := len(a.own); n > 0 && a.own[n-1].digest == digest {
-		a.own[n-1].until = now
-	} else {
-		a.own = append(a.own, held{digest, now})
-	}
-	a.own = slices.DeleteFunc(a.own, func(h held) bool { return now-h.until > a.within })
-	maps.DeleteFunc(a.others, func(name string, _ *told) bool { return !there[name] })
+// update handles this pooler's digest and the names of the poolers that are present, and tells whether agrees changed.
+func (a *agreement) update(now time.Duration, digest uint64, present map[string]bool) (changed bool) {
+	a.hold(now, digest)
+	maps.DeleteFunc(a.peers, func(name string, _ *peerDigest) bool { return !present[name] })
 	agrees := true
-	for name := range there {
-		o := a.others[name]
-		if o == nil {
-			o = &told{}
-			a.others[name] = o
+	for name := range present {
+		peer := a.peers[name]
+		if peer == nil {
+			peer = &peerDigest{}
+			a.peers[name] = peer
 		}
-		o.equal = o.equal || o.known && o.digest == digest
-		agrees = agrees && a.verdict(now, o) != "no"
+		peer.matched = peer.matched || peer.known && peer.digest == digest
+		agrees = agrees && a.verdict(now, peer) != viewDiffers
 	}
 	if agrees == a.agrees {
 		return false
@@ -78,15 +81,25 @@
 	return true
 }
 
-// verdict is "yes", "no", or "?" where nothing has been heard or it may still come to agree.
-func (a *agreement) verdict(now time.Duration, o *told) string {
+// hold records this pooler's digest, and forgets those that it had too long ago.
+func (a *agreement) hold(now time.Duration, digest uint64) {
+	if n := len(a.ownDigests); n > 0 && a.ownDigests[n-1].digest == digest {
+		a.ownDigests[n-1].lastHeld = now
+	} else {
+		a.ownDigests = append(a.ownDigests, ownDigest{digest, now})
+	}
+	a.ownDigests = slices.DeleteFunc(a.ownDigests, func(own ownDigest) bool { return now-own.lastHeld > a.tolerance })
+}
+
+// verdict returns viewAgrees, viewDiffers or viewUnknown.
+func (a *agreement) verdict(now time.Duration, peer *peerDigest) string {
 	switch {
-	case o == nil || !o.known:
-		return "?"
-	case o.equal:
-		return "yes"
-	case now-o.opened < a.within:
-		return "?"
+	case peer == nil || !peer.known:
+		return viewUnknown
+	case peer.matched:
+		return viewAgrees
+	case now-peer.differsSince < a.tolerance:
+		return viewUnknown
 	}
-	return "no"
+	return viewDiffers
 }
--- a/internal/membership/gossip/config.go
+++ b/internal/membership/gossip/config.go
@@ -13,18 +13,18 @@
 // Config is table [fleet] of the operators' file.
 type Config struct {
 	Enabled   bool     `toml:"enabled"`
-	Cluster   string   `toml:"cluster"`   // others' members and datagrams are turned away
-	Listen    string   `toml:"listen"`    // where peers reach this pooler, TCP and UDP, such as "127.0.0.1:7946"
-	Advertise string   `toml:"advertise"` // ... if they reach it elsewhere
-	Seeds     []string `toml:"seeds"`     // some poolers' addresses; they need not be up yet
-	Zone      string   `toml:"zone"`      // where this pooler stands, to be shown
-	Dir       string   `toml:"dir"`       // poolers are remembered here over a restart; empty: they are not
-	Slower    float64  `toml:"slower"`    // all times are longer by this factor; 0: they are those of DefaultPace
+	Cluster   string   `toml:"cluster"`   // name of the installation: packets of others are rejected
+	Listen    string   `toml:"listen"`    // TCP and UDP address for other poolers, such as "127.0.0.1:7946"
+	Advertise string   `toml:"advertise"` // address under which they reach it; empty: Listen
+	Seeds     []string `toml:"seeds"`     // addresses of some poolers, which need not run yet
+	Zone      string   `toml:"zone"`      // of this pooler, shown to operators
+	Dir       string   `toml:"dir"`       // holds the remembered addresses; empty: they are not remembered
+	Slower    float64  `toml:"slower"`    // factor on the times of DefaultTiming; 0: 1
 
 	membership.Uses
 }
 
-// Check finds what is wrong with the table.
+// Check validates the table. Its errors name the key at fault. A table that is not enabled is not checked.
 func (c Config) Check() error {
 	if !c.Enabled {
 		return nil
@@ -33,8 +33,8 @@
 		return tables.Bad("cluster", "empty: poolers of other installations would be let in")
 	}
 	for key, text := range map[string]string{"cluster": c.Cluster, "zone": c.Zone} {
-		if len(text) > 64 {
-			return tables.Bad(key, "%d bytes, 64 at most", len(text))
+		if len(text) > maxNameBytes {
+			return tables.Bad(key, "%d bytes, %d at most", len(text), maxNameBytes)
 		}
 	}
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
@@ -43,58 +43,81 @@
 	if _, err := netip.ParseAddrPort(c.Advertise); c.Advertise != "" && err != nil {
 		return tables.Bad("advertise", "%v", err)
 	}
-	if c.Slower != 0 && !(c.Slower >= 0.05 && c.Slower <= 20) {
-		return tables.Bad("slower", "%v is not from 0.05 to 20", c.Slower)
+	if c.Slower != 0 && !(c.Slower >= minSlower && c.Slower <= maxSlower) {
+		return tables.Bad("slower", "%v is not from %v to %v", c.Slower, minSlower, maxSlower)
 	}
 	if c.Connections < 0 {
 		return tables.Bad("connections", "%d is under 0", c.Connections)
 	}
-	if len(c.Seeds) > seedsMost {
-		return tables.Bad("seeds", "%d of them, %d at most", len(c.Seeds), seedsMost)
+	if len(c.Seeds) > maxSeeds {
+		return tables.Bad("seeds", "%d of them, %d at most", len(c.Seeds), maxSeeds)
 	}
-	for i, s := range c.Seeds {
-		if _, _, err := net.SplitHostPort(s); err != nil {
+	for i, seed := range c.Seeds {
+		if _, _, err := net.SplitHostPort(seed); err != nil {
 			return tables.Bad(fmt.Sprintf("seeds[%d]", i), "%v", err)
 		}
 	}
 	return nil
 }
 
-// Timing is how fast a fleet finds out and talks.
+// Timing holds the intervals and timeouts of the exchange.
 type Timing struct {
-	Period  time.Duration // of news, and of what memberlist sends
-	Probe   time.Duration // one member is asked whether it lives this often
-	Timeout time.Duration // ... and is suspected without an answer by then
-	Rejoin  time.Duration // one that is gone, or a seed that is not there, is tried again this often
-	Bind    time.Duration // an address that is taken is tried again this often
-	Agree   time.Duration // views that differ for so long do not agree
-	LogEach time.Duration // at most one line a kind of bad input in this time
+	Period         time.Duration // between updates, and between the packets of memberlist
+	ProbeInterval  time.Duration // between probes, each of one member
+	ProbeTimeout   time.Duration // after which a member that has not answered a probe is suspected
+	RejoinInterval time.Duration // between attempts to reach failed poolers and absent seeds
+	BindRetry      time.Duration // between attempts to listen on an address that is in use
+	AgreementDelay time.Duration // views that differ for this long do not agree
+	LogInterval    time.Duration // between log lines on the same kind of rejected input
 }
 
-// DefaultTiming is for poolers some milliseconds apart.
+// DefaultTiming returns the timing for poolers some milliseconds apart.
 func DefaultTiming() Timing {
-	return Timing{Period: 200 * time.Millisecond, Probe: time.Second, Timeout: 500 * time.Millisecond, Rejoin: 5 * time.Second,
-		Bind: 100 * time.Millisecond, Agree: 10 * time.Second, LogEach: time.Second}
+	return Timing{
+		Period:         200 * time.Millisecond,
+		ProbeInterval:  time.Second,
+		ProbeTimeout:   500 * time.Millisecond,
+		RejoinInterval: 5 * time.Second,
+		BindRetry:      100 * time.Millisecond,
+		AgreementDelay: 10 * time.Second,
+		LogInterval:    time.Second,
+	}
 }
 
-// Timing is the table's.
+// Timing returns the default timing, with the times of the exchange itself multiplied by Slower.
 func (c Config) Timing() Timing {
-	p := DefaultTiming()
+	timing := DefaultTiming()
 	if c.Slower > 0 {
-		for _, t := range []*time.Duration{&p.Period, &p.Probe, &p.Timeout, &p.Rejoin} {
-			*t = time.Duration(float64(*t) * c.Slower)
+		for _, value := range []*time.Duration{
+			&timing.Period, &timing.ProbeInterval, &timing.ProbeTimeout, &timing.RejoinInterval,
+		} {
+			*value = time.Duration(float64(*value) * c.Slower)
 		}
 	}
-	return p
+	return timing
 }
 
+// Limits of the table.
+const (
+	maxSeeds     = 64
+	maxNameBytes = 64
+	minSlower    = 0.05
+	maxSlower    = 20
+)
+
 const (
-	seedsMost      = 64
-	rememberedMost = 1024               // poolers of which addresses are kept
-	messageMost    = 4 << 20            // bytes of a message that are read
-	tries          = 4                  // addresses beside the seeds that are tried at once
-	verdict        = 3                  // periods in which a member's own word that it leaves may still come
-	unmetFor       = 4                  // times Rejoin, twice the library's exchange of members, that one known by word alone is waited for
-	version        = 1                  // of what is sent; one of another is not read
-	addressKept    = 7 * 24 * time.Hour // an address is remembered after its pooler was last there
+	protocolVersion  = 1                  // of messages; others are rejected
+	maxMessageBytes  = 4 << 20            // decoded of one message
+	maxAddresses     = 1024               // remembered, and likewise other entries by pooler
+	addressRetention = 7 * 24 * time.Hour // an address is remembered for this long after its pooler last responded
+
+	departedPeriods     = 3  // a pooler's own announcement that it leaves may arrive this many periods late
+	rejoinAddresses     = 4  // remembered ones that are contacted at once, beside the seeds
+	firstRejoinFraction = 10 // the first attempt to rejoin is made after this fraction of RejoinInterval
+
+	// Memberlist exchanges its members with a random one every two RejoinIntervals, which repairs lost news of them, as
+	// after a network partition between many. A pooler that it has not found after two exchanges has failed.
+	pushPullRejoins    = 2
+	unconfirmedRejoins = 2 * pushPullRejoins
+	tcpProbeTimeouts   = 4 // timeout of memberlist's streams, in ProbeTimeouts
 )
--- a/internal/membership/gossip/contact.go
+++ b/internal/membership/gossip/contact.go
@@ -5,38 +5,47 @@
 	"time"
 )
 
-// heard is what the library tells beside its members. It has a lock of its own, as the library logs while it is being called.
-type heard struct {
-	mu        sync.Mutex
-	answered  map[string]time.Duration // when this pooler last heard from each
-	suspected map[string]time.Duration // who has not been heard since it did not answer
-	refused   int64                    // what it could not read or turned away, such as from another cluster
+// contacts record when other poolers responded, and which of them memberlist suspects. They have a lock of their own,
+// as memberlist also logs, and so reports suspicions, while it is being called with Gossip's lock held.
+type contacts struct {
+	mu             sync.Mutex
+	lastAnswer     map[string]time.Duration
+	suspectedSince map[string]time.Duration // those that did not answer a probe, until they are heard again
+	rejected       int64                    // packets that memberlist rejected, such as those of another cluster
 }
 
-func (h *heard) answer(name string, now time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.answered[name] = now
-	delete(h.suspected, name)
+func newContacts() contacts {
+	return contacts{lastAnswer: map[string]time.Duration{}, suspectedSince: map[string]time.Duration{}}
 }
 
-func (h *heard) suspect(name string, now time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if _, already := h.suspected[name]; !already && len(h.suspected) < rememberedMost {
-		h.suspected[name] = now
+// recordAnswer notes that a pooler responded, which ends a suspicion.
+func (c *contacts) recordAnswer(name string, now time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastAnswer[name] = now
+	delete(c.suspectedSince, name)
+}
+
+// recordSuspicion notes that a pooler did not answer a probe.
+func (c *contacts) recordSuspicion(name string, now time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, already := c.suspectedSince[name]; !already && len(c.suspectedSince) < maxAddresses {
+		c.suspectedSince[name] = now
 	}
 }
 
-func (h *heard) forget(name string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.answered, name)
-	delete(h.suspected, name)
+// forget removes everything that is recorded of a pooler.
+func (c *contacts) forget(name string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.lastAnswer, name)
+	delete(c.suspectedSince, name)
 }
 
-func (h *heard) refuse() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.refused++
+// recordRejection counts a packet that memberlist rejected.
+func (c *contacts) recordRejection() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.rejected++
 }
--- a/internal/membership/gossip/delegate.go
+++ b/internal/membership/gossip/delegate.go
@@ -11,93 +11,124 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// What memberlist calls, on goroutines of its own.
+// Memberlist calls the types of this file, on goroutines of its own.
 
-type events struct{ g *Gossip }
+// eventDelegate receives changes of the members.
+type eventDelegate struct{ g *Gossip }
 
-func (e events) NotifyJoin(n *memberlist.Node) {
-	if n.Name == e.g.name {
+// NotifyJoin implements memberlist.EventDelegate.
+func (e eventDelegate) NotifyJoin(node *memberlist.Node) {
+	if node.Name == e.g.name {
 		return
 	}
-	e.g.mu.Lock()
-	now := e.g.clock()
-	delete(e.g.missing, n.Name)
-	e.g.heard.forget(n.Name) // against a suspicion of its former life that came late
-	delete(e.g.remembered, n.Name)
-	e.g.changed = true
-	e.g.members[n.Name] = &peer{node: memberlist.Node{Name: n.Name, Addr: slices.Clone(n.Addr), Port: n.Port}, since: now} // theirs changes
-	e.g.mu.Unlock()
-	e.g.log.Info().Str("pooler", n.Name).Str("at", n.Address()).Msg("fleet: is there")
+	e.g.addMember(node)
+	e.g.log.Info().Str("pooler", node.Name).Str("at", node.Address()).Msg("fleet: is there")
+}
+
+func (g *Gossip) addMember(node *memberlist.Node) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	delete(g.departed, node.Name)
+	g.contacts.forget(node.Name) // A suspicion of its previous incarnation may have come late.
+	delete(g.remembered, node.Name)
+	g.unsaved = true
+	g.members[node.Name] = &peer{node: copyNode(node), foundAt: g.clock()}
+}
+
+// copyNode returns the parts of a node that are used here. Memberlist changes its own nodes.
+func copyNode(node *memberlist.Node) memberlist.Node {
+	return memberlist.Node{Name: node.Name, Addr: slices.Clone(node.Addr), Port: node.Port}
 }
 
-func (e events) NotifyLeave(n *memberlist.Node) {
-	if n.Name == e.g.name {
+// NotifyLeave implements memberlist.EventDelegate. It is also called for members that failed.
+func (e eventDelegate) NotifyLeave(node *memberlist.Node) {
+	if node.Name == e.g.name {
 		return
 	}
 	e.g.mu.Lock()
 	defer e.g.mu.Unlock()
-	e.g.heard.forget(n.Name)
-	if p := e.g.members[n.Name]; p != nil {
-		p.went = e.g.clock()
-		e.g.missing[n.Name] = p
-		delete(e.g.members, n.Name)
+	e.g.contacts.forget(node.Name)
+	if member := e.g.members[node.Name]; member != nil {
+		member.lostAt = e.g.clock()
+		e.g.departed[node.Name] = member
+		delete(e.g.members, node.Name)
 	}
 }
 
-func (e events) NotifyUpdate(n *memberlist.Node) { // Its address may be another one.
+// NotifyUpdate implements memberlist.EventDelegate. The address of a member may have changed.
+func (e eventDelegate) NotifyUpdate(node *memberlist.Node) {
 	e.g.mu.Lock()
 	defer e.g.mu.Unlock()
-	if p := e.g.members[n.Name]; p != nil {
-		p.node = memberlist.Node{Name: n.Name, Addr: slices.Clone(n.Addr), Port: n.Port}
-		e.g.changed = true
+	if member := e.g.members[node.Name]; member != nil {
+		member.node = copyNode(node)
+		e.g.unsaved = true
 	}
 }
 
-type conflicts struct{ g *Gossip }
+// conflictDelegate receives poolers of the same name.
+type conflictDelegate struct{ g *Gossip }
 
-func (c conflicts) NotifyConflict(existing, other *memberlist.Node) {
-	c.g.turnDown(&c.g.count.Conflicts, fmt.Sprintf("two poolers bear the name %q, at %s and %s", existing.Name, existing.Address(), other.Address()))
+// NotifyConflict implements memberlist.ConflictDelegate.
+func (c conflictDelegate) NotifyConflict(existing, other *memberlist.Node) {
+	c.g.reject(&c.g.counters.Conflicts, fmt.Sprintf("two poolers bear the name %q, at %s and %s",
+		existing.Name, existing.Address(), other.Address()))
 }
 
-// pings tell with each answer to memberlist's own question what the view is.
-type pings struct{ g *Gossip }
+// pingDelegate adds the digest of the view to each answer to a probe of memberlist.
+type pingDelegate struct{ g *Gossip }
 
-func (p pings) AckPayload() []byte {
-	return binary.BigEndian.AppendUint64([]byte{version}, p.g.digest.Load())
+const ackPayloadBytes = 1 + 8 // protocol version and digest
+
+// AckPayload implements memberlist.PingDelegate.
+func (p pingDelegate) AckPayload() []byte {
+	return binary.BigEndian.AppendUint64([]byte{protocolVersion}, p.g.digest.Load())
 }
 
-func (p pings) NotifyPingComplete(n *memberlist.Node, _ time.Duration, payload []byte) {
+// NotifyPingComplete implements memberlist.PingDelegate.
+func (p pingDelegate) NotifyPingComplete(node *memberlist.Node, _ time.Duration, payload []byte) {
 	p.g.mu.Lock()
 	defer p.g.mu.Unlock()
 	now := p.g.clock()
-	if p.g.members[n.Name] != nil {
-		p.g.heard.answer(n.Name, now)
+	if p.g.members[node.Name] != nil {
+		p.g.contacts.recordAnswer(node.Name, now)
 	}
-	if len(payload) == 9 && payload[0] == version {
-		p.g.agreement.tell(now, n.Name, binary.BigEndian.Uint64(payload[1:]))
+	if len(payload) == ackPayloadBytes && payload[0] == protocolVersion {
+		p.g.agreement.receive(now, node.Name, binary.BigEndian.Uint64(payload[1:]))
 	}
 }
 
-type delegate struct{ g *Gossip }
+// userDelegate receives messages of other poolers. Memberlist's own broadcasts and state exchange are not used.
+type userDelegate struct{ g *Gossip }
+
+// NotifyMsg implements memberlist.Delegate. Memberlist uses the buffer again after it returns.
+func (d userDelegate) NotifyMsg(data []byte) { d.g.receive(bytes.Clone(data)) }
+
+// NodeMeta implements memberlist.Delegate: there is none.
+func (userDelegate) NodeMeta(int) []byte { return nil }
+
+// GetBroadcasts implements memberlist.Delegate: there are none.
+func (userDelegate) GetBroadcasts(int, int) [][]byte { return nil }
+
+// LocalState implements memberlist.Delegate: there is none.
+func (userDelegate) LocalState(bool) []byte { return nil }
 
-func (d delegate) NotifyMsg(b []byte)            { d.g.hear(bytes.Clone(b)) }
-func (delegate) NodeMeta(int) []byte             { return nil }
-func (delegate) GetBroadcasts(int, int) [][]byte { return nil }
-func (delegate) LocalState(bool) []byte          { return nil }
-func (delegate) MergeRemoteState([]byte, bool)   {}
+// MergeRemoteState implements memberlist.Delegate: it ignores the state.
+func (userDelegate) MergeRemoteState([]byte, bool) {}
 
-// library passes on what memberlist logs: its warnings and errors are bad input as often as not. That it suspects a member it
-// tells nowhere else.
-type library struct{ g *Gossip }
+// memberlistLog reads what memberlist logs. Its warnings and errors are mostly about rejected input. Suspicions of
+// members are reported nowhere else.
+type memberlistLog struct{ g *Gossip }
 
-var suspects = regexp.MustCompile(`memberlist: Suspect (.+) has failed, no acks received`)
+var suspectLine = regexp.MustCompile(`memberlist: Suspect (.+) has failed, no acks received`)
 
-func (l library) Write(line []byte) (int, error) {
-	if m := suspects.FindSubmatch(line); m != nil {
-		l.g.heard.suspect(string(m[1]), l.g.clock())
-		l.g.log.Debug().Str("pooler", string(m[1])).Msg("fleet: does not answer")
+// Write implements io.Writer for one line. It returns no errors.
+func (l memberlistLog) Write(line []byte) (int, error) {
+	if match := suspectLine.FindSubmatch(line); match != nil {
+		name := string(match[1])
+		l.g.contacts.recordSuspicion(name, l.g.clock())
+		l.g.log.Debug().Str("pooler", name).Msg("fleet: does not answer")
 	} else if bytes.Contains(line, []byte("[ERR]")) || bytes.Contains(line, []byte("[WARN]")) {
-		l.g.heard.refuse()
+		l.g.contacts.recordRejection()
 		l.g.log.Debug().Msg("fleet: " + string(bytes.TrimSpace(line)))
 	}
 	return len(line), nil
--- a/internal/membership/gossip/gossip.go
+++ b/internal/membership/gossip/gossip.go
@@ -1,5 +1,6 @@
-// Package gossip drives the fleet's view on hashicorp/memberlist: that finds who is there, package fleet remembers and tells
-// what is known together. Nothing here is on a request's path.
+// Package gossip runs the shared view of package membership on a network. It uses hashicorp/memberlist to find out
+// which poolers respond, sends updates and summaries between them, and remembers their addresses over a restart.
+// Nothing here is on the path of a request.
 package gossip
 
 import (
@@ -20,176 +21,227 @@
 	"capercove/internal/membership"
 )
 
-// Counters count what came in and was turned down.
+// Counters count events of the transport.
 type Counters struct {
-	Garbled   int64 // messages that could not be read
-	Versions  int64 // ... of another version
-	Conflicts int64 // messages of a second pooler by a name that is there
-	Joins     int64 // seeds and others that were reached again
-	Refuted   int64 // times this pooler was told of its own end while it lived
-	Periods   int64 // that this pooler has talked for
-	Unkept    int64 // times the remembered members could not be read or written
+	Malformed    int64 `json:"Garbled"`  // messages that could not be read
+	WrongVersion int64 `json:"Versions"` // messages of another protocol version
+	Conflicts    int64 // messages of a second pooler under a name that is in use
+	Rejoins      int64 `json:"Joins"`   // seeds and remembered addresses that were reached again
+	Refutations  int64 `json:"Refuted"` // times this pooler was reported as gone while it was running
+	Periods      int64 // gossip periods since the start
+	SaveErrors   int64 `json:"Unkept"` // times the remembered addresses could not be read or written
 }
 
-// Gossip is one pooler's part of the fleet.
+// Observe is called once in each period, with a view that it may use until it returns. It returns the values that the
+// pooler publishes.
+type Observe func(now time.Duration, view *membership.View) map[membership.Key][]byte
+
+// Gossip is the part of one pooler in the exchange. It is safe for concurrent use.
 type Gossip struct {
-	name   string
-	config Config
-	pace   Timing
-	log    zerolog.Logger
-	clock  func() time.Duration
-	period func(now time.Duration, v *membership.View) map[membership.Key][]byte
-	began  time.Duration
-	stop   chan struct{}
-	ended  sync.WaitGroup
-	digest atomic.Uint64 // of the view, as last told
-	write  func(f memoryFile, text string) error
-	heard  heard
-
-	mu         sync.Mutex
-	list       *memberlist.Memberlist // nil until the address is to be had
-	waits      string                 // why there is none yet
-	talk       *membership.Disseminator
-	members    map[string]*peer   // that are there, this pooler left out
-	missing    map[string]*peer   // that have gone just now: whether they left is not known yet
-	unmet      map[string]unmet   // that others' words tell of and that the library has not found
-	remembered map[string]address // where those are that went without a word, and that were there before a restart
-	agreement  *agreement
-	stopping   bool
-	count      Counters
-	logged     map[string]time.Duration
-	kept       time.Duration // when the remembered members were last written, or could not be
-	changed    bool          // ... and whether they have changed since they were
-	unkept     string        // why they could not be; empty: they were
-	random     *rand.Rand
+	name       string
+	config     Config
+	timing     Timing
+	log        zerolog.Logger
+	clock      func() time.Duration
+	observe    Observe // called with mu held
+	started    time.Duration
+	stop       chan struct{}
+	goroutines sync.WaitGroup
+	digest     atomic.Uint64 // of the view, at the end of the last period
+	writeFile  func(file writableFile, text string) error
+	contacts   contacts
+
+	mu           sync.Mutex
+	list         *memberlist.Memberlist // nil until the listen address is free
+	waitReason   string                 // why list is nil; empty if it is not
+	disseminator *membership.Disseminator
+	members      map[string]*peer             // other poolers that respond
+	departed     map[string]*peer             // left or failed a moment ago; which of the two is not known yet
+	unconfirmed  map[string]unconfirmedPooler // in the view, but unknown to memberlist
+	remembered   map[string]address           // failed ones, and those known before a restart
+	agreement    *agreement
+	stopping     bool
+	counters     Counters
+	lastLogged   map[string]time.Duration // by the text of a warning
+	savedAt      time.Duration            // last attempt to save the addresses
+	unsaved      bool                     // the addresses have changed since
+	saveError    string                   // of the last attempt; empty if it succeeded
+	random       *rand.Rand
 }
 
-// peer is another pooler that is there, or was just now.
+// peer is another pooler that responds, or did so a moment ago.
 type peer struct {
-	node  memberlist.Node
-	since time.Duration // when it was found there
-	went  time.Duration // ... and when not any more; 0: it is there
+	node    memberlist.Node
+	foundAt time.Duration
+	lostAt  time.Duration // 0: it responds
 }
 
-// unmet is a pooler known by others' words alone.
-type unmet struct {
-	latest uint64        // sequence of its last word
-	since  time.Duration // when that came
+// unconfirmedPooler is one that is known by its published facts alone.
+type unconfirmedPooler struct {
+	latest uint64        // sequence of its newest fact
+	since  time.Duration // when that fact arrived
 }
 
-// Start joins the fleet as name; it goes on trying for as long as there is nobody, and also while the address is another's, as
-// the process before this one may not have ended. Period is called once a period on a goroutine of the fleet's, with a view that
-// is its own until it returns; it returns what the pooler says. The clock counts from the Unix epoch.
-func Start(name string, c Config, p Timing, log zerolog.Logger, clock func() time.Duration,
-	period func(now time.Duration, v *membership.View) map[membership.Key][]byte) (*Gossip, error) {
-	b, now := membership.DefaultBounds(), clock()
+// Start joins the installation under a name, and keeps trying while no other pooler responds. While the listen address
+// is in use, as by an earlier process of this pooler that has not ended yet, it waits for it. The clock counts from the
+// Unix epoch. Observe is called on a goroutine of its own.
+func Start(
+	name string, config Config, timing Timing, log zerolog.Logger, clock func() time.Duration, observe Observe,
+) (*Gossip, error) {
+	bounds, now := membership.DefaultBounds(), clock()
 	random := rand.New(rand.NewPCG(uint64(now), 0))
-	g := &Gossip{name: name, config: c, pace: p, log: log, clock: clock, period: period, began: now, stop: make(chan struct{}),
-		talk:    membership.NewDisseminator(membership.NewView(b), membership.NewPublisher(name, uint64(now.Milliseconds()), b), membership.DefaultDisseminatorBounds(), random),
-		members: map[string]*peer{}, missing: map[string]*peer{}, unmet: map[string]unmet{}, remembered: map[string]address{},
-		heard:     heard{answered: map[string]time.Duration{}, suspected: map[string]time.Duration{}},
-		agreement: newAgreement(p.Agree, now), logged: map[string]time.Duration{}, random: random, write: write}
-	if c.Dir != "" {
-		members, err := load(c.Dir, c.Cluster, now)
-		if err != nil { // It starts as if there were none.
-			g.count.Unkept++
-			log.Error().Err(err).Msg("fleet: the remembered members are not used")
-		}
-		maps.Copy(g.remembered, members)
-		delete(g.remembered, name)
+	publisher := membership.NewPublisher(name, uint64(now.Milliseconds()), bounds)
+	disseminator := membership.NewDisseminator(
+		membership.NewView(bounds), publisher, membership.DefaultDisseminatorBounds(), random)
+	gossip := &Gossip{
+		name:         name,
+		config:       config,
+		timing:       timing,
+		log:          log,
+		clock:        clock,
+		observe:      observe,
+		started:      now,
+		stop:         make(chan struct{}),
+		writeFile:    writeSynced,
+		contacts:     newContacts(),
+		disseminator: disseminator,
+		members:      map[string]*peer{},
+		departed:     map[string]*peer{},
+		unconfirmed:  map[string]unconfirmedPooler{},
+		remembered:   map[string]address{},
+		agreement:    newAgreement(timing.AgreementDelay, now),
+		lastLogged:   map[string]time.Duration{},
+		random:       random,
 	}
-	err := g.join()
-	if err != nil && !strings.Contains(err.Error(), syscall.EADDRINUSE.Error()) { // the library wraps the text alone
+	gossip.loadAddresses(now)
+	err := gossip.join()
+	if err != nil && !isAddressInUse(err) {
 		return nil, err
 	}
-	g.ended.Go(func() { g.live(err) })
-	return g, nil
+	gossip.goroutines.Go(func() { gossip.waitAndRun(err) })
+	return gossip, nil
 }
 
-// live waits for the address, if it is another's, and then takes part.
-func (g *Gossip) live(err error) {
-	for said := false; err != nil; err = g.join() {
-		if !said {
+// isAddressInUse tells whether a join failed on the listen address. Memberlist wraps the text of the error alone.
+func isAddressInUse(err error) bool { return strings.Contains(err.Error(), syscall.EADDRINUSE.Error()) }
+
+// loadAddresses reads the remembered addresses, if they are to be kept. On an error the pooler starts without any.
+func (g *Gossip) loadAddresses(now time.Duration) {
+	if g.config.Dir == "" {
+		return
+	}
+	addresses, err := loadAddressFile(g.config.Dir, g.config.Cluster, now)
+	if err != nil {
+		g.counters.SaveErrors++
+		g.log.Error().Err(err).Msg("fleet: the remembered members are not used")
+	}
+	maps.Copy(g.remembered, addresses)
+	delete(g.remembered, g.name)
+}
+
+// waitAndRun joins again until the listen address is free, and then runs until Stop. Err is that of the first attempt.
+func (g *Gossip) waitAndRun(err error) {
+	for logged := false; err != nil; err = g.join() {
+		if !logged {
 			g.log.Warn().Err(err).Msg("fleet: not part of it yet; tried again")
 		}
-		said = true
-		g.mu.Lock()
-		g.waits = err.Error()
-		g.mu.Unlock()
+		logged = true
+		g.setWaitReason(err.Error())
 		select {
-		case <-time.After(g.pace.Bind):
+		case <-time.After(g.timing.BindRetry):
 		case <-g.stop:
 			return
 		}
 	}
+	g.setWaitReason("")
+	g.goroutines.Go(g.runPeriods)
+	g.goroutines.Go(g.runSaver)
+	g.runRejoin()
+}
+
+func (g *Gossip) setWaitReason(reason string) {
 	g.mu.Lock()
-	g.waits = ""
-	g.mu.Unlock()
-	g.ended.Go(g.run)
-	g.ended.Go(g.keepRemembered)
-	g.rejoin()
+	defer g.mu.Unlock()
+	g.waitReason = reason
 }
 
-// join begins to take part.
+// join listens, and starts memberlist.
 func (g *Gossip) join() error {
-	c, p := g.config, g.pace
-	listen, err := netip.ParseAddrPort(c.Listen)
+	listen, err := netip.ParseAddrPort(g.config.Listen)
 	if err != nil {
 		return fmt.Errorf("fleet.listen: %w", err)
 	}
-	out := stdlog.New(library{g}, "", 0)
-	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{listen.Addr().String()},
-		BindPort: int(listen.Port()), Logger: out})
+	logger := stdlog.New(memberlistLog{g}, "", 0)
+	netTransport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{listen.Addr().String()},
+		BindPort:  int(listen.Port()),
+		Logger:    logger,
+	})
 	if err != nil {
 		return fmt.Errorf("fleet.listen: %w", err)
 	}
-	own := netip.AddrPortFrom(listen.Addr(), uint16(t.GetAutoBindPort()))
+	own := netip.AddrPortFrom(listen.Addr(), uint16(netTransport.GetAutoBindPort()))
 	advertise := own
-	if c.Advertise != "" {
-		if advertise, err = netip.ParseAddrPort(c.Advertise); err != nil {
-			t.Shutdown()
+	if g.config.Advertise != "" {
+		if advertise, err = netip.ParseAddrPort(g.config.Advertise); err != nil {
+			_ = netTransport.Shutdown() // the error that is returned tells more
 			return fmt.Errorf("fleet.advertise: %w", err)
 		}
 	}
-	m := memberlist.DefaultLANConfig()
-	m.Name, m.Label = g.name, c.Cluster
-	m.BindAddr, m.BindPort = own.Addr().String(), int(own.Port())
-	m.AdvertiseAddr, m.AdvertisePort = advertise.Addr().String(), int(advertise.Port())
-	m.Transport = transport{t, own.Addr()}
-	m.GossipInterval, m.ProbeInterval, m.ProbeTimeout = p.Period, p.Probe, p.Timeout
-	m.PushPullInterval = 2 * p.Rejoin // what news of members left out is made good by it, as when a cut of many is over
-	m.TCPTimeout = 4 * p.Timeout
-	m.DeadNodeReclaimTime = p.Rejoin // a pooler may come back under another address
-	m.Delegate, m.Events, m.Conflict, m.Ping, m.Logger = delegate{g}, events{g}, conflicts{g}, pings{g}, out
-	list, err := memberlist.Create(m)
+	list, err := memberlist.Create(g.memberlistConfig(own, advertise, netTransport, logger))
 	if err != nil {
-		t.Shutdown()
+		_ = netTransport.Shutdown() // the error that is returned tells more
 		return fmt.Errorf("fleet: %w", err)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.list = list // messages may have come before
+	g.list = list // messages may have arrived before
 	return nil
 }
 
-// Stop leaves: the others are told that this is no crash. It takes no longer than given.
+// memberlistConfig returns the configuration of memberlist by this pooler's settings.
+func (g *Gossip) memberlistConfig(
+	own, advertise netip.AddrPort, netTransport *memberlist.NetTransport, logger *stdlog.Logger,
+) *memberlist.Config {
+	config, timing := memberlist.DefaultLANConfig(), g.timing
+	config.Name, config.Label = g.name, g.config.Cluster
+	config.BindAddr, config.BindPort = own.Addr().String(), int(own.Port())
+	config.AdvertiseAddr, config.AdvertisePort = advertise.Addr().String(), int(advertise.Port())
+	config.Transport = transport{netTransport, own.Addr()}
+	config.GossipInterval = timing.Period
+	config.ProbeInterval, config.ProbeTimeout = timing.ProbeInterval, timing.ProbeTimeout
+	config.PushPullInterval = pushPullRejoins * timing.RejoinInterval
+	config.TCPTimeout = tcpProbeTimeouts * timing.ProbeTimeout
+	config.DeadNodeReclaimTime = timing.RejoinInterval // a pooler may return under another address
+	config.Logger = logger
+	config.Delegate = userDelegate{g}
+	config.Events = eventDelegate{g}
+	config.Conflict = conflictDelegate{g}
+	config.Ping = pingDelegate{g}
+	return config
+}
+
+// Stop announces that this pooler leaves, and ends all goroutines. It waits for memberlist's own announcement no longer
+// than the given time. It must be called once.
 func (g *Gossip) Stop(within time.Duration) {
 	close(g.stop)
 	g.mu.Lock()
 	g.stopping = true
-	d := g.talk.Leave(g.clock())
+	delta := g.disseminator.Leave(g.clock())
 	for name := range g.members {
-		g.send(name, wire{Facts: d.Facts, Ends: d.Ends})
+		g.send(name, message{Facts: delta.Facts, Ends: delta.Ends})
 	}
 	list := g.list
 	g.mu.Unlock()
-	g.ended.Wait()
-	g.keep(true)
+	g.goroutines.Wait()
+	g.saveAddresses(true)
 	if list == nil {
 		return
 	}
-	if err := list.Leave(within); err != nil {
-		g.log.Debug().Err(err).Msg("fleet: the library's word that this pooler leaves") // its own went out before
+	if err := list.Leave(within); err != nil { // The announcement above has been sent all the same.
+		g.log.Debug().Err(err).Msg("fleet: the library's word that this pooler leaves")
+	}
+	if err := list.Shutdown(); err != nil {
+		g.log.Debug().Err(err).Msg("fleet: the library's end")
 	}
-	list.Shutdown()
 }
--- a/internal/membership/gossip/gossip_test.go
+++ b/internal/membership/gossip/gossip_test.go
@@ -20,8 +20,11 @@
 const patience = 60 * time.Second
 
 // quick is for members on one machine.
-var quick = gossip.Timing{Period: 20 * time.Millisecond, Probe: 200 * time.Millisecond, Timeout: 100 * time.Millisecond,
-	Rejoin: 200 * time.Millisecond, Bind: 10 * time.Millisecond, Agree: time.Second, LogEach: time.Second}
+var quick = gossip.Timing{
+	Period: 20 * time.Millisecond, ProbeInterval: 200 * time.Millisecond, ProbeTimeout: 100 * time.Millisecond,
+	RejoinInterval: 200 * time.Millisecond, BindRetry: 10 * time.Millisecond, AgreementDelay: time.Second,
+	LogInterval: time.Second,
+}
 
 func saying(values map[membership.Key][]byte) func(time.Duration, *membership.View) map[membership.Key][]byte {
 	return func(time.Duration, *membership.View) map[membership.Key][]byte { return values }
@@ -58,7 +61,10 @@
 }
 
 func newMembers(t *testing.T, seed uint64, n int) *members {
-	m := &members{t: t, net: faults.New(seed), public: map[string]string{}, own: map[string]string{}, log: &lines{}, up: map[string]*gossip.Gossip{}}
+	m := &members{
+		t: t, net: faults.New(seed), public: map[string]string{}, own: map[string]string{}, log: &lines{},
+		up: map[string]*gossip.Gossip{},
+	}
 	for i := range n {
 		name := fmt.Sprint("n", i)
 		own := netip.AddrFrom4([4]byte{127, 78, byte(seed), byte(i + 1)})
@@ -92,6 +98,11 @@
 	m.up[name] = g
 }
 
+// knows tells whether a pooler sees another in a state.
+func knows(g *gossip.Gossip, name, state string) bool {
+	return slices.ContainsFunc(g.State().Poolers, func(p gossip.Pooler) bool { return p.Name == name && p.State == state })
+}
+
 // settled waits until the members named hold equal digests and hold each other, and nobody else, for live.
 func (m *members) settled(names ...string) {
 	m.t.Helper()
@@ -109,7 +120,8 @@
 	m.net.Note("%v have settled", names)
 }
 
-// Five join at once by a seed that is not up yet; two end without a word; they come back with nothing in mind; one leaves.
+// Five join at once by a seed that is not up yet; two end without a word; they come back with nothing in mind; one
+// leaves.
 func TestJoinCrashRestartLeave(t *testing.T) {
 	m := newMembers(t, 1, 5)
 	for _, name := range m.names[1:] {
@@ -131,9 +143,10 @@
 	m.up["n3"].Stop(time.Second)
 	delete(m.up, "n3")
 	m.settled("n0", "n1", "n2", "n4")
-	for _, name := range []string{"n0", "n1", "n2", "n4"} { // its own word comes to stand before what others found, whichever came first
+	// Its own announcement takes precedence over detection by others, whichever came first.
+	for _, name := range []string{"n0", "n1", "n2", "n4"} {
 		require.Eventually(t, func() bool {
-			return slices.ContainsFunc(m.up[name].State().Poolers, func(p gossip.Pooler) bool { return p.Name == "n3" && p.State == "left" })
+			return knows(m.up[name], "n3", "left")
 		}, patience, 5*time.Millisecond, "%s knows that n3 left", name)
 	}
 }
@@ -152,8 +165,8 @@
 	m.settled(m.names...)
 }
 
-// A cut in two: each side settles by itself, and both together when it is over, though neither has a seed of the other; and
-// again before that has come to rest. A cut one way only condemns nobody for good.
+// A cut in two: each side settles by itself, and both together when it is over, though neither has a seed of the
+// other; and again before that has come to rest. A cut one way only condemns nobody for good.
 func TestPartition(t *testing.T) {
 	m := newMembers(t, 2, 5)
 	m.start("n0", "c")
@@ -203,7 +216,9 @@
 	m.settled("n0", "n1")
 	m.settled("n2")
 	m.own["n1'"], m.public["n1'"] = m.own["n3"], m.public["n3"]
-	c := gossip.Config{Enabled: true, Cluster: "c", Listen: m.own["n3"], Advertise: m.public["n3"], Seeds: []string{m.public["n0"]}}
+	c := gossip.Config{
+		Enabled: true, Cluster: "c", Listen: m.own["n3"], Advertise: m.public["n3"], Seeds: []string{m.public["n0"]},
+	}
 	twin, err := gossip.Start("n1", c, quick, zerolog.Nop(), clock, saying(nil))
 	require.NoError(t, err)
 	defer twin.Stop(time.Millisecond)
@@ -216,19 +231,21 @@
 	m := newMembers(t, 6, 2)
 	told := false
 	c := gossip.Config{Enabled: true, Cluster: "c", Listen: m.own["n0"], Advertise: m.public["n0"]}
-	g, err := gossip.Start("n0", c, quick, zerolog.Nop(), clock, func(now time.Duration, v *membership.View) map[membership.Key][]byte {
+	observe := func(now time.Duration, v *membership.View) map[membership.Key][]byte {
 		if !told {
-			v.Merge(now, membership.Delta{Facts: []membership.Fact{{Owner: "ghost", Incarnation: uint64(now.Milliseconds()), Sequence: 1, At: now}}})
+			ghost := membership.Fact{Owner: "ghost", Incarnation: uint64(now.Milliseconds()), Sequence: 1, At: now}
+			v.Merge(now, membership.Delta{Facts: []membership.Fact{ghost}})
 		}
 		told = true
 		return map[membership.Key][]byte{{}: []byte("n0")}
-	})
+	}
+	g, err := gossip.Start("n0", c, quick, zerolog.Nop(), clock, observe)
 	require.NoError(t, err)
 	m.up["n0"] = g
 	m.start("n1", "c", "n0")
 	m.settled("n0", "n1") // n1 hears of it by n0's answers to its summaries, or by the word that it is gone
 	for _, name := range []string{"n0", "n1"} {
-		require.True(t, slices.ContainsFunc(m.up[name].State().Poolers, func(p gossip.Pooler) bool { return p.Name == "ghost" && p.State == "gone" }))
+		require.True(t, knows(m.up[name], "ghost", "gone"))
 	}
 }
 
--- a/internal/membership/gossip/measure_test.go
+++ b/internal/membership/gossip/measure_test.go
@@ -12,7 +12,8 @@
 	"capercove/internal/testbed"
 )
 
-// TestMeasure prints what docs/measured/fleet-view.md quotes: FLEET_MEASURE=5,15,30 names the sizes. It proves nothing by itself.
+// TestMeasure prints what docs/measured/fleet-view.md quotes: FLEET_MEASURE=5,15,30 names the sizes. It proves
+// nothing by itself.
 func TestMeasure(t *testing.T) {
 	for size := range strings.SplitSeq(os.Getenv("FLEET_MEASURE"), ",") {
 		var n int
@@ -65,7 +66,7 @@
 	print("its end", f.Settled("healed", all...))
 	refuted := func() (sum int64) {
 		for _, name := range all {
-			sum += f.State(name).Refuted
+			sum += f.State(name).Refutations
 		}
 		return sum
 	}
--- a/internal/membership/gossip/period.go
+++ b/internal/membership/gossip/period.go
@@ -6,85 +6,94 @@
 	"time"
 )
 
-// run talks, period by period.
-func (g *Gossip) run() {
-	tick := time.NewTicker(g.pace.Period)
-	defer tick.Stop()
+// runPeriods publishes and sends, once in each period, until Stop.
+func (g *Gossip) runPeriods() {
+	ticker := time.NewTicker(g.timing.Period)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
+			g.runPeriod()
 		case <-g.stop:
 			return
 		}
-		g.mu.Lock()
-		now := g.clock()
-		g.count.Periods++
-		g.talk.View.Expire(now)
-		g.judge(now)
-		values := g.period(now, g.talk.View)
-		for _, m := range g.talk.NextMessages(now, values, slices.Sorted(maps.Keys(g.members))) {
-			g.send(m.To, wire{Facts: m.Updates.Facts, Ends: m.Updates.Ends, Summary: m.Summary, Step: step(m)})
-		}
-		g.agree(now)
-		g.mu.Unlock()
 	}
 }
 
-// judge says of those that went a moment ago whether they left or crashed; mu is held. Their own word and the library's come by
-// different ways, in any order.
-func (g *Gossip) judge(now time.Duration) {
-	for name, p := range g.missing {
-		incarnation, gone := g.talk.View.Incarnation(name)
-		left := gone && g.talk.View.HasLeft(name)
-		if !left && now-p.went < verdict*g.pace.Period {
+func (g *Gossip) runPeriod() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	now := g.clock()
+	g.counters.Periods++
+	g.disseminator.View.Expire(now)
+	g.resolveDeparted(now)
+	g.resolveUnconfirmed(now)
+	values := g.observe(now, g.disseminator.View)
+	for _, sent := range g.disseminator.NextMessages(now, values, slices.Sorted(maps.Keys(g.members))) {
+		g.send(sent.To, messageOf(sent))
+	}
+	g.updateAgreement(now)
+}
+
+// resolveDeparted decides whether poolers that memberlist reported as departed left or failed. Their own announcement
+// may arrive a little later than memberlist's report. The caller holds mu.
+func (g *Gossip) resolveDeparted(now time.Duration) {
+	for name, departed := range g.departed {
+		incarnation, gone := g.disseminator.View.Incarnation(name)
+		left := gone && g.disseminator.View.HasLeft(name)
+		if !left && now-departed.lostAt < departedPeriods*g.timing.Period {
 			continue
 		}
-		delete(g.missing, name)
+		delete(g.departed, name)
 		why := "it has left"
-		if !left {
-			why = "it does not answer"
-			g.talk.MarkFailed(now, name)
-			g.remember(name, p.node.Address(), now)
-		} else {
+		if left {
 			delete(g.remembered, name)
+		} else {
+			why = "it does not answer"
+			g.disseminator.MarkFailed(now, name)
+			g.remember(name, departed.node.Address(), now)
 		}
-		g.changed = true
+		g.unsaved = true
 		g.log.Info().Str("pooler", name).Uint64("incarnation", incarnation).Str("why", why).Msg("fleet: is gone")
 	}
-	g.judgeUnmet(now)
 }
 
-// judgeUnmet finds those to be gone whom the library has not found by a while after their last word; mu is held. A cut or a crash
-// may come after a pooler's first words have gone round and before the library has told of it here: nothing else would then ever
-// miss it, until its words are forgotten. One that lives refutes it.
-func (g *Gossip) judgeUnmet(now time.Duration) {
-	live := g.talk.View.Live()
-	maps.DeleteFunc(g.unmet, func(name string, _ unmet) bool { _, there := slices.BinarySearch(live, name); return !there })
+// resolveUnconfirmed marks poolers as failed that memberlist has not found by a while after their newest fact. A
+// pooler may fail or be cut off after its first facts have spread, and before memberlist has reported it here: then
+// nothing else would detect its end until its facts expire. One that is running refutes it. The caller holds mu.
+func (g *Gossip) resolveUnconfirmed(now time.Duration) {
+	live := g.disseminator.View.Live()
+	maps.DeleteFunc(g.unconfirmed, func(name string, _ unconfirmedPooler) bool {
+		_, isLive := slices.BinarySearch(live, name)
+		return !isLive
+	})
 	for _, name := range live {
-		if name == g.name || g.members[name] != nil || g.missing[name] != nil {
-			delete(g.unmet, name)
+		if name == g.name || g.members[name] != nil || g.departed[name] != nil {
+			delete(g.unconfirmed, name)
 			continue
 		}
-		u, known := g.unmet[name]
-		if latest := g.talk.View.LatestSequence(name); !known || latest != u.latest {
-			g.unmet[name] = unmet{latest, now}
-		} else if now-u.since >= unmetFor*g.pace.Rejoin {
-			delete(g.unmet, name)
-			g.talk.MarkFailed(now, name)
+		pooler, known := g.unconfirmed[name]
+		latest := g.disseminator.View.LatestSequence(name)
+		switch {
+		case !known || latest != pooler.latest:
+			g.unconfirmed[name] = unconfirmedPooler{latest, now}
+		case now-pooler.since >= unconfirmedRejoins*g.timing.RejoinInterval:
+			delete(g.unconfirmed, name)
+			g.disseminator.MarkFailed(now, name)
 			g.log.Info().Str("pooler", name).Str("why", "it was never found").Msg("fleet: is gone")
 		}
 	}
 }
 
-// agree follows whether all views are the same; mu is held.
-func (g *Gossip) agree(now time.Duration) {
-	digest := g.talk.View.Digest()
+// updateAgreement checks whether all views are the same. The caller holds mu.
+func (g *Gossip) updateAgreement(now time.Duration) {
+	digest := g.disseminator.View.Digest()
 	g.digest.Store(digest)
-	there := make(map[string]bool, len(g.members))
+	present := make(map[string]bool, len(g.members))
 	for name := range g.members {
-		there[name] = true
+		present[name] = true
 	}
-	if g.agreement.step(now, digest, there) {
-		g.log.Info().Bool("agree", g.agreement.agrees).Int("poolers", len(there)+1).Msg("fleet: views")
+	if g.agreement.update(now, digest, present) {
+		g.log.Info().Bool("agree", g.agreement.agrees).Int("poolers", len(present)+1).Msg("fleet: views")
 	}
 }
--- a/internal/membership/gossip/print.go
+++ b/internal/membership/gossip/print.go
@@ -4,98 +4,122 @@
 	"encoding/json"
 	"fmt"
 	"io"
+	"maps"
 	"slices"
 	"strings"
 	"text/tabwriter"
 	"time"
 )
 
-// Print writes one line for each view.
-func (e ClusterState) Print(out io.Writer, now time.Time) {
-	t := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "VIEW OF\tDIGEST\tLIVE\tSIDE\tFACTS\tTHE OTHERS AGREE")
-	for _, s := range e.Views {
-		fmt.Fprintf(t, "%s\t%s\t%d of %d\t%s\t%d\t%s\n", s.Name, s.Digest, len(s.Live), s.Known, s.Side, s.Facts, s.agreement(now))
+// Print writes one line for each view, for operators. Errors of the writer are ignored.
+func (c ClusterState) Print(out io.Writer, now time.Time) {
+	views := table{"VIEW OF\tDIGEST\tLIVE\tSIDE\tFACTS\tTHE OTHERS AGREE"}
+	for _, state := range c.Views {
+		views.add("%s\t%s\t%d of %d\t%s\t%d\t%s",
+			state.Name, state.Digest, len(state.Live), state.Known, state.Side, state.Facts, state.agreement(now))
 	}
-	t.Flush()
-	for _, name := range sorted(e.Failed) {
-		fmt.Fprintf(out, "%s: %s\n", name, e.Failed[name])
+	var text strings.Builder
+	text.WriteString(views.String())
+	for _, name := range slices.Sorted(maps.Keys(c.Failed)) {
+		fmt.Fprintf(&text, "%s: %s\n", name, c.Failed[name])
 	}
+	_, _ = io.WriteString(out, text.String())
 }
 
 func (s State) agreement(now time.Time) string {
 	if s.Agree {
-		return "for " + age(now, s.AgreeSince)
+		return "for " + formatAge(now, s.AgreeSince)
 	}
-	return "not for " + age(now, s.AgreeSince)
+	return "not for " + formatAge(now, s.AgreeSince)
 }
 
-// Print writes a view as tables.
+// Print writes a view as tables, for operators. Errors of the writer are ignored.
 func (s State) Print(out io.Writer, now time.Time) {
+	var text strings.Builder
 	if s.Waits != "" {
-		fmt.Fprintf(out, "%s is not part of the fleet yet: %s\n", s.Name, s.Waits)
+		fmt.Fprintf(&text, "%s is not part of the fleet yet: %s\n", s.Name, s.Waits)
 	}
-	fmt.Fprintf(out, "%s sees %d of %d poolers (%s), digest %s, views agree: %s, %d facts, the oldest %v old\n\n", s.Name, len(s.Live), s.Known,
-		s.Side, s.Digest, s.agreement(now), s.Facts, time.Duration(s.OldestMS)*time.Millisecond)
-	t := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "POOLER\tSTATE\tFOR\tANSWERED\tAGREES\tDIGEST\tAT\tSAYS")
-	for _, p := range s.Poolers {
-		heard := ""
-		if p.Heard > 0 {
-			heard = fmt.Sprintf("%v ago", time.Duration(p.Heard)*time.Millisecond)
-		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", p.Name, p.State, age(now, p.Since), heard, p.Agrees, p.Digest, p.At, p.words())
+	oldest := time.Duration(s.OldestMS) * time.Millisecond
+	fmt.Fprintf(&text, "%s sees %d of %d poolers (%s), digest %s, views agree: %s, %d facts, the oldest %v old\n\n",
+		s.Name, len(s.Live), s.Known, s.Side, s.Digest, s.agreement(now), s.Facts, oldest)
+	text.WriteString(s.poolerTable(now).String())
+	if len(s.Databases) > 0 {
+		text.WriteString("\n" + s.databaseTable(now).String())
 	}
-	t.Flush()
-	if len(s.Databases) == 0 {
-		return
+	_, _ = io.WriteString(out, text.String())
+}
+
+func (s State) poolerTable(now time.Time) table {
+	poolers := table{"POOLER\tSTATE\tFOR\tANSWERED\tAGREES\tDIGEST\tAT\tSAYS"}
+	for _, pooler := range s.Poolers {
+		answered := ""
+		if pooler.Heard > 0 {
+			answered = fmt.Sprintf("%v ago", time.Duration(pooler.Heard)*time.Millisecond)
+		}
+		poolers.add("%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s", pooler.Name, pooler.State, formatAge(now, pooler.Since), answered,
+			pooler.Agrees, pooler.Digest, pooler.At, pooler.published())
 	}
-	fmt.Fprintln(out)
-	t = tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "DATABASE\tIS SAID TO\tBY")
-	for _, d := range s.Databases {
-		by := map[string][]string{}
-		for _, w := range d.Words {
-			what := w.State.String()
-			if w.Primary {
+	return poolers
+}
+
+func (s State) databaseTable(now time.Time) table {
+	databases := table{"DATABASE\tIS SAID TO\tBY"}
+	for _, database := range s.Databases {
+		poolers := map[string][]string{} // by what they observe
+		for _, observation := range database.Words {
+			what := observation.State.String()
+			if observation.Primary {
 				what += ", lead"
 			}
-			if w.Cold {
+			if observation.Cold {
 				what += ", be cold"
 			}
-			by[what] = append(by[what], fmt.Sprintf("%s (%s)", w.Pooler, age(now, w.Since)))
+			by := fmt.Sprintf("%s (%s)", observation.Pooler, formatAge(now, observation.Since))
+			poolers[what] = append(poolers[what], by)
 		}
-		for _, what := range sorted(by) {
-			fmt.Fprintf(t, "%s\t%s\t%s\n", d.Name, what, strings.Join(by[what], ", "))
+		for _, what := range slices.Sorted(maps.Keys(poolers)) {
+			databases.add("%s\t%s\t%s", database.Name, what, strings.Join(poolers[what], ", "))
 		}
 	}
-	t.Flush()
+	return databases
 }
 
-// words are what a pooler says of itself, in an order that does not change.
-func (p Pooler) words() string {
-	var says map[string]any
-	if json.Unmarshal(p.Says, &says) != nil {
+// publishedKeys are the keys that are printed of what a pooler publishes of itself, in their order.
+var publishedKeys = []string{"version", "zone", "listen", "settings", "load", "connections", "counted", "stopping"}
+
+// published returns what a pooler publishes of itself, as text.
+func (p Pooler) published() string {
+	var values map[string]any
+	if json.Unmarshal(p.Says, &values) != nil {
 		return ""
 	}
-	var words []string
-	for _, key := range []string{"version", "zone", "listen", "settings", "load", "connections", "counted", "stopping"} {
-		if v, has := says[key]; has {
-			words = append(words, fmt.Sprintf("%s=%v", key, v))
+	var texts []string
+	for _, key := range publishedKeys {
+		if value, present := values[key]; present {
+			texts = append(texts, fmt.Sprintf("%s=%v", key, value))
 		}
 	}
-	return strings.Join(words, " ")
+	return strings.Join(texts, " ")
 }
 
-func age(now time.Time, unixMS int64) string {
+func formatAge(now time.Time, unixMS int64) string {
 	return max(0, now.Sub(time.UnixMilli(unixMS))).Round(time.Second).String()
 }
 
-func sorted[V any](m map[string]V) []string {
-	keys := make([]string, 0, len(m))
-	for key := range m {
-		keys = append(keys, key)
+// table is a heading and rows of cells separated by tabs.
+type table []string
+
+func (t *table) add(format string, values ...any) { *t = append(*t, fmt.Sprintf(format, values...)) }
+
+const columnPadding = 2 // spaces between columns
+
+// String returns the table with aligned columns.
+func (t table) String() string {
+	var text strings.Builder // returns no errors
+	writer := tabwriter.NewWriter(&text, columnPadding, 0, columnPadding, ' ', 0)
+	for _, row := range t {
+		_, _ = fmt.Fprintln(writer, row)
 	}
-	slices.Sort(keys)
-	return keys
+	_ = writer.Flush()
+	return text.String()
 }
--- a/internal/membership/gossip/process_test.go
+++ b/internal/membership/gossip/process_test.go
@@ -26,9 +26,10 @@
 // brisk lets a fleet on one machine find out sooner than one over a network may.
 const brisk = "slower = 0.25"
 
-// Four poolers of the shipped program, with relays between them: they join by a seed that is not up yet, one is killed, one
-// is stopped for as long as it takes to be found gone, a cut leaves one alone, and each time those that can reach each
-// other come to hold the same. Their databases and clients know nothing of it: each serves all the while.
+// Four poolers of the shipped program, with relays between them: they join by a seed that is not up yet, one is
+// killed, one is stopped for as long as it takes to be found gone, a cut leaves one alone, and each time those that
+// can reach each other come to hold the same. Their databases and clients know nothing of it: each serves all the
+// while.
 func TestPoolersOfTheProgram(t *testing.T) {
 	t.Parallel()
 	f := testbed.NewFleet(t, 1, 4, []string{"n0"}, brisk+"\ncount = true")
@@ -87,8 +88,8 @@
 	require.Equal(t, 404, code, "off")
 }
 
-// Two poolers find by their own requests that a database is silent. The third, which has none, asks it on their word and finds it
-// out; with doubt off it does not. When it answers again, all say so.
+// Two poolers find by their own requests that a database is silent. The third, which has none, asks it on their word
+// and finds it out; with doubt off it does not. When it answers again, all say so.
 func TestDoubtOfTheProgram(t *testing.T) {
 	t.Parallel()
 	f := testbed.NewFleet(t, 8, 4, []string{"n0"}, brisk)
@@ -131,8 +132,8 @@
 	}
 }
 
-// Of five, two are killed and one is stopped for three times as long as it takes to be found gone: when it goes on it condemns
-// nobody. A cut in two is over, and there again before all have settled; a cut one way makes nobody flap.
+// Of five, two are killed and one is stopped for three times as long as it takes to be found gone: when it goes on it
+// condemns nobody. A cut in two is over, and there again before all have settled; a cut one way makes nobody flap.
 func TestFive(t *testing.T) {
 	t.Parallel()
 	f := testbed.NewFleet(t, 2, 5, []string{"n0"}, brisk)
@@ -147,7 +148,7 @@
 	f.Resume("n3")
 	f.Settled("it goes on", "n0", "n3", "n4")
 	for _, name := range []string{"n0", "n4"} { // found gone by the one that was stopped: they would have had to refute it
-		require.Zero(t, f.State(name).Refuted, "%s was condemned", name)
+		require.Zero(t, f.State(name).Refutations, "%s was condemned", name)
 	}
 	f.Restart("n1")
 	f.Restart("n2")
@@ -163,15 +164,15 @@
 	f.Net.Heal()
 	f.Settled("one again", f.Names...)
 
-	refuted := f.State("n4").Refuted
+	refuted := f.State("n4").Refutations
 	f.Net.Set("n1", "n4", faults.Link{Cut: true})
 	f.Periods(100, f.Names...)
 	f.Settled("cut one way", f.Names...)
-	require.Equal(t, refuted, f.State("n4").Refuted, "others reach it")
+	require.Equal(t, refuted, f.State("n4").Refutations, "others reach it")
 }
 
-// All are killed at once and come back in another order, no seed among them for a long time: they find each other through what
-// they remember. A memory that is damaged is counted and the pooler starts without.
+// All are killed at once and come back in another order, no seed among them for a long time: they find each other
+// through what they remember. A memory that is damaged is counted and the pooler starts without.
 func TestAllRestart(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -198,8 +199,8 @@
 		f.Restart(name)
 	}
 	f.Settled("without the seed", "n1", "n2", "n3")
-	require.Positive(t, f.State("n3").Unkept)
-	require.Zero(t, f.State("n2").Unkept)
+	require.Positive(t, f.State("n3").SaveErrors)
+	require.Zero(t, f.State("n2").SaveErrors)
 	f.Beds["n2"].Eventually(func() bool {
 		_, err := os.Stat(leftBehind)
 		return errors.Is(err, fs.ErrNotExist)
@@ -208,8 +209,8 @@
 	f.Settled("all", f.Names...)
 }
 
-// A fleet restarted pooler by pooler, first by a second process on the inherited listener and then by SIGTERM and a start: nobody
-// is ever taken for dead, and each serves.
+// A fleet restarted pooler by pooler, first by a second process on the inherited listener and then by SIGTERM and a
+// start: nobody is ever taken for dead, and each serves.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	f := testbed.NewFleet(t, 4, 4, []string{"n0", "n1"}, "", testbed.WithListener)
@@ -232,7 +233,7 @@
 	require.Empty(t, f.Logs("it does not answer"))
 	require.NotEmpty(t, f.Logs("it has left"))
 	for _, name := range f.Names {
-		require.Zero(t, f.State(name).Refuted, name)
+		require.Zero(t, f.State(name).Refutations, name)
 	}
 }
 
@@ -258,8 +259,9 @@
 	require.Empty(t, f.Logs("it does not answer"))
 }
 
-// One that joins and speaks nonsense changes nothing: what cannot be read, another version, a fact of the future, an older or a far
-// later incarnation of another, the end of one that lives. It is counted, and who lives refutes what is said of it.
+// One that joins and speaks nonsense changes nothing: what cannot be read, another version, a fact of the future, an
+// older or a far later incarnation of another, the end of one that lives. It is counted, and who lives refutes what
+// is said of it.
 func TestNonsense(t *testing.T) {
 	t.Parallel()
 	f := testbed.NewFleet(t, 6, 2, []string{"n0"}, brisk)
@@ -320,17 +322,18 @@
 	b := f.Beds["n1"]
 	b.Eventually(func() bool {
 		s := f.State("n1")
-		return s.Versions >= 1 && s.Garbled >= 2 && s.Future >= 2 && s.Stale >= 1 && s.Invalid >= 1
+		return s.WrongVersion >= 1 && s.Malformed >= 2 && s.Future >= 2 && s.Stale >= 1 && s.Invalid >= 1
 	}, "it is counted")
-	b.Eventually(func() bool { return f.State("n0").Refuted >= 1 }, "n0 lives")
+	b.Eventually(func() bool { return f.State("n0").Refutations >= 1 }, "n0 lives")
 	f.Settled("all the same", f.Names...)
 	f.Serve("all the same", f.Names...)
 	require.Empty(t, f.Logs("it does not answer"))
 }
 
-// Poolers of the shipped program between faults that come from a seed: links are cut, both ways or one, lossy and garbled, the fleet
-// is split, poolers are killed, stopped and restarted. Whoever runs gives each request one answer, writes reach the primary once
-// at the most, and when all is whole again all hold the same, nobody dead lives and nobody living is dead.
+// Poolers of the shipped program between faults that come from a seed: links are cut, both ways or one, lossy and
+// garbled, the fleet is split, poolers are killed, stopped and restarted. Whoever runs gives each request one answer,
+// writes reach the primary once at the most, and when all is whole again all hold the same, nobody dead lives and
+// nobody living is dead.
 func TestSchedules(t *testing.T) {
 	first, last, steps := uint64(0), uint64(2), 10
 	if more := os.Getenv("FLEET_SEEDS"); more != "" { // "20-60"
--- a/internal/membership/gossip/query.go
+++ b/internal/membership/gossip/query.go
@@ -1,6 +1,7 @@
 package gossip
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -12,75 +13,87 @@
 )
 
 const (
-	callWait  = 3 * time.Second
-	stateMost = 32 << 20 // bytes of one answer
-	atOnce    = 16       // calls
+	queryTimeout       = 3 * time.Second
+	maxStateBytes      = 32 << 20 // of one answer
+	maxErrorBytes      = 1 << 10  // of an answer that reports an error
+	maxParallelQueries = 16
 )
 
-// Query gets a pooler's view from its management address.
-func Query(addr string) (s State, err error) {
-	answer, err := (&http.Client{Timeout: callWait}).Get("http://" + addr + "/fleet")
+// Query requests a pooler's view from its management address.
+func Query(addr string) (state State, err error) {
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+addr+"/fleet", nil)
 	if err != nil {
-		return s, err
+		return state, err
 	}
-	defer answer.Body.Close()
-	body := io.LimitReader(answer.Body, stateMost)
-	if answer.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(body, 1024))
-		return s, fmt.Errorf("%s: %s: %s", addr, answer.Status, strings.TrimSpace(string(text)))
+	response, err := (&http.Client{Timeout: queryTimeout}).Do(request)
+	if err != nil {
+		return state, err
+	}
+	defer func() { _ = response.Body.Close() }() // it has been read
+	body := io.LimitReader(response.Body, maxStateBytes)
+	if response.StatusCode != http.StatusOK {
+		text, _ := io.ReadAll(io.LimitReader(body, maxErrorBytes)) // the status alone is an answer
+		return state, fmt.Errorf("%s: %s: %s", addr, response.Status, strings.TrimSpace(string(text)))
 	}
-	if err := json.NewDecoder(body).Decode(&s); err != nil {
-		return s, fmt.Errorf("%s: no view of a fleet: %w", addr, err)
+	if err := json.NewDecoder(body).Decode(&state); err != nil {
+		return state, fmt.Errorf("%s: no view of a fleet: %w", addr, err)
 	}
-	return s, nil
+	return state, nil
 }
 
-// ClusterState is the views of all poolers that one names as live and that tell where they are managed, with those that could not be
-// asked.
+// ClusterState holds the views of all poolers that one of them knows as live, and the errors of those that could not be
+// queried.
 type ClusterState struct {
 	Views  []State           `json:"views"`
-	Failed map[string]string `json:"failed,omitempty"` // by the pooler's name, why
+	Failed map[string]string `json:"failed,omitempty"` // error by the name of the pooler
 }
 
-// QueryAll asks all that a view names.
+// QueryAll queries all live poolers of a view at their management addresses.
 func QueryAll(from State) ClusterState {
-	e := ClusterState{Views: []State{from}, Failed: map[string]string{}}
+	cluster := ClusterState{Views: []State{from}, Failed: map[string]string{}}
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	places := make(chan struct{}, atOnce)
-	for _, p := range from.Poolers {
-		var says struct{ Management string }
-		if p.Name == from.Name || p.State == "gone" || p.State == "left" {
+	var queries sync.WaitGroup
+	slots := make(chan struct{}, maxParallelQueries)
+	for _, pooler := range from.Poolers {
+		if pooler.Name == from.Name || pooler.State == poolerGone || pooler.State == poolerLeft {
 			continue
 		}
-		if json.Unmarshal(p.Says, &says); says.Management == "" {
-			e.Failed[p.Name] = "it does not tell where it is managed"
+		addr := pooler.management()
+		if addr == "" {
+			cluster.Failed[pooler.Name] = "it does not tell where it is managed"
 			continue
 		}
-		all.Go(func() {
-			places <- struct{}{}
-			s, err := Query(says.Management)
-			<-places
+		queries.Go(func() {
+			slots <- struct{}{}
+			state, err := Query(addr)
+			<-slots
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				e.Failed[p.Name] = err.Error()
+				cluster.Failed[pooler.Name] = err.Error()
 				return
 			}
-			e.Views = append(e.Views, s)
+			cluster.Views = append(cluster.Views, state)
 		})
 	}
-	all.Wait()
-	slices.SortFunc(e.Views, func(a, b State) int { return strings.Compare(a.Name, b.Name) })
-	return e
+	queries.Wait()
+	slices.SortFunc(cluster.Views, func(a, b State) int { return strings.Compare(a.Name, b.Name) })
+	return cluster
+}
+
+// management returns the management address that a pooler publishes; "" if there is none.
+func (p Pooler) management() string {
+	var published struct{ Management string }
+	_ = json.Unmarshal(p.Says, &published) // what another pooler publishes may be anything
+	return published.Management
 }
 
-// Agree tells whether all views that were got are the same.
-func (e ClusterState) Agree() bool {
-	for _, s := range e.Views {
-		if s.Digest != e.Views[0].Digest {
+// Agree tells whether all live poolers were queried and their views are equal.
+func (c ClusterState) Agree() bool {
+	for _, state := range c.Views {
+		if state.Digest != c.Views[0].Digest {
 			return false
 		}
 	}
-	return len(e.Failed) == 0
+	return len(c.Failed) == 0
 }
--- a/internal/membership/gossip/rejected.go
+++ b/internal/membership/gossip/rejected.go
@@ -1,27 +1,30 @@
 package gossip
 
-// turnDown counts and logs what is not taken in.
-func (g *Gossip) turnDown(count *int64, why string) {
+// reject counts and logs input that is not accepted.
+func (g *Gossip) reject(counter *int64, why string) {
 	g.mu.Lock()
-	*count++
+	*counter++
 	g.mu.Unlock()
-	g.bad(why)
+	g.logRejected(why)
 }
 
-// bad logs bad input, at most one line a kind and time.
-func (g *Gossip) bad(why string) {
+// logRejected logs rejected input, at most once in each LogInterval for one text.
+func (g *Gossip) logRejected(why string) {
+	if g.mayLog(why) {
+		g.log.Warn().Str("why", why).Msg("fleet: bad input")
+	}
+}
+
+func (g *Gossip) mayLog(why string) bool {
 	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := g.clock()
-	last, seen := g.logged[why]
-	said := seen && now-last < g.pace.LogEach
-	if !said {
-		if len(g.logged) >= rememberedMost { // Against texts made up without end.
-			clear(g.logged)
-		}
-		g.logged[why] = now
+	if last, logged := g.lastLogged[why]; logged && now-last < g.timing.LogInterval {
+		return false
 	}
-	g.mu.Unlock()
-	if !said {
-		g.log.Warn().Str("why", why).Msg("fleet: bad input")
+	if len(g.lastLogged) >= maxAddresses { // Texts hold names that others may invent.
+		clear(g.lastLogged)
 	}
+	g.lastLogged[why] = now
+	return true
 }
--- a/internal/membership/gossip/rejoin.go
+++ b/internal/membership/gossip/rejoin.go
@@ -1,47 +1,20 @@
 package gossip
 
-import (
-	"time"
-)
+import "time"
 
-// rejoin tries seeds that are not there, and addresses of those that are gone: neither side of a cut that is over has another
-// way to find the other.
-func (g *Gossip) rejoin() {
-	wait := g.pace.Rejoin / 10
-	for {
+// runRejoin contacts seeds and remembered addresses that are not among the members, until Stop. After a network
+// partition neither side has another way to find the other.
+func (g *Gossip) runRejoin() {
+	for wait := g.timing.RejoinInterval / firstRejoinFraction; ; {
 		select {
 		case <-time.After(wait):
 		case <-g.stop:
 			return
 		}
-		var try []string
-		g.mu.Lock()
-		there := map[string]bool{g.config.Advertise: true, g.config.Listen: true}
-		for _, p := range g.members {
-			there[p.node.Address()] = true
-		}
-		// Against two halves that found each their own before their seeds were up: having somebody is not enough.
-		for _, seed := range g.config.Seeds {
-			if !there[seed] {
-				try = append(try, seed)
-			}
-		}
-		for name, a := range g.remembered { // in any order, a few at a time
-			if there[a.at] || g.talk.View.HasLeft(name) {
-				delete(g.remembered, name)
-			} else if len(try) < tries+len(g.config.Seeds) {
-				try = append(try, a.at)
-			}
-		}
-		wait = g.pace.Rejoin/2 + time.Duration(g.random.Int64N(int64(g.pace.Rejoin)))
-		list := g.list
-		g.mu.Unlock()
-		for _, addr := range try {
-			if n, _ := list.Join([]string{addr}); n > 0 {
-				g.mu.Lock()
-				g.count.Joins++
-				g.mu.Unlock()
-			}
+		var addresses []string
+		addresses, wait = g.nextRejoin()
+		for _, address := range addresses {
+			g.contact(address)
 			select {
 			case <-g.stop:
 				return
@@ -50,3 +23,42 @@
 		}
 	}
 }
+
+// nextRejoin returns the addresses to contact now, and how long to wait afterwards.
+func (g *Gossip) nextRejoin() (addresses []string, wait time.Duration) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	present := map[string]bool{g.config.Advertise: true, g.config.Listen: true}
+	for _, member := range g.members {
+		present[member.node.Address()] = true
+	}
+	// Seeds are contacted even if there are members: two halves may each have formed before their seeds were running.
+	for _, seed := range g.config.Seeds {
+		if !present[seed] {
+			addresses = append(addresses, seed)
+		}
+	}
+	for name, known := range g.remembered { // a few at a time, in random order
+		if present[known.addr] || g.disseminator.View.HasLeft(name) {
+			delete(g.remembered, name)
+		} else if len(addresses) < rejoinAddresses+len(g.config.Seeds) {
+			addresses = append(addresses, known.addr)
+		}
+	}
+	interval := g.timing.RejoinInterval
+	return addresses, interval/2 + time.Duration(g.random.Int64N(int64(interval)))
+}
+
+// contact asks memberlist to join by an address. Failure is normal: it is tried again.
+func (g *Gossip) contact(address string) {
+	g.mu.Lock()
+	list := g.list
+	g.mu.Unlock()
+	reached, _ := list.Join([]string{address})
+	if reached == 0 {
+		return
+	}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.counters.Rejoins++
+}
--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -5,135 +5,191 @@
 	"maps"
 	"slices"
 	"strconv"
+	"time"
 
 	"capercove/internal/membership"
 )
 
-// State is the fleet as one pooler sees it, to be shown. Times are Unix ms, ages in ms.
+// State is the installation as one pooler sees it, shown to operators and read by the maintenance agent. Times are in
+// Unix ms, ages in ms.
 type State struct {
 	Name       string     `json:"name"`
-	Waits      string     `json:"waits,omitempty"` // why this pooler is not part of the fleet yet
-	Digest     string     `json:"digest"`          // equal at two poolers that hold the same
-	Agree      bool       `json:"agree"`           // all that are there hold the same, as far as they have said
-	AgreeSince int64      `json:"agree_since_ms"`  // since when that is as it is
-	Side       string     `json:"side"`            // of a cut: whole, larger, half, smaller or alone
-	Known      int        `json:"known"`           // poolers that are there or went without a word
-	Live       []string   `json:"live"`            // this pooler among them
+	Waits      string     `json:"waits,omitempty"` // why this pooler does not take part yet
+	Digest     string     `json:"digest"`          // equal at two poolers with equal views
+	Agree      bool       `json:"agree"`           // no other pooler's view is known to differ
+	AgreeSince int64      `json:"agree_since_ms"`  // when Agree last changed
+	Side       string     `json:"side"`            // of a network partition: whole, larger, half, smaller or alone
+	Known      int        `json:"known"`           // poolers that are live or failed
+	Live       []string   `json:"live"`            // names, with this pooler's
 	Poolers    []Pooler   `json:"poolers"`
-	Databases  []Database `json:"databases"` // of which somebody has something to say
+	Databases  []Database `json:"databases"` // those with published observations
 	Facts      int        `json:"facts"`
 	OldestMS   int64      `json:"oldest_fact_ms"` // age
-	Use        any        `json:"use,omitempty"`  // what is done with the view
-	Refused    int64      // what memberlist could not read or turned away, such as from another cluster
+	Use        any        `json:"use,omitempty"`  // what this pooler does by the view
+	Refused    int64      // packets that memberlist rejected, such as those of another cluster
 	Counters
 	membership.ViewCounters
 }
 
-// Pooler is one of the fleet.
+// Pooler is one pooler of a State.
 type Pooler struct {
 	Name        string          `json:"name"`
-	State       string          `json:"state"`    // live, suspected, gone (without a word) or left
-	Since       int64           `json:"since_ms"` // when this pooler first found it so; of itself, its start
+	State       string          `json:"state"`    // live, suspected, gone (it failed) or left
+	Since       int64           `json:"since_ms"` // when the state began; of this pooler itself, its start
 	Incarnation uint64          `json:"incarnation"`
-	Heard       int64           `json:"heard_ms,omitempty"` // age of its last answer to this pooler; 0: none, or this pooler
+	Heard       int64           `json:"heard_ms,omitempty"` // age of its last answer to this pooler; 0: none, or itself
 	Digest      string          `json:"digest,omitempty"`
-	Agrees      string          `json:"agrees,omitempty"` // yes, no, or ? where nothing has been heard or it may still come to
-	At          string          `json:"at,omitempty"`     // where it is, or is tried again
-	Says        json.RawMessage `json:"says,omitempty"`
+	Agrees      string          `json:"agrees,omitempty"` // yes, no, or ? if unknown
+	At          string          `json:"at,omitempty"`     // address where it responds or is contacted again
+	Says        json.RawMessage `json:"says,omitempty"`   // what it publishes of itself
 }
 
-// Database is what live poolers say of one.
+// Database holds what live poolers publish of a database.
 type Database struct {
 	Name  string                       `json:"name"`
 	Words []membership.PeerObservation `json:"words"`
 }
 
-// State is the fleet as this pooler sees it.
+// Values of Pooler.State.
+const (
+	poolerLive      = "live"
+	poolerSuspected = "suspected"
+	poolerGone      = "gone"
+	poolerLeft      = "left"
+)
+
+// Values of State.Side.
+const (
+	sideWhole   = "whole"
+	sideLarger  = "larger"
+	sideHalf    = "half"
+	sideSmaller = "smaller"
+	sideAlone   = "alone"
+)
+
+// State returns the installation as this pooler sees it.
 func (g *Gossip) State() State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now, v := g.clock(), g.talk.View
-	facts, oldest := v.FactAge()
-	s := State{Name: g.name, Waits: g.waits, Digest: hex(v.Digest()), Agree: g.agreement.agrees, AgreeSince: g.agreement.since.Milliseconds(),
-		Live: v.Live(), Facts: facts, Counters: g.count, ViewCounters: v.Counters}
+	g.contacts.mu.Lock()
+	defer g.contacts.mu.Unlock()
+	now, view := g.clock(), g.disseminator.View
+	facts, oldest := view.FactAge()
+	state := State{
+		Name:         g.name,
+		Waits:        g.waitReason,
+		Digest:       formatDigest(view.Digest()),
+		Agree:        g.agreement.agrees,
+		AgreeSince:   g.agreement.since.Milliseconds(),
+		Live:         view.Live(),
+		Facts:        facts,
+		Refused:      g.contacts.rejected,
+		Counters:     g.counters,
+		ViewCounters: view.Counters,
+	}
 	if facts > 0 {
-		s.OldestMS = max(0, (now - oldest).Milliseconds())
+		state.OldestMS = max(0, (now - oldest).Milliseconds())
 	}
-	g.heard.mu.Lock()
-	defer g.heard.mu.Unlock()
-	s.Refused = g.heard.refused
-	says := map[string]json.RawMessage{}
-	for _, f := range v.FactsUnder(membership.Key{}) {
-		if json.Valid(f.Value) { // another may say anything
-			says[f.Owner] = f.Value
+	published := map[string]json.RawMessage{}
+	for _, fact := range view.FactsUnder(membership.Key{}) {
+		if json.Valid(fact.Value) { // another pooler may publish anything
+			published[fact.Owner] = fact.Value
 		}
 	}
-	for _, name := range s.Live {
-		p := Pooler{Name: name, State: "live", Says: says[name]}
-		p.Incarnation, _ = v.Incarnation(name)
-		if m := g.members[name]; m != nil {
-			p.Since, p.At = m.since.Milliseconds(), m.node.Address()
-			if at := g.heard.answered[name]; at > 0 {
-				p.Heard = max(1, (now - at).Milliseconds())
-			}
-			if at := g.heard.suspected[name]; at > 0 {
-				p.State, p.Since = "suspected", at.Milliseconds()
-			}
-			if o := g.agreement.others[name]; o != nil {
-				p.Agrees = g.agreement.verdict(now, o)
-				if o.known {
-					p.Digest = hex(o.digest)
-				}
-			}
-		} else if name == g.name {
-			p.Since, p.Digest, p.At = g.began.Milliseconds(), s.Digest, g.config.Listen
-		}
-		s.Poolers = append(s.Poolers, p)
+	for _, name := range state.Live {
+		pooler := g.livePooler(now, name)
+		pooler.Says = published[name]
+		state.Poolers = append(state.Poolers, pooler)
 	}
-	without := 0 // a word
-	for _, e := range v.Gone() {
-		p := Pooler{Name: e.Owner, State: "gone", Since: e.At.Milliseconds(), Incarnation: e.Incarnation, At: g.remembered[e.Owner].at}
-		if e.Left {
-			p.State = "left"
-		} else {
-			without++
+	failed := 0
+	for _, end := range view.Gone() {
+		if !end.Left {
+			failed++
 		}
-		s.Poolers = append(s.Poolers, p)
+		state.Poolers = append(state.Poolers, g.gonePooler(end))
+	}
+	state.Known = len(state.Live) + failed
+	state.Side = side(len(state.Live), failed)
+	observations := view.Observations()
+	for _, database := range slices.Sorted(maps.Keys(observations)) {
+		state.Databases = append(state.Databases, Database{database, observations[database]})
+	}
+	return state
+}
+
+// livePooler describes a pooler that is live by the view. The caller holds both locks.
+func (g *Gossip) livePooler(now time.Duration, name string) Pooler {
+	pooler := Pooler{Name: name, State: poolerLive}
+	pooler.Incarnation, _ = g.disseminator.View.Incarnation(name)
+	member := g.members[name]
+	switch {
+	case member != nil:
+		g.describeMember(now, member, &pooler)
+	case name == g.name:
+		pooler.Since = g.started.Milliseconds()
+		pooler.Digest = formatDigest(g.disseminator.View.Digest())
+		pooler.At = g.config.Listen
+	}
+	return pooler
+}
+
+// describeMember adds what is known from contact with a member. The caller holds both locks.
+func (g *Gossip) describeMember(now time.Duration, member *peer, pooler *Pooler) {
+	pooler.Since, pooler.At = member.foundAt.Milliseconds(), member.node.Address()
+	if at := g.contacts.lastAnswer[pooler.Name]; at > 0 {
+		pooler.Heard = max(1, (now - at).Milliseconds())
+	}
+	if at := g.contacts.suspectedSince[pooler.Name]; at > 0 {
+		pooler.State, pooler.Since = poolerSuspected, at.Milliseconds()
+	}
+	digest := g.agreement.peers[pooler.Name]
+	if digest == nil {
+		return
+	}
+	pooler.Agrees = g.agreement.verdict(now, digest)
+	if digest.known {
+		pooler.Digest = formatDigest(digest.digest)
+	}
+}
+
+// gonePooler describes a pooler that left or failed. The caller holds mu.
+func (g *Gossip) gonePooler(end membership.End) Pooler {
+	pooler := Pooler{
+		Name: end.Owner, State: poolerGone, Since: end.At.Milliseconds(), Incarnation: end.Incarnation,
+		At: g.remembered[end.Owner].addr,
 	}
-	s.Known = len(s.Live) + without
-	s.Side = side(len(s.Live), without)
-	words := v.Observations()
-	for _, name := range slices.Sorted(maps.Keys(words)) {
-		s.Databases = append(s.Databases, Database{name, words[name]})
+	if end.Left {
+		pooler.State = poolerLeft
 	}
-	return s
+	return pooler
 }
 
-func hex(digest uint64) string { return strconv.FormatUint(digest, 16) }
+func formatDigest(digest uint64) string { return strconv.FormatUint(digest, 16) } // hexadecimal
 
-// side names the part of the fleet that can be reached. Who crashed and who is cut off cannot be told apart.
-func side(live, without int) string {
+// side names the part of the installation that is live. Poolers that crashed and poolers that were cut off cannot be
+// told apart.
+func side(live, failed int) string {
 	switch {
-	case without == 0:
-		return "whole"
+	case failed == 0:
+		return sideWhole
 	case live == 1:
-		return "alone"
-	case live > without:
-		return "larger"
-	case live == without:
-		return "half"
+		return sideAlone
+	case live > failed:
+		return sideLarger
+	case live == failed:
+		return sideHalf
 	}
-	return "smaller"
+	return sideSmaller
 }
 
-// Incarnation is this pooler's own. It grows when the pooler has been taken for gone.
+// Incarnation returns this pooler's own. It grows when others took the pooler for gone.
 func (g *Gossip) Incarnation() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.talk.Publisher.Incarnation()
+	return g.disseminator.Publisher.Incarnation()
 }
 
-// Joined tells whether this process takes part: not while another has its address.
+// Joined tells whether this process takes part. It does not while another process uses its listen address.
 func (g *Gossip) Joined() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/membership/gossip/transport.go
+++ b/internal/membership/gossip/transport.go
@@ -8,17 +8,19 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport dials from the own address, so that peers, and relays before them, can tell who it is.
+// transport dials from the pooler's own address, so that peers, and relays before them, can tell poolers apart.
 type transport struct {
 	*memberlist.NetTransport
 	own netip.Addr
 }
 
-func (t transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.own.AsSlice()}}
-	return d.Dial("tcp", a.Addr)
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
+func (t transport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.own.AsSlice()}}
+	return dialer.Dial("tcp", address.Addr)
 }
 
+// DialTimeout implements memberlist.Transport.
 func (t transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
--- a/internal/membership/gossip/wire.go
+++ b/internal/membership/gossip/wire.go
@@ -12,98 +12,130 @@
 	"capercove/internal/membership"
 )
 
-// The steps of an exchange: what one lacks is asked for by a summary, the answer has that and a summary of its own, and the
-// last has what that lacks.
+// Steps of an anti-entropy exchange. A request carries the sender's summary. The answer carries what the requester
+// lacks and a summary of its own, and the return what the answering pooler lacks. Their values are part of the wire
+// format.
 const (
-	ask = iota + 1
-	answer
-	back
+	stepRequest = iota + 1
+	stepAnswer
+	stepReturn
 )
 
-func step(m membership.Message) int {
-	if m.Summary != nil {
-		return ask
-	}
-	return 0
-}
-
-// wire is what goes over memberlist's user messages.
-type wire struct {
+// message is sent as a user message of memberlist, encoded with MessagePack, after a checksum. The field names are
+// part of the wire format.
+type message struct {
 	Version int
 	From    string
 	Digest  uint64 // of the sender's view
 	Facts   []membership.Fact
 	Ends    []membership.End
 	Summary map[string]uint64
-	Step    int // of an exchange: 0 is news; ask, answer and back are each answered with the next, and go over a stream
+	Step    int // of an exchange, which goes over streams; 0: updates, in a datagram
 }
 
-var handle codec.MsgpackHandle
+var msgpackHandle codec.MsgpackHandle
 
-// send sends a message, a summary or its answer over a stream; mu is held. What is lost is made good by a later summary.
-func (g *Gossip) send(name string, w wire) {
-	to, there := g.members[name]
-	if !there || g.list == nil {
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// messageOf returns the wire form of what the disseminator sends.
+func messageOf(sent membership.Message) message {
+	m := message{Facts: sent.Updates.Facts, Ends: sent.Updates.Ends, Summary: sent.Summary}
+	if sent.Summary != nil {
+		m.Step = stepRequest
+	}
+	return m
+}
+
+// send sends a message: updates in a datagram, the steps of an exchange over a stream. A later summary repairs losses.
+// The caller holds mu.
+func (g *Gossip) send(name string, m message) {
+	to, found := g.members[name]
+	if !found || g.list == nil {
 		return
 	}
-	w.Version, w.From, w.Digest = version, g.name, g.talk.View.Digest()
-	var b bytes.Buffer
-	if err := codec.NewEncoder(&b, &handle).Encode(w); err != nil {
+	m.Version, m.From, m.Digest = protocolVersion, g.name, g.disseminator.View.Digest()
+	var encoded bytes.Buffer
+	if err := codec.NewEncoder(&encoded, &msgpackHandle).Encode(m); err != nil {
 		g.log.Error().Err(err).Msg("fleet: a message cannot be written")
 		return
 	}
-	list, node, text := g.list, to.node, seal(b.Bytes())
-	if w.Step > 0 {
-		if !g.stopping {
-			g.ended.Go(func() { list.SendReliable(&node, text) }) // a dial may take as long as its time-out
-		}
+	list, node, data := g.list, to.node, withChecksum(encoded.Bytes())
+	if m.Step == 0 {
+		_ = list.SendBestEffort(&node, data) // repaired by a later summary
 		return
 	}
-	list.SendBestEffort(&node, text)
+	if g.stopping {
+		return
+	}
+	g.goroutines.Go(func() { // A dial may take as long as its timeout.
+		_ = list.SendReliable(&node, data) // repaired by a later summary
+	})
+}
+
+// withChecksum puts a checksum before an encoded message. Memberlist's streams have none, and a single flipped bit in a
+// name would leave a pooler in all views that does not exist.
+func withChecksum(data []byte) []byte {
+	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(data, castagnoli)), data...)
 }
 
-// seal puts a checksum before a message: the library's streams have none, and a name with one bit turned over would live on as a
-// pooler that is not there.
-func seal(text []byte) []byte {
-	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(text, castagnoli)), text...)
+// withoutChecksum returns the encoded message after a checksum, and whether the checksum is right.
+func withoutChecksum(data []byte) (encoded []byte, ok bool) {
+	if len(data) < crc32.Size {
+		return nil, false
+	}
+	encoded = data[crc32.Size:]
+	return encoded, crc32.Checksum(encoded, castagnoli) == binary.BigEndian.Uint32(data)
 }
 
-// hear takes in a message.
-func (g *Gossip) hear(data []byte) {
-	if len(data) < 4 || crc32.Checksum(data[4:], castagnoli) != binary.BigEndian.Uint32(data) {
-		g.turnDown(&g.count.Garbled, "a message that was made otherwise on its way")
+// receive handles a message of another pooler.
+func (g *Gossip) receive(data []byte) {
+	encoded, ok := withoutChecksum(data)
+	if !ok {
+		g.reject(&g.counters.Malformed, "a message that was made otherwise on its way")
 		return
 	}
-	data = data[4:]
-	var w wire
-	err := codec.NewDecoder(io.LimitReader(bytes.NewReader(data), messageMost), &handle).Decode(&w)
-	if err != nil || w.From == "" {
-		g.turnDown(&g.count.Garbled, "a message that cannot be read")
+	var received message
+	limited := io.LimitReader(bytes.NewReader(encoded), maxMessageBytes)
+	if err := codec.NewDecoder(limited, &msgpackHandle).Decode(&received); err != nil || received.From == "" {
+		g.reject(&g.counters.Malformed, "a message that cannot be read")
 		return
 	}
-	if w.Version != version {
-		g.turnDown(&g.count.Versions, fmt.Sprintf("%q speaks version %d, and this pooler %d", w.From, w.Version, version))
+	if received.Version != protocolVersion {
+		g.reject(&g.counters.WrongVersion,
+			fmt.Sprintf("%q speaks version %d, and this pooler %d", received.From, received.Version, protocolVersion))
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
+	g.merge(received)
+	g.reply(received)
+}
+
+// merge adds what a message says to the view, and counts a refutation. The caller holds mu.
+func (g *Gossip) merge(received message) {
 	now := g.clock()
-	before := g.talk.Publisher.Incarnation()
-	g.talk.Receive(now, membership.Delta{Facts: w.Facts, Ends: w.Ends})
-	if g.talk.Publisher.Incarnation() != before {
-		g.count.Refuted++
+	before := g.disseminator.Publisher.Incarnation()
+	g.disseminator.Receive(now, membership.Delta{Facts: received.Facts, Ends: received.Ends})
+	if g.disseminator.Publisher.Incarnation() != before {
+		g.counters.Refutations++
 	}
-	if g.members[w.From] != nil {
-		g.heard.answer(w.From, now)
+	if g.members[received.From] != nil {
+		g.contacts.recordAnswer(received.From, now)
 	}
-	g.agreement.tell(now, w.From, w.Digest)
-	switch d := (membership.Delta{}); w.Step {
-	case ask:
-		d = g.talk.Answer(w.Summary)
-		g.send(w.From, wire{Facts: d.Facts, Ends: d.Ends, Summary: g.talk.View.Summary(), Step: answer})
-	case answer:
-		if d = g.talk.Answer(w.Summary); !d.Empty() {
-			g.send(w.From, wire{Facts: d.Facts, Ends: d.Ends, Step: back})
+	g.agreement.receive(now, received.From, received.Digest)
+}
+
+// reply sends the next step of an exchange. The caller holds mu.
+func (g *Gossip) reply(received message) {
+	switch received.Step {
+	case stepRequest:
+		delta := g.disseminator.Answer(received.Summary)
+		g.send(received.From, message{
+			Facts: delta.Facts, Ends: delta.Ends, Summary: g.disseminator.View.Summary(), Step: stepAnswer,
+		})
+	case stepAnswer:
+		if delta := g.disseminator.Answer(received.Summary); !delta.Empty() {
+			g.send(received.From, message{Facts: delta.Facts, Ends: delta.Ends, Step: stepReturn})
 		}
 	}
 }
