--- a/internal/membership/gossip/query.go
+++ b/internal/membership/gossip/query.go
@@ -60,7 +60,9 @@
 		}
 		addr := pooler.management()
 		if addr == "" {
+			mu.Lock() // queries of other poolers are running already
 			cluster.Failed[pooler.Name] = "it does not tell where it is managed"
+			mu.Unlock()
 			continue
 		}
 		queries.Go(func() {
--- /dev/null
+++ b/internal/membership/gossip/query_test.go
@@ -0,0 +1,41 @@
+package gossip_test
+
+import (
+	"fmt"
+	"net"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"capercove/internal/membership/gossip"
+)
+
+// Poolers without a management address and those that do not answer there are both reported, each by its name. The race
+// detector watches over the collection: queries fail on goroutines of their own while others are still being started.
+func TestQueryAllReportsPoolersThatCannotBeQueried(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	closed := listener.Addr().String()
+	require.NoError(t, listener.Close())
+	from := gossip.State{Name: "n0", Digest: "1"}
+	for i := range 200 {
+		pooler := gossip.Pooler{Name: fmt.Sprint("p", i), State: "live"}
+		if i%2 == 0 {
+			pooler.Says = fmt.Appendf(nil, "{\"management\":%q}", closed)
+		}
+		from.Poolers = append(from.Poolers, pooler)
+	}
+	from.Poolers = append(from.Poolers, gossip.Pooler{Name: "failed", State: "gone"}, gossip.Pooler{Name: "ended", State: "left"})
+	cluster := gossip.QueryAll(from)
+	require.Equal(t, []gossip.State{from}, cluster.Views)
+	require.False(t, cluster.Agree())
+	require.Len(t, cluster.Failed, 200)
+	for i := range 200 {
+		why := cluster.Failed[fmt.Sprint("p", i)]
+		if i%2 == 0 {
+			require.Contains(t, why, "connection refused")
+		} else {
+			require.Equal(t, "it does not tell where it is managed", why)
+		}
+	}
+}
