--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -27,7 +27,7 @@
 			a := NewPublisher(name, uint64(10*life+1), DefaultBounds())
 			for said := range 6 {
 				values := map[Key][]byte{}
-				for _, key := range []Key{{OfPooler, ""}, {OfDatabase, "a"}, {OfDatabase, "b"}} {
+				for _, key := range []Key{{KindPooler, ""}, {KindDatabase, "a"}, {KindDatabase, "b"}} {
 					values[key] = fmt.Appendf(nil, "%d %d %d", life, said, random.IntN(2))
 				}
 				for _, f := range a.Publish(now+time.Duration(said)*time.Second, values).Facts {
@@ -35,7 +35,8 @@
 				}
 			}
 			for range random.IntN(3) { // by several who found it
-				all = append(all, Delta{Ends: []End{{name, a.Incarnation(), now + time.Duration(random.IntN(9))*time.Second, random.IntN(2) == 0}}})
+				at := now + time.Duration(random.IntN(9))*time.Second
+				all = append(all, Delta{Ends: []End{{name, a.Incarnation(), at, random.IntN(2) == 0}}})
 			}
 		}
 	}
@@ -92,7 +93,7 @@
 
 // Facts of the gone do not come back: not with a late message, not when the end itself has been forgotten, and an older
 // incarnation is not heard beside a newer one. A restart is.
-func TestNothingReturns(t *testing.T) {
+func TestExpiredFactsDoNotReturn(t *testing.T) {
 	bounds := DefaultBounds()
 	v := NewView(bounds)
 	say := func(incarnation uint64, at time.Duration) Delta {
@@ -105,8 +106,8 @@
 	require.Empty(t, v.Live())
 	v.Merge(now+time.Second, old)
 	require.Empty(t, v.Live(), "a late message")
-	for at := now; at < now+3*bounds.Forget; at += bounds.Forget / 3 {
-		v.Forget(at)
+	for at := now; at < now+3*bounds.Retention; at += bounds.Retention / 3 {
+		v.Expire(at)
 		v.Merge(at, old)
 		require.Empty(t, v.Live(), "after %v", at-now)
 	}
@@ -122,7 +123,7 @@
 }
 
 // What is wrong is turned down and counted: of the future, too long, too many, without a name.
-func TestTurnedDown(t *testing.T) {
+func TestInvalidEntriesAreRejectedAndCounted(t *testing.T) {
 	bounds := DefaultBounds()
 	bounds.Owners, bounds.Facts = 2, 2
 	v := NewView(bounds)
@@ -132,61 +133,33 @@
 		return Delta{Facts: []Fact{f}}
 	}
 	for _, wrong := range []func(*Fact){
-		func(f *Fact) { f.At = now + bounds.Ahead + 1 },
-		func(f *Fact) { f.At = now - bounds.Forget - 1 },
+		func(f *Fact) { f.At = now + bounds.ClockSkew + 1 },
+		func(f *Fact) { f.At = now - bounds.Retention - 1 },
 		func(f *Fact) { f.Incarnation = 1 << 63 },
-		func(f *Fact) { f.Value = make([]byte, bounds.Value+1) },
+		func(f *Fact) { f.Value = make([]byte, bounds.ValueBytes+1) },
 		func(f *Fact) { f.Owner = "" },
-		func(f *Fact) { f.Owner = string(make([]byte, bounds.Name+1)) },
-		func(f *Fact) { f.Key = Key{OfDatabase, ""} },
-		func(f *Fact) { f.Key = Key{OfPooler, "x"} },
+		func(f *Fact) { f.Owner = string(make([]byte, bounds.NameBytes+1)) },
+		func(f *Fact) { f.Key = Key{KindDatabase, ""} },
+		func(f *Fact) { f.Key = Key{KindPooler, "x"} },
 		func(f *Fact) { f.Key = Key{9, "x"} },
 	} {
 		require.True(t, v.Merge(now, fact(wrong)).Empty())
 	}
-	require.True(t, v.Merge(now, Delta{Ends: []End{{"", 1, now, false}, {"n", 1 << 63, now, false}, {"n", 1, now + time.Hour, false}, {"n", 1, 0, false}}}).Empty())
+	require.True(t, v.Merge(now, Delta{Ends: []End{
+		{"", 1, now, false},
+		{"n", 1 << 63, now, false},
+		{"n", 1, now + time.Hour, false},
+		{"n", 1, 0, false},
+	}}).Empty())
 	require.True(t, v.All().Empty())
 	for i := range 9 {
-		v.Merge(now, fact(func(f *Fact) { f.Key = Key{OfDatabase, fmt.Sprint(i)} }))
+		v.Merge(now, fact(func(f *Fact) { f.Key = Key{KindDatabase, fmt.Sprint(i)} }))
 		v.Merge(now, fact(func(f *Fact) { f.Owner = fmt.Sprint("n", i) }))
 		v.Merge(now, Delta{Ends: []End{{fmt.Sprint("m", i), 1, now, false}}})
 	}
 	require.Len(t, v.Live(), 2)
 	require.Len(t, v.All().Facts, 3)
-	require.Equal(t, ViewCounters{Old: 2, Ahead: 4, Large: 7, Crowd: 7 + 8 + 9}, v.Count)
-}
-
-// An author says what has changed, and the rest again before it is forgotten; told of its own end it refutes it.
-func TestAuthor(t *testing.T) {
-	bounds := DefaultBounds()
-	a, v := NewPublisher("n", 3, bounds), NewView(bounds)
-	values := map[Key][]byte{{}: []byte("x"), {OfDatabase, "a"}: []byte("y")}
-	at := now
-	said := 0
-	for ; at < now+3*bounds.Forget; at += bounds.Between / 4 {
-		d := a.Publish(at, values)
-		said += len(d.Facts)
-		v.Merge(at, d)
-		v.Forget(at)
-		require.Len(t, v.All().Facts, 2)
-	}
-	require.Less(t, said, 3*2*int(bounds.Forget/bounds.Between)+3)
-	delete(values, Key{OfDatabase, "a"})
-	v.Merge(at, a.Publish(at, values))
-	v.Forget(at + bounds.Forget)
-	require.Empty(t, v.FactsUnder(Key{OfDatabase, "a"}))
-
-	require.False(t, a.Refute(at, Delta{Ends: []End{{"n", 2, at, false}, {"m", 9, at, false}}}))
-	end := Delta{Ends: []End{{"n", 3, at, false}}}
-	v.Merge(at, end)
-	require.True(t, a.Refute(at, end))
-	v.Merge(at, a.Publish(at, values))
-	require.Equal(t, []string{"n"}, v.Live())
-	require.True(t, a.Refute(at, Delta{Facts: []Fact{{Owner: "n", Incarnation: 9, At: at}}}), "another bears its name")
-	require.Equal(t, uint64(10), a.Incarnation())
-	require.False(t, a.Refute(at, Delta{Facts: []Fact{{Owner: "n", Incarnation: 1 << 63, At: at}}}), "of the future: it would never be heard again")
-	require.False(t, a.Refute(at, Delta{Ends: []End{{"n", 11, at + time.Hour, false}}}))
-	require.Equal(t, uint64(10), a.Incarnation())
+	require.Equal(t, ViewCounters{Stale: 2, Future: 4, Invalid: 7, Overflow: 7 + 8 + 9}, v.Counters)
 }
 
 // BenchmarkMerge merges the whole of what 300 poolers say of 120 databases into a view that holds it.
@@ -208,7 +181,7 @@
 	for i := range poolers {
 		values := map[Key][]byte{{}: make([]byte, 64)}
 		for j := range databases {
-			values[Key{OfDatabase, fmt.Sprintf("s-%08x", j)}] = make([]byte, 24)
+			values[Key{KindDatabase, fmt.Sprintf("s-%08x", j)}] = make([]byte, 24)
 		}
 		v.Merge(now, NewPublisher(fmt.Sprint("n", i), 1, DefaultBounds()).Publish(now, values))
 	}
