--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,14 +1,15 @@
-// Package admission decides which of the requests that have come in go on to the router, and when: it keeps tenants, and the
-// clients of each, to their fair shares of what stands behind it, and tells those that it turns away when to come back.
+// Package admission is the pooler's admission control: it decides which of the incoming requests go on to the router,
+// and when. It keeps tenants, and the clients of each, to their fair shares of the databases, and tells those whose
+// requests it rejects when to retry.
 //
-// A Door is driven by Step alone. It has no clock, goroutine or I/O, so equal calls give equal actions. Every offer ends
-// in exactly one of: admitted (and later ended by its host), refused, left. With room behind it nothing waits: an offer
-// is admitted in the Step that brings it.
+// A Controller is driven by Step alone. It has no clock, goroutine or I/O, so equal calls give equal actions. Every
+// offered request ends in exactly one of: admitted (and later ended by its host), rejected, left. While the databases
+// have capacity nothing waits: a request is admitted in the Step that offers it.
 //
-// Requests meet at lanes, one for the primary and one for the replicas of each group, since databases that differ must
-// not make one wait for the other. At a lane, tenants take turns by start-time fair queuing (Goyal, Vin, Cheng 1996), each
-// turn charged with the cost of the request in seconds of work; the clients of a tenant take turns in the same way. How
-// much is inside a lane at once is bounded by a limit that follows the latency there (limiter.go).
+// Requests wait in queues, one for the primary and one for the replicas of each group, since requests for one database
+// must not wait for another. In a queue, tenants take turns by start-time fair queuing (Goyal, Vin, Cheng 1996), each
+// turn charged with the cost of the request in seconds of work; the clients of a tenant take turns in the same way. The
+// number of a queue's requests in flight is bounded by a concurrency limit that follows their latency (limiter.go).
 package admission
 
 import (
@@ -20,520 +21,533 @@
 
 // Tuned values.
 const (
-	tick        = 10 * time.Millisecond  // how often what waits is looked at
-	window      = 100 * time.Millisecond // of the limiter and the rates, at the least
-	windowMost  = time.Second            // ... and at the most, if there are few samples
-	reseed      = 5 * time.Second        // clients are hashed anew, and what they have asked for counts half
-	forgotten   = time.Minute            // a tenant's place at a lane goes when it has been idle for so long
-	buckets     = 32                     // hashed flows of a tenant at a lane
-	heavies     = 16                     // ... and exact ones, for its heaviest clients
-	costGuess   = 0.2                    // of its aim, what a request of a class takes before any has been measured
-	patience    = 0.5                    // of the time its client waits, how long a request is held at the most
-	doubt       = 1.25                   // a wait that is this much longer than predicted is no surprise
-	earlyCharge = 1.0                    // of its cost, what one who comes back too early is charged
-	contendFor  = time.Second            // a tenant that has been here within it may be in another's way
-	loudShare   = 0.25                   // of a tenant's, that a client asks for before it can be in the others' way
-	shortLeast  = 0.01                   // short work, in places that it fills, under which none are kept for it
-	staffing    = 2.0                    // roots of their mean that are kept beyond the mean
-	asksLast    = 5 * time.Second        // a class that nobody has asked for so long does not count
-	rateOver    = time.Second            // the running rates are of about so long
+	sweepInterval    = 10 * time.Millisecond  // how often overdue requests are looked for
+	minWindow        = 100 * time.Millisecond // shortest measuring window of the limiter and the rates
+	maxWindow        = time.Second            // longest one, if there are few samples
+	reseedInterval   = 5 * time.Second        // clients are hashed anew, and what they have asked for counts half
+	idleTimeout      = time.Minute            // an idle tenant's state in a queue is dropped after this
+	hashedFlows      = 32                     // flows of a tenant in a queue that clients share by their hash
+	heavyFlows       = 16                     // flows of their own, for the tenant's heaviest clients
+	defaultCostShare = 0.2                    // of a class's objective: its cost before any request has been measured
+	maxWaitShare     = 0.5                    // of its client's timeout, that a request waits at most
+	waitMargin       = 1.25                   // a wait may turn out this many times the predicted one
+	earlyRetryCharge = 1.0                    // of a request's cost, charged for a retry that comes too early
+	contentionWindow = time.Second            // a tenant seen within it may compete with others
+	heavyClientShare = 0.25                   // of a tenant's work: a client above it may crowd out the others
+	minShortLoad     = 0.01                   // load of short requests below which no places are reserved for them
+	staffingFactor   = 2.0                    // standard deviations of the short load that are reserved beyond its mean
+	classActiveTime  = 5 * time.Second        // a class without requests for so long is not considered
+	rateTimeConstant = time.Second            // of the moving averages of rates
+	randomStream     = 0x646f6f72             // of the random generator, beside the seed
+	maxDelaySeconds  = 3600                   // bound of predicted delays
+	sojournDigits    = 2                      // significant digits of the sojourn histogram
 )
 
-// Kind of Event.
+// Kind is the kind of an Event.
 type Kind uint8
 
+// The kinds of events.
 const (
-	Offered Kind = iota // a request has come in
-	Ended               // one that was admitted is over
-	Left                // the client of one has gone, wherever it is
-	Full                // a database turned an attempt of one away for being full
-	Retuned             // new settings; what is queued stays, unless its class is gone
-	Woken               // time has passed
+	Offered Kind = iota // a request has arrived
+	Ended               // an admitted request is over
+	Left                // the client of a request has disconnected, whether it waits or was admitted
+	Full                // a database rejected an attempt of a request because it is overloaded
+	Retuned             // new settings; queued requests stay, unless their class is gone
+	Woken               // the time of a Wake action has come
 )
 
-// Event is one thing that happened. Kind tells which of the other fields are set.
+// Event is one input of Step. Kind tells which of the other fields are set.
 type Event struct {
 	Kind     Kind
 	Request  uint64
 	Offer    Offer
 	Outcome  Outcome
-	Settings *Settings // it must not change any more
+	Settings *Settings // it must not be changed afterwards
 }
 
-// Offer is a request as it comes to the door.
+// Offer describes an arriving request.
 type Offer struct {
-	Tenant  int // of Settings.Tenants
-	Class   int // of Settings.Classes
+	Tenant  int // index in Settings.Tenants
+	Class   int // index in Settings.Classes
 	Group   int
-	Client  uint64        // tells the clients of a tenant apart
-	Work    time.Duration // expected; 0: as its class
-	Expires time.Duration // from now until the client quits
+	Client  uint64        // identifies the client within its tenant
+	Work    time.Duration // expected; 0: the estimate of its class
+	Expires time.Duration // time from now until the client gives up
 }
 
-// Outcome ends what was admitted.
+// Outcome is how an admitted request ended.
 type Outcome struct {
-	Ran  bool          // a database answered, well or not, or did not in time; false: nothing was sent or all was turned away
-	Took time.Duration // the last attempt's time; 0: there was none
+	Ran  bool          // a database worked on it, whatever the result; false: none was sent or all were rejected
+	Took time.Duration // time of the last attempt; 0: there was none
 }
 
-// Action is one thing for the host to do, in order.
+// Action is one thing for the host to do. Actions are carried out in order.
 type Action struct {
 	Kind    ActionKind
 	Request uint64
-	Class   int           // Admit: its number in the newest settings
-	After   time.Duration // Refuse: when to come back; Wake: from now
+	Class   int           // Admit: its index in the newest settings
+	After   time.Duration // Reject: when to retry; Wake: time from now
 }
 
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
+// The kinds of actions.
 const (
-	Admit ActionKind = iota
-	Refuse
-	Wake // call Step with Woken then
+	Admit  ActionKind = iota // let the request go on to the router
+	Reject                   // reject it, with the time to retry after
+	Wake                     // call Step with a Woken event after the given time
 )
 
-// Settings are what the operators set, and what the door needs to know of the classes.
+// Settings are what the operators configured, and what the controller needs to know of the classes.
 type Settings struct {
-	Tenants       []Tenant // the first is who no rule names
+	Tenants       []Tenant // the first one takes the requests that no rule assigns
 	Classes       []Class
 	Limiter       LimiterKind
-	Tolerance     float64       // latency may be this multiple of the floor before less is let in; above 1
-	MaxRetryAfter time.Duration // no one is told to come back later than this; 0: nobody is told
+	Tolerance     float64       // multiple of the least latency up to which the limit is not lowered; above 1
+	MaxRetryAfter time.Duration // greatest time to retry after; 0: clients are given none
 	Bounds        Bounds
 }
 
-// Tenant is one party among whom the databases are shared.
+// Tenant is one of the parties among which the databases are shared.
 type Tenant struct {
 	Name         string
 	Weight       float64 // above 0
 	Floor        float64 // requests a second that go before all others; 0: none
-	Ceiling      float64 // requests a second beyond which all are refused; 0: none
-	FloorShare   float64 // of a lane's limit, below which its requests go before all others; 0: none
-	CeilingShare float64 // of a lane's limit that it may fill; 0: all
+	Ceiling      float64 // requests a second beyond which all are rejected; 0: none
+	FloorShare   float64 // share of a queue's limit, below which its requests go before all others; 0: none
+	CeilingShare float64 // greatest share of a queue's limit that it may use; 0: all
 }
 
-// Class is what the door needs to know of one.
+// Class is what the controller needs to know of a class of requests.
 type Class struct {
 	Name    string
-	Aim     time.Duration // an answer within it earns full worth
+	Aim     time.Duration // latency objective: an answer within it earns full value
 	Primary bool          // only a group's primary takes it
 }
 
-// Bounds bound the door's memory.
+// Bounds bound the memory of a Controller, and its concurrency limits.
 type Bounds struct {
-	Queue    int // requests that wait, over all lanes
-	Lanes    int // beyond them, groups share a lane
-	Promises int // remembered times to come back
+	Queue    int // waiting requests, over all queues
+	Lanes    int // queues; groups beyond them share one
+	Promises int // scheduled retries that are remembered
 	LimitMin float64
 	LimitMax float64
 }
 
-// Reason why the door refused.
+// Reason is why a request was rejected.
 type Reason uint8
 
+// The reasons of rejections.
 const (
-	TooLate  Reason = iota // it could not be admitted in time for its aim
+	TooLate  Reason = iota // it could not be admitted in time for its objective
 	NoRoom                 // the queue is full and its flow is the heaviest
 	Capped                 // its tenant is over its ceiling
-	Gone                   // its class is no more
-	Overtook               // it waited, but its time came first
-	reasons
+	Gone                   // its class is no longer configured
+	Overtook               // it waited, and its time ran out
+	reasonCount
 )
 
-// Count are the door's counters. Promised ones count requests: who came back when told is Kept if let in, Broken if not.
+// Count are the controller's counters. Retries that come as scheduled count as Kept if they are admitted, else as
+// Broken.
 type Count struct {
-	Offered, Admitted, Waited, Left int64 // Waited: of the admitted
-	TooLate, NoRoom, Capped, Gone   int64 // refused by the door
+	Offered, Admitted, Waited, Left int64 // Waited: of the admitted ones
+	TooLate, NoRoom, Capped, Gone   int64 // rejections by Reason
 	Overtook                        int64
-	Promised, Unpromised            int64 // times to come back that are remembered, and those that are not
-	Early, Kept, Broken             int64 // those who came back
+	Promised, Unpromised            int64 // Retry-After times that are remembered, and those that are not
+	Early, Kept, Broken             int64 // retries: before their time, admitted, rejected again
 }
 
-// refused is the counter of a reason.
-func (c *Count) refused(r Reason) *int64 {
-	return [reasons]*int64{&c.TooLate, &c.NoRoom, &c.Capped, &c.Gone, &c.Overtook}[r]
+// rejections returns the counter of a reason.
+func (c *Count) rejections(reason Reason) *int64 {
+	return [reasonCount]*int64{&c.TooLate, &c.NoRoom, &c.Capped, &c.Gone, &c.Overtook}[reason]
 }
 
-// Controller holds the queues. The zero value is not usable.
+// Controller holds the queues. The zero value is not usable. It is used by one goroutine at a time.
 type Controller struct {
 	Count   Count
-	Sojourn *hdrhistogram.Histogram // microseconds that those who waited had waited when let in
-
-	set      Settings
-	now      time.Duration
-	rng      *rand.Rand
-	seed     uint64 // of the hashed clients
-	seeded   time.Duration
-	awake    time.Duration // a Wake is on its way for then; 0: none
-	entries  []entry
-	free     int32 // first of the free entries
-	at       map[uint64]int32
-	queued   int
-	lanes    []*lane // by number
-	laneAt   map[laneKey]int
-	tenants  []account
-	promises promises
-	out      []Action
-	aside    []int32 // scratch
+	Sojourn *hdrhistogram.Histogram // waiting times of admitted requests that had to wait, in microseconds
+
+	settings     Settings
+	now          time.Duration
+	rng          *rand.Rand
+	seed         uint64 // of the hash that assigns clients to flows
+	seededAt     time.Duration
+	wakeAt       time.Duration // when the pending Wake is due; 0: none is pending
+	entries      []entry
+	free         int32 // first of the free entries
+	entryOf      map[uint64]int32
+	queued       int
+	queues       []*fairQueue // by number
+	queueNumbers map[queueKey]int
+	tenants      []tenantState
+	retries      retryTable
+	out          []Action
+	postponed    []int32 // scratch space of dispatch
 }
 
-// account is what is known of a tenant over all lanes.
-type account struct {
-	floor, ceiling   bucket
-	Admitted, Queued int64
-	Refused          int64
+// tenantState is what is known of a tenant over all queues.
+type tenantState struct {
+	floor, ceiling   tokenBucket
+	admitted, queued int64
+	rejected         int64
 }
 
-// bucket is a token bucket that holds a second's worth.
-type bucket struct {
+// tokenBucket holds at most the tokens of one second.
+type tokenBucket struct {
 	tokens float64
 	at     time.Duration
 }
 
-// fill returns what the bucket holds now, at a rate in tokens a second.
-func (b *bucket) fill(rate float64, now time.Duration) float64 {
+// refill returns the tokens that the bucket holds now, at a rate in tokens a second.
+func (b *tokenBucket) refill(rate float64, now time.Duration) float64 {
 	most := max(rate, 1)
 	b.tokens = min(most, b.tokens+rate*(now-b.at).Seconds())
 	b.at = now
 	return b.tokens
 }
 
-// New returns a door that is empty. Equal seeds give equal doors.
+// New returns an empty controller. Equal seeds give equal decisions.
 func New(s Settings, seed uint64) *Controller {
-	d := &Controller{rng: rand.New(rand.NewPCG(seed, 0x646f6f72)), at: map[uint64]int32{}, laneAt: map[laneKey]int{},
-		free: none, Sojourn: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)}
-	d.seed = d.rng.Uint64()
-	d.promises = newPromises(s.Bounds.Promises)
-	d.set = s
-	d.tenants = make([]account, len(s.Tenants))
-	return d
+	c := &Controller{
+		rng: rand.New(rand.NewPCG(seed, randomStream)), entryOf: map[uint64]int32{}, queueNumbers: map[queueKey]int{},
+		free: none, Sojourn: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), sojournDigits),
+	}
+	c.seed = c.rng.Uint64()
+	c.retries = newRetryTable(s.Bounds.Promises)
+	c.settings = s
+	c.tenants = make([]tenantState, len(s.Tenants))
+	return c
 }
 
-// Step takes one batch of events and appends what is to be done. What ends makes room before anything is let in, and
-// all offers of a batch are queued before any of them goes on, so that a batch after a pause is shared fairly too.
-func (d *Controller) Step(now time.Duration, events []Event, out []Action) []Action {
-	d.now, d.out = max(now, d.now), out
-	if d.seeded == 0 {
-		d.seeded = d.now
+// Step takes one batch of events and appends the resulting actions. Ended requests free their places before any request
+// is admitted, and all offers of a batch are queued before any is admitted, so that shares are fair after a pause too.
+func (c *Controller) Step(now time.Duration, events []Event, out []Action) []Action {
+	c.now, c.out = max(now, c.now), out
+	if c.seededAt == 0 {
+		c.seededAt = c.now
 	}
 	for i := range events {
 		switch e := &events[i]; e.Kind {
 		case Ended:
-			d.ended(e.Request, &e.Outcome)
+			c.ended(e.Request, &e.Outcome)
 		case Full:
-			if at, known := d.at[e.Request]; known && d.entries[at].state == inside {
-				d.lanes[d.entries[at].lane].limiter.full()
+			if at, known := c.entryOf[e.Request]; known && c.entries[at].state == inFlight {
+				c.queues[c.entries[at].queue].limiter.overloaded()
 			}
 		}
 	}
 	for i := range events {
 		switch e := &events[i]; e.Kind {
-		case Retuned: // In its place among the offers: those before it are of the old settings.
-			d.retune(*e.Settings)
+		case Retuned: // in its order among the offers: those before it refer to the old settings
+			c.retune(*e.Settings)
 		case Offered:
-			d.offer(e.Request, &e.Offer)
+			c.offer(e.Request, &e.Offer)
 		case Left:
-			d.left(e.Request)
+			c.left(e.Request)
 		}
 	}
-	if d.awake > 0 && d.now >= d.awake {
-		d.awake = 0
+	if c.wakeAt > 0 && c.now >= c.wakeAt {
+		c.wakeAt = 0
 	}
-	for _, l := range d.lanes {
-		l.roll(d)
-		if d.now-l.swept >= tick {
-			l.swept = d.now
-			d.sweep(l)
+	for _, queue := range c.queues {
+		queue.rollWindow(c)
+		if c.now-queue.sweptAt >= sweepInterval {
+			queue.sweptAt = c.now
+			c.rejectOverdue(queue)
 		}
-		d.dispatch(l)
+		c.dispatch(queue)
 	}
-	if d.now-d.seeded >= reseed {
-		d.renew()
+	if c.now-c.seededAt >= reseedInterval {
+		c.reseed()
 	}
-	if d.queued > 0 && d.awake == 0 {
-		d.awake = d.now + tick
-		d.out = append(d.out, Action{Kind: Wake, After: tick})
+	if c.queued > 0 && c.wakeAt == 0 {
+		c.wakeAt = c.now + sweepInterval
+		c.out = append(c.out, Action{Kind: Wake, After: sweepInterval})
 	}
-	return d.out
+	return c.out
 }
 
-// RetryAfter tells when one who was let in, and was refused behind the door, should come back. It is a promise as the
-// door's own refusals are, no sooner than at least, and must come before the request's end is told.
-func (d *Controller) RetryAfter(now time.Duration, request uint64, least time.Duration) time.Duration {
-	d.now = max(now, d.now)
-	at, known := d.at[request]
-	// Where nobody is held back, no queue is known that would tell when there is room: the router's own word stands.
-	if !known || !d.lanes[d.entries[at].lane].contested {
+// RetryAfter returns when the client of an admitted request that was rejected later on should retry, no sooner than
+// least. The retry is scheduled as for the controller's own rejections. It must be called before the request's Ended.
+func (c *Controller) RetryAfter(now time.Duration, request uint64, least time.Duration) time.Duration {
+	c.now = max(now, c.now)
+	at, known := c.entryOf[request]
+	// Without contention nothing waits here, so the queue does not tell when there will be capacity.
+	if !known || !c.queues[c.entries[at].queue].contested {
 		return least
 	}
-	return d.promise(&d.entries[at], least)
+	return c.assignRetryAfter(&c.entries[at], least)
 }
 
-// offer queues a request, or refuses it at once.
-func (d *Controller) offer(request uint64, o *Offer) {
-	d.Count.Offered++
-	l := d.laneOf(o.Group, d.set.Classes[o.Class].Primary)
-	class, stat := &d.set.Classes[o.Class], &l.classes[o.Class]
+// offer queues a request, or rejects it at once.
+func (c *Controller) offer(request uint64, o *Offer) {
+	c.Count.Offered++
+	queue := c.queueFor(o.Group, c.settings.Classes[o.Class].Primary)
+	class, stat := &c.settings.Classes[o.Class], &queue.classes[o.Class]
 	cost := o.Work.Seconds()
 	if cost <= 0 {
 		cost = stat.cost(class)
 	}
-	at := d.take()
-	e := &d.entries[at]
-	*e = entry{request: request, state: arriving, lane: l.number, tenant: int32(o.Tenant), class: int32(o.Class),
-		client: o.Client, cost: cost, offered: d.now}
-	d.at[request] = at
-	// Held only for as long as it can still be answered within its aim, and never far into its client's wait.
-	e.due = d.now + max(0, min(class.Aim-stat.latency(class, d.set.Tolerance), time.Duration(patience*float64(o.Expires))))
-	t, conf := &d.tenants[o.Tenant], &d.set.Tenants[o.Tenant]
+	at := c.allocate()
+	e := &c.entries[at]
+	*e = entry{
+		request: request, state: arriving, queue: queue.number, tenant: int32(o.Tenant), class: int32(o.Class),
+		client: o.Client, cost: cost, offered: c.now,
+	}
+	c.entryOf[request] = at
+	// It waits only while it can still be answered within its objective, and for a part of its client's timeout.
+	slack := class.Aim - stat.expectedLatency(class, c.settings.Tolerance)
+	e.admitBy = c.now + max(0, min(slack, time.Duration(maxWaitShare*float64(o.Expires))))
+	t, conf := &c.tenants[o.Tenant], &c.settings.Tenants[o.Tenant]
 	if conf.Ceiling > 0 {
-		if t.ceiling.fill(conf.Ceiling, d.now) < 1 {
-			d.refuse(at, Capped)
+		if t.ceiling.refill(conf.Ceiling, c.now) < 1 {
+			c.reject(at, Capped)
 			return
 		}
 		t.ceiling.tokens--
 	}
-	stat.asked = d.now
-	if l.isLong(d, o.Class) {
+	stat.lastOffered = c.now
+	if queue.isLong(&c.settings, c.now, o.Class) {
 		e.band = long
 	} else {
-		l.offered += cost
+		queue.shortOffered += cost
 	}
-	p := l.pair(d, o.Tenant)
-	e.flow = p.flowOf(d, e.client, e.cost, e.band)
-	switch d.promises.meet(d.promiseKey(e), d.now) {
+	sub := queue.subqueue(c, o.Tenant)
+	e.flow = sub.flowOf(c, e.client, e.cost, e.band)
+	switch c.retries.redeem(c.retryKey(e), c.now) {
 	case onTime:
-		e.promised = true
-	case early: // It stays a request as any other, at its own flow's cost.
-		d.Count.Early++
-		p.charge(e.flow, earlyCharge*e.cost)
-	}
-	full := d.queued >= d.set.Bounds.Queue
-	if l.queued >= l.room(e.band) { // it may have to wait
-		wait := l.wait(p, &p.flows[e.flow], e.cost)
-		if !e.promised && !l.underFloor(d, o.Tenant) && d.now+wait > e.due {
-			d.refuse(at, TooLate)
+		e.onSchedule = true
+	case early: // it is treated as any other request, and its flow is charged
+		c.Count.Early++
+		sub.charge(e.flow, earlyRetryCharge*e.cost)
+	}
+	full := c.queued >= c.settings.Bounds.Queue
+	if queue.queued >= queue.capacity(e.band) { // it may have to wait
+		wait := queue.expectedWait(sub, &sub.flows[e.flow], e.cost)
+		if !e.onSchedule && !queue.underFloor(c, o.Tenant) && c.now+wait > e.admitBy {
+			c.reject(at, TooLate)
 			return
 		}
 	}
-	d.enqueue(l, p, at)
+	c.enqueue(queue, sub, at)
 	if full {
-		d.refuse(d.heaviest(), NoRoom)
+		c.reject(c.heaviestEntry(), NoRoom)
 	}
 }
 
-// refuse ends an entry with the time to come back.
-func (d *Controller) refuse(at int32, why Reason) {
-	e := &d.entries[at]
-	*d.Count.refused(why)++
-	d.tenants[e.tenant].Refused++
-	if e.promised {
-		d.Count.Broken++
+// reject ends an entry with the time to retry after.
+func (c *Controller) reject(at int32, why Reason) {
+	entry := &c.entries[at]
+	*c.Count.rejections(why)++
+	c.tenants[entry.tenant].rejected++
+	if entry.onSchedule {
+		c.Count.Broken++
 	}
-	if e.state == queued {
-		d.unlink(at)
+	if entry.state == queued {
+		c.unlink(at)
 	}
 	var after time.Duration
 	switch why {
-	case Gone: // There is nothing to come back for.
+	case Gone: // a retry would be rejected too
 	case Capped:
-		conf, t := &d.set.Tenants[e.tenant], &d.tenants[e.tenant]
-		// Against all of them coming back with the next token.
-		wait := (1 - t.ceiling.tokens + conf.Ceiling*d.rng.Float64()/2) / conf.Ceiling
-		after = min(time.Duration(wait*float64(time.Second)), d.set.MaxRetryAfter)
+		conf, t := &c.settings.Tenants[entry.tenant], &c.tenants[entry.tenant]
+		// The random part prevents all of them from retrying for the next token.
+		wait := (1 - t.ceiling.tokens + conf.Ceiling*c.rng.Float64()/2) / conf.Ceiling
+		after = min(time.Duration(wait*float64(time.Second)), c.settings.MaxRetryAfter)
 	default:
-		after = d.promise(e, 0)
+		after = c.assignRetryAfter(entry, 0)
 	}
-	d.out = append(d.out, Action{Kind: Refuse, Request: e.request, After: after})
-	d.drop(at)
+	c.out = append(c.out, Action{Kind: Reject, Request: entry.request, After: after})
+	c.release(at)
 }
 
-// admit lets an entry go on.
-func (d *Controller) admit(l *lane, at int32) {
-	e := &d.entries[at]
-	e.state = inside
-	l.inside++
-	l.pairs[e.tenant].inside++
-	l.longs += int(e.band)
-	t := &d.tenants[e.tenant]
-	t.Admitted++
+// admit admits an entry.
+func (c *Controller) admit(queue *fairQueue, at int32) {
+	entry := &c.entries[at]
+	entry.state = inFlight
+	queue.inFlight++
+	queue.subqueues[entry.tenant].inFlight++
+	queue.longInFlight += int(entry.band)
+	t := &c.tenants[entry.tenant]
+	t.admitted++
 	t.floor.tokens = max(0, t.floor.tokens-1)
-	d.Count.Admitted++
-	if e.promised {
-		d.Count.Kept++
+	c.Count.Admitted++
+	if entry.onSchedule {
+		c.Count.Kept++
 	}
-	if d.now > e.offered {
-		d.Count.Waited++
-		d.Sojourn.RecordValue(int64((d.now - e.offered) / time.Microsecond))
+	if c.now > entry.offered {
+		c.Count.Waited++
+		_ = c.Sojourn.RecordValue(int64((c.now - entry.offered) / time.Microsecond))
 	}
-	d.out = append(d.out, Action{Kind: Admit, Request: e.request, Class: int(e.class)})
+	c.out = append(c.out, Action{Kind: Admit, Request: entry.request, Class: int(entry.class)})
 }
 
-// ended takes one that was admitted out, and learns from it.
-func (d *Controller) ended(request uint64, o *Outcome) {
-	at, known := d.at[request]
-	if !known || d.entries[at].state != inside {
+// ended removes an admitted request, and takes its latency into the statistics.
+func (c *Controller) ended(request uint64, o *Outcome) {
+	at, known := c.entryOf[request]
+	if !known || c.entries[at].state != inFlight {
 		return
 	}
-	e := &d.entries[at]
-	l := d.lanes[e.lane]
-	l.inside--
-	l.pairs[e.tenant].inside--
-	l.longs -= int(e.band)
-	l.ended += e.cost
-	if o.Ran && e.class >= 0 {
-		l.ran += e.cost
+	entry := &c.entries[at]
+	queue := c.queues[entry.queue]
+	queue.inFlight--
+	queue.subqueues[entry.tenant].inFlight--
+	queue.longInFlight -= int(entry.band)
+	queue.endedCost += entry.cost
+	if o.Ran && entry.class >= 0 {
+		queue.ranCost += entry.cost
 		if o.Took > 0 {
-			l.classes[e.class].sample(o.Took)
+			queue.classes[entry.class].addSample(o.Took)
 		}
 	}
-	d.drop(at)
+	c.release(at)
 }
 
-// left forgets a request whose client has gone.
-func (d *Controller) left(request uint64) {
-	at, known := d.at[request]
+// left removes a request whose client has disconnected.
+func (c *Controller) left(request uint64) {
+	at, known := c.entryOf[request]
 	if !known {
 		return
 	}
-	d.Count.Left++
-	if d.entries[at].state == inside {
-		d.ended(request, &Outcome{})
+	c.Count.Left++
+	if c.entries[at].state == inFlight {
+		c.ended(request, &Outcome{})
 		return
 	}
-	d.unlink(at)
-	d.drop(at)
+	c.unlink(at)
+	c.release(at)
 }
 
-// sweep refuses what waits at a lane and can no longer be in time, at once.
-func (d *Controller) sweep(l *lane) {
-	d.weed(l, func(_ *pair, e *entry, _ float64) bool { return d.now > e.due }, Overtook)
+// rejectOverdue rejects the requests of a queue that can no longer be in time.
+func (c *Controller) rejectOverdue(queue *fairQueue) {
+	c.rejectWhere(queue, func(_ *subqueue, e *entry, _ float64) bool { return c.now > e.admitBy }, Overtook)
 }
 
-// prune refuses what waits at a lane and will not be in time, as things stand. Against a long queue that stands while
-// what is behind the door has become less: its end would be held for nothing.
-func (d *Controller) prune(l *lane) {
-	d.weed(l, func(p *pair, e *entry, ahead float64) bool {
-		wait := time.Duration(float64(l.ahead(p, ahead)) / doubt)
-		return d.now+wait > e.due
+// rejectLate rejects the requests of a queue that are predicted to be late. When the capacity of the databases has
+// fallen while a long queue stands, it prevents the requests at its end from waiting in vain.
+func (c *Controller) rejectLate(queue *fairQueue) {
+	c.rejectWhere(queue, func(sub *subqueue, e *entry, ahead float64) bool {
+		wait := time.Duration(float64(queue.delay(sub, ahead)) / waitMargin)
+		return c.now+wait > e.admitBy
 	}, TooLate)
 }
 
-// weed refuses those who wait at a lane for whom the condition holds. It is told the cost that goes before each in its
-// flow, its own included.
-func (d *Controller) weed(l *lane, condition func(*pair, *entry, float64) bool, why Reason) {
-	for t := range l.pairs {
-		p := l.pairs[t]
-		if p == nil || p.queued == 0 || why == TooLate && l.underFloor(d, t) {
+// rejectWhere rejects the waiting requests of a queue for which the condition holds. The condition is given the cost of
+// the requests up to and including each in its flow.
+func (c *Controller) rejectWhere(queue *fairQueue, condition func(*subqueue, *entry, float64) bool, why Reason) {
+	for t := range queue.subqueues {
+		sub := queue.subqueues[t]
+		if sub == nil || sub.queued == 0 || why == TooLate && queue.underFloor(c, t) {
 			continue
 		}
 		each := func(at int32) {
 			for ahead := 0.0; at != none; {
-				e := &d.entries[at]
+				e := &c.entries[at]
 				next := e.next
-				if condition(p, e, ahead+e.cost) {
-					d.refuse(at, why)
+				if condition(sub, e, ahead+e.cost) {
+					c.reject(at, why)
 				} else {
 					ahead += e.cost
 				}
 				at = next
 			}
 		}
-		for i := range p.flows {
-			if p.flows[i].count > 0 {
-				each(p.flows[i].first)
+		for i := range sub.flows {
+			if sub.flows[i].count > 0 {
+				each(sub.flows[i].first)
 			}
 		}
-		if why == Overtook { // The kept are let down only when it is too late.
-			each(p.kept[short].first)
-			each(p.kept[long].first)
+		if why == Overtook { // scheduled retries are rejected only when it is too late
+			each(sub.retries[short].first)
+			each(sub.retries[long].first)
 		}
 	}
 }
 
-// renew hashes the clients anew, so that two who share a flow by chance do not share it for long, and lets go of what
-// has been idle.
-func (d *Controller) renew() {
-	d.seeded, d.seed = d.now, d.rng.Uint64()
-	for _, l := range d.lanes {
-		for t, p := range l.pairs {
-			if p == nil {
+// reseed assigns clients to flows by a new hash, so that two that share a flow by chance do not share it for long, and
+// drops the state of idle tenants.
+func (c *Controller) reseed() {
+	c.seededAt, c.seed = c.now, c.rng.Uint64()
+	for _, queue := range c.queues {
+		for t, sub := range queue.subqueues {
+			if sub == nil {
 				continue
 			}
-			p.sketch.halve()
-			if p.queued == 0 && p.inside == 0 && d.now-p.used > forgotten {
-				l.pairs[t] = nil
+			sub.sketch.halve()
+			if sub.queued == 0 && sub.inFlight == 0 && c.now-sub.usedAt > idleTimeout {
+				queue.subqueues[t] = nil
 			}
 		}
 	}
 }
 
-// retune takes in new settings. Tenants and classes keep their state by name; those queued for a tenant that is no more
-// wait with the first one's, and those of a class that is no more are refused.
-func (d *Controller) retune(s Settings) {
-	tenantTo, classTo := make([]int32, len(d.set.Tenants)), make([]int32, len(d.set.Classes))
-	tenants := make([]account, len(s.Tenants))
-	for i, old := range d.set.Tenants {
+// retune applies new settings. Tenants and classes keep their state by name. Requests queued for a tenant that is gone
+// wait with those of the first one; requests of a class that is gone are rejected.
+func (c *Controller) retune(s Settings) {
+	tenantTo, classTo := make([]int32, len(c.settings.Tenants)), make([]int32, len(c.settings.Classes))
+	tenants := make([]tenantState, len(s.Tenants))
+	for i, old := range c.settings.Tenants {
 		for j, t := range s.Tenants {
 			if t.Name == old.Name {
 				tenantTo[i] = int32(j)
 			}
 		}
 	}
-	for i, old := range d.set.Classes {
+	for i, old := range c.settings.Classes {
 		classTo[i] = none
-		for j, c := range s.Classes {
-			if c.Name == old.Name && c.Primary == old.Primary {
+		for j, class := range s.Classes {
+			if class.Name == old.Name && class.Primary == old.Primary {
 				classTo[i] = int32(j)
 			}
 		}
 	}
-	// Queued ones are taken out and put in again, in the order in which they came.
+	// Waiting requests are taken out and queued again, in the order of their arrival.
 	var waiting []int32
-	for at := range d.entries {
-		if d.entries[at].state == queued {
+	for at := range c.entries {
+		if c.entries[at].state == queued {
 			waiting = append(waiting, int32(at))
 		}
 	}
-	sortBy(waiting, func(a, b int32) bool {
-		ea, eb := &d.entries[a], &d.entries[b]
+	sortNumbers(waiting, func(a, b int32) bool {
+		ea, eb := &c.entries[a], &c.entries[b]
 		return ea.offered < eb.offered || ea.offered == eb.offered && ea.request < eb.request
 	})
 	for _, at := range waiting {
-		d.unlink(at)
-		if class := d.entries[at].class; classTo[class] == none {
-			d.entries[at].state = arriving
-			d.refuse(at, Gone)
+		c.unlink(at)
+		if class := c.entries[at].class; classTo[class] == none {
+			c.entries[at].state = arriving
+			c.reject(at, Gone)
 		}
 	}
-	for i, old := range d.set.Tenants { // now that nothing of theirs is counted as queued
+	for i, old := range c.settings.Tenants { // after the queued requests have been taken out of the counters
 		if to := tenantTo[i]; s.Tenants[to].Name == old.Name {
-			tenants[to] = d.tenants[i]
+			tenants[to] = c.tenants[i]
 		}
 	}
-	d.set, d.tenants = s, tenants
-	for _, l := range d.lanes {
-		l.renumber(d, tenantTo, classTo)
+	c.settings, c.tenants = s, tenants
+	for _, queue := range c.queues {
+		queue.renumber(c, tenantTo, classTo)
 	}
-	for at := range d.entries {
-		e := &d.entries[at]
-		if e.state == nobody {
+	for at := range c.entries {
+		e := &c.entries[at]
+		if e.state == unused {
 			continue
 		}
 		e.tenant = tenantTo[e.tenant]
 		if e.class >= 0 {
 			e.class = classTo[e.class]
 		}
-		if e.state == inside {
-			d.lanes[e.lane].pair(d, int(e.tenant)).inside++
+		if e.state == inFlight {
+			c.queues[e.queue].subqueue(c, int(e.tenant)).inFlight++
 		}
 	}
 	for _, at := range waiting {
-		if e := &d.entries[at]; e.state == arriving {
-			l := d.lanes[e.lane]
-			p := l.pair(d, int(e.tenant))
-			e.flow = p.flowOf(d, e.client, 0, e.band)
-			d.enqueue(l, p, at)
+		if e := &c.entries[at]; e.state == arriving {
+			queue := c.queues[e.queue]
+			sub := queue.subqueue(c, int(e.tenant))
+			e.flow = sub.flowOf(c, e.client, 0, e.band)
+			c.enqueue(queue, sub, at)
 		}
 	}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -9,15 +9,15 @@
 
 const read, report, write = 0, 1, 2
 
-// With room behind it, nothing waits: each is admitted in the Step that brings it.
-func TestRoomMeansNoWait(t *testing.T) {
+// While the databases have capacity nothing waits: each request is admitted in the Step that offers it.
+func TestNothingWaitsBelowLimit(t *testing.T) {
 	w := newWorld(t, 8, settings(1, 1))
 	w.run(10*time.Second, ms, func() {
 		w.every(60, func() { w.ask(w.rng.IntN(2), read, w.rng.Uint64(), 60*ms, nil) })
 	})
 	w.settle()
-	require.Zero(t, w.d.Count.Waited)
-	require.Equal(t, w.d.Count.Offered, w.d.Count.Admitted)
+	require.Zero(t, w.controller.Count.Waited)
+	require.Equal(t, w.controller.Count.Offered, w.controller.Count.Admitted)
 }
 
 // Tenants that all want more than there is get their weights' shares of the work, whatever the size of their requests,
@@ -118,14 +118,14 @@
 		}
 		w.every(20, func() { w.ask(0, read, 1, 60*ms, regular.note(w)) })
 	})
-	require.LessOrEqual(t, w.most, w.d.set.Bounds.Queue)
-	require.Less(t, len(w.d.entries), 3*w.d.set.Bounds.Queue)
+	require.LessOrEqual(t, w.most, w.controller.settings.Bounds.Queue)
+	require.Less(t, len(w.controller.entries), 3*w.controller.settings.Bounds.Queue)
 	w.settle()
-	require.Greater(t, w.d.Count.Offered, int64(100_000))
+	require.Greater(t, w.controller.Count.Offered, int64(100_000))
 	require.Greater(t, regular.share(), 0.95)
 }
 
-// With the queue full, the newest of the heaviest flow goes, not the quiet tenant's.
+// When the queue is full, the newest request of the heaviest flow is rejected, not the quiet tenant's.
 func TestFullQueue(t *testing.T) {
 	s := settings(1, 1)
 	s.Bounds.Queue, s.Bounds.LimitMax = 8, 2
@@ -137,19 +137,19 @@
 		}
 	}
 	newest := w.ask(1, report, 9, time.Second, nil)
-	w.d.lanes[0].endedRate = 100 // so that nobody is refused for the time that it would take
+	w.controller.queues[0].endedRate = 100 // so that none is rejected for the time that it would take
 	w.step()
 	quiet := w.ask(0, read, 1, 60*ms, nil)
 	w.step()
 	require.Equal(t, waits, quiet.state)
 	require.Equal(t, refused, newest.state)
-	require.Equal(t, 8, w.d.queued)
-	require.Positive(t, w.d.Count.NoRoom)
-	loud := w.d.lanes[0].pairs[1]
-	require.Equal(t, uint64(3), w.d.entries[loud.flows[loud.active[short][0]].first].request, "the oldest that waits is still there")
+	require.Equal(t, 8, w.controller.queued)
+	require.Positive(t, w.controller.Count.NoRoom)
+	loud := w.controller.queues[0].subqueues[1]
+	require.Equal(t, uint64(3), w.controller.entries[loud.flows[loud.active[short][0]].first].request, "the oldest that waits is still there")
 }
 
-// What cannot be admitted in time is refused at once; what was held is admitted or refused by its due, never later.
+// Requests that cannot be admitted in time are rejected at once; those that wait are admitted or rejected by admitBy.
 func TestNeverHeldToTheDeadline(t *testing.T) {
 	w := newWorld(t, 4, settings(1, 1))
 	longest := time.Duration(0)
@@ -163,23 +163,23 @@
 		})
 	})
 	w.settle()
-	require.Positive(t, w.d.Count.TooLate)
+	require.Positive(t, w.controller.Count.TooLate)
 	require.LessOrEqual(t, longest, 300*ms, "an aim, a quarter of the deadline")
-	require.Less(t, w.d.Count.Overtook, w.d.Count.TooLate/4, "most are refused as they come")
+	require.Less(t, w.controller.Count.Overtook, w.controller.Count.TooLate/4, "most are refused as they come")
 }
 
-// Capacity that halves while a long queue stands: its end is refused as soon as that shows.
+// Capacity that halves while a long queue stands: the requests at its end are rejected as soon as the rate falls.
 func TestCapacityHalves(t *testing.T) {
 	w := newWorld(t, 16, settings(1, 1))
 	w.run(20*time.Second, ms, func() { w.every(40, func() { w.ask(w.rng.IntN(2), report, w.rng.Uint64(), time.Second, nil) }) })
-	before := w.d.Count.TooLate
+	before := w.controller.Count.TooLate
 	w.cores = 8
-	waiting := w.d.queued
+	waiting := w.controller.queued
 	w.run(3*time.Second, ms, nil)
 	require.Positive(t, waiting)
-	require.Greater(t, w.d.Count.TooLate, before, "pruned")
+	require.Greater(t, w.controller.Count.TooLate, before, "pruned")
 	w.settle()
-	require.Less(t, w.d.Count.Overtook, int64(waiting)/2+w.d.Count.TooLate)
+	require.Less(t, w.controller.Count.Overtook, int64(waiting)/2+w.controller.Count.TooLate)
 }
 
 // A process that is paused again and again, and gets the events of a second at once, keeps the shares.
@@ -192,10 +192,10 @@
 	})
 	w.settle()
 	require.InDelta(t, 1, one.work.Seconds()/two.work.Seconds(), 0.15)
-	require.Greater(t, w.d.lanes[0].limiter.limit(), 4.0, "one window is one step down, not a hundred")
+	require.Greater(t, w.controller.queues[0].limiter.limit(), 4.0, "one window is one step down, not a hundred")
 }
 
-// A flow whose client leaves while it waits gives its place up; one who leaves inside does too.
+// A client that disconnects frees the place of its request, whether it waits or is in flight.
 func TestClientLeaves(t *testing.T) {
 	s := settings(1, 1)
 	s.Bounds.LimitMax = 2
@@ -216,11 +216,11 @@
 		}
 	})
 	w.settle()
-	require.Positive(t, w.d.Count.Left)
+	require.Positive(t, w.controller.Count.Left)
 }
 
 // Reads and writes of one group, and two groups, do not wait for one another.
-func TestLanes(t *testing.T) {
+func TestQueuesAreIndependent(t *testing.T) {
 	s := settings(1)
 	s.Bounds.LimitMax = 2
 	w := newWorld(t, 0, s)
@@ -228,7 +228,7 @@
 		w.ask(0, report, w.rng.Uint64(), time.Second, nil)
 	}
 	w.step()
-	require.Positive(t, w.d.queued)
+	require.Positive(t, w.controller.queued)
 	j := w.ask(0, write, 1, 60*ms, nil)
 	other := w.ask(0, read, 1, 60*ms, nil)
 	w.events[len(w.events)-1].Offer.Group = 1
@@ -253,21 +253,21 @@
 	w.settle()
 	require.Greater(t, got[0].share(), 0.9, "a floor")
 	require.InDelta(t, 5*30, got[2].served, 15, "a ceiling")
-	require.Positive(t, w.d.Count.Capped)
+	require.Positive(t, w.controller.Count.Capped)
 	most := 0
 	w.run(10*time.Second, ms, func() {
 		w.every(300, func() { w.ask(3, read, w.rng.Uint64(), 60*ms, got[3].note(w)) })
-		l := w.d.lanes[0]
-		if p := l.pairs[3]; p != nil {
-			most = max(most, p.inside)
-			require.LessOrEqual(t, float64(p.inside), max(1, 0.25*l.limiter.limit())+1)
+		l := w.controller.queues[0]
+		if p := l.subqueues[3]; p != nil {
+			most = max(most, p.inFlight)
+			require.LessOrEqual(t, float64(p.inFlight), max(1, 0.25*l.limiter.limit())+1)
 		}
 	})
 	require.Positive(t, most)
 	w.settle()
 }
 
-// New settings keep what is queued under its names; a class that is gone is refused, a tenant that is gone waits on.
+// New settings keep queued requests by name; those of a removed class are rejected, those of a removed tenant wait on.
 func TestRetune(t *testing.T) {
 	s := settings(1, 1, 1)
 	s.Bounds.LimitMax = 2
@@ -277,7 +277,7 @@
 		jobs = append(jobs, w.ask(i%3, i%2, uint64(i), time.Second, nil))
 	}
 	w.step()
-	waiting := w.d.queued
+	waiting := w.controller.queued
 	require.GreaterOrEqual(t, waiting, 9)
 	var held []*job
 	for _, j := range jobs {
@@ -292,15 +292,15 @@
 	w.events = append(w.events, Event{Kind: Retuned, Settings: &again})
 	w.ask(0, 1, 99, time.Second, nil)
 	w.step()
-	require.Positive(t, w.d.Count.Gone)
+	require.Positive(t, w.controller.Count.Gone)
 	for _, j := range held {
 		require.Equal(t, j.offer.Class == read, j.state == refused)
 	}
 	counted := 0
-	for _, f := range w.d.Tenants() {
+	for _, f := range w.controller.Tenants() {
 		counted += int(f.Queued)
 	}
-	require.Equal(t, w.d.Queued(), counted, "the tenants' figures add up")
+	require.Equal(t, w.controller.Queued(), counted, "the tenants' figures add up")
 	w.cores = 4
 	w.settle()
 }
@@ -311,7 +311,7 @@
 		w := newWorld(t, 4, settings(1, 1))
 		w.run(5*time.Second, ms, func() { w.every(200, func() { w.ask(w.rng.IntN(2), read, w.rng.Uint64()%99, 60*ms, nil) }) })
 		w.settle()
-		return w.d.Count
+		return w.controller.Count
 	}
 	require.Equal(t, run(), run())
 }
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkOffer measures one request's way through the door, from its offer to its end, with a queue that stands: as
-// many clients as told take turns, each offer is queued, and one that waits is let in for each that ends.
+// BenchmarkOffer measures one request, from its offer to its end, with a standing queue: that many clients take turns,
+// each offered request is queued, and one that waits is admitted for each that ends.
 func BenchmarkOffer(b *testing.B) {
 	for _, flows := range []int{1, 1000, 100_000} {
 		b.Run(fmt.Sprintf("flows=%d", flows), func(b *testing.B) {
@@ -28,8 +28,10 @@
 					inside = append(inside[:0], inside[1:]...)
 				}
 				id++
-				events = append(events, Event{Kind: Offered, Request: id, Offer: Offer{Tenant: int(id % 4), Class: report,
-					Client: id % uint64(flows), Expires: 20 * time.Second, Work: ms}})
+				events = append(events, Event{Kind: Offered, Request: id, Offer: Offer{
+					Tenant: int(id % 4), Class: report,
+					Client: id % uint64(flows), Expires: 20 * time.Second, Work: ms,
+				}})
 				out = d.Step(now, events, out[:0])
 				for _, a := range out {
 					if a.Kind == Admit {
--- a/internal/admission/lane.go
+++ b/internal/admission/lane.go
@@ -6,316 +6,333 @@
 	"time"
 )
 
-// laneKey names what has databases of its own: the primary of a group, or its replicas.
-type laneKey struct {
+// queueKey identifies the databases of a queue: the primary of a group, or its replicas.
+type queueKey struct {
 	group   int
 	primary bool
 }
 
-// lane is where requests for the same databases meet.
-type lane struct {
-	number    int32
-	vt        float64 // virtual time: of the turn that was last given
-	pairs     []*pair // by tenant; nil: it has not been here lately
-	active    []int32 // heap of the tenants that wait
-	weight    float64 // of them together
-	queued    int
-	inside    int
-	backlog   float64 // cost of what waits
-	limiter   limiter
-	classes   []classStat
-	contested bool    // somebody may be kept out by others
-	longs     int     // of those inside
-	offered   float64 // cost of short ones that have come in the window
-	short     float64 // ... a second, of late
-	swept     time.Duration
-
-	rolled     time.Duration // when the window began
-	ended, ran float64       // cost of what ended in it, and of that which ran
-	full       bool          // there was more to do than was let in
-	endedRate  float64       // cost a second, while full
-	ranRate    float64
+// fairQueue holds the requests for the same databases, waiting and in flight.
+type fairQueue struct {
+	number       int32
+	virtualTime  float64     // start tag of the last admitted request
+	subqueues    []*subqueue // by tenant; nil: without requests lately
+	active       []int32     // heap of the tenants that have waiting requests
+	weight       float64     // sum of theirs
+	queued       int
+	inFlight     int
+	backlog      float64 // cost of the waiting requests
+	limiter      limiter
+	classes      []classStat
+	contested    bool    // one client or tenant may delay another
+	longInFlight int     // long ones among those in flight
+	shortOffered float64 // cost of the short requests offered in the window
+	shortLoad    float64 // its moving average, in seconds of work a second
+	sweptAt      time.Duration
+
+	windowStart        time.Duration // start of the measuring window
+	endedCost, ranCost float64       // cost of the requests that ended in it, and of those of them that ran
+	saturated          bool          // its limit has been reached since the limiter last moved
+	endedRate          float64       // cost a second, while saturated
+	ranRate            float64
 }
 
-// laneOf returns the lane of a group. Beyond their bound, lanes are shared: groups there wait for one another.
-func (d *Controller) laneOf(group int, primary bool) *lane {
-	key := laneKey{group, primary}
-	i, known := d.laneAt[key]
+// queueFor returns the queue of a group's primary or replicas. Beyond their bound, groups share queues.
+func (c *Controller) queueFor(group int, primary bool) *fairQueue {
+	key := queueKey{group, primary}
+	i, known := c.queueNumbers[key]
 	if !known {
-		if i = len(d.lanes); i >= d.set.Bounds.Lanes {
+		if i = len(c.queues); i >= c.settings.Bounds.Lanes {
 			h := hash(uint64(group)*2, 0)
 			if primary {
 				h = hash(uint64(group)*2+1, 0)
 			}
-			return d.lanes[h%uint64(len(d.lanes))]
+			return c.queues[h%uint64(len(c.queues))]
 		}
-		d.laneAt[key] = i
-		d.lanes = append(d.lanes, &lane{number: int32(i), pairs: make([]*pair, len(d.set.Tenants)),
-			classes: make([]classStat, len(d.set.Classes)), rolled: d.now, limiter: newLimiter(&d.set), contested: true})
+		c.queueNumbers[key] = i
+		c.queues = append(c.queues, &fairQueue{
+			number:      int32(i),
+			subqueues:   make([]*subqueue, len(c.settings.Tenants)),
+			classes:     make([]classStat, len(c.settings.Classes)),
+			windowStart: c.now,
+			limiter:     newLimiter(&c.settings),
+			contested:   true,
+		})
 	}
-	return d.lanes[i]
+	return c.queues[i]
 }
 
-// pair returns a tenant's place at the lane.
-func (l *lane) pair(d *Controller, tenant int) *pair {
-	p := l.pairs[tenant]
-	if p == nil {
-		p = &pair{at: none, kept: [bands]list{{none, none}, {none, none}}, finish: l.vt, weight: d.set.Tenants[tenant].Weight, used: d.now}
-		p.heaps = [bands]flowHeap{{p, short}, {p, long}}
-		for i := range p.flows {
-			p.flows[i] = flow{first: none, last: none, oldest: none, newest: none, at: none}
+// subqueue returns the part of the queue that belongs to a tenant, and creates it if necessary.
+func (q *fairQueue) subqueue(c *Controller, tenant int) *subqueue {
+	sub := q.subqueues[tenant]
+	if sub == nil {
+		sub = &subqueue{
+			heapIndex: none,
+			retries:   [bands]arrivalList{{none, none}, {none, none}},
+			finish:    q.virtualTime,
+			weight:    c.settings.Tenants[tenant].Weight,
+			usedAt:    c.now,
+		}
+		sub.heaps = [bands]flowHeap{{sub, short}, {sub, long}}
+		for i := range sub.flows {
+			sub.flows[i] = flow{first: none, last: none, oldest: none, newest: none, heapIndex: none}
 		}
-		l.pairs[tenant] = p
+		q.subqueues[tenant] = sub
 	}
-	return p
+	return sub
 }
 
-// first is the tenant whose turn it is: one under its floor, or else the one that is the least ahead.
-func (l *lane) first(d *Controller) int32 {
-	for i := range d.set.Tenants {
-		if l.pairs[i] != nil && l.pairs[i].at != none && l.underFloor(d, i) {
+// nextTenant returns the tenant whose turn it is: one under its floor, else the one with the least start tag.
+func (q *fairQueue) nextTenant(c *Controller) int32 {
+	for i := range c.settings.Tenants {
+		if q.subqueues[i] != nil && q.subqueues[i].heapIndex != none && q.underFloor(c, i) {
 			return int32(i)
 		}
 	}
-	return l.active[0]
+	return q.active[0]
 }
 
-// underFloor tells whether a tenant has less than its floors.
-func (l *lane) underFloor(d *Controller, i int) bool {
-	t := &d.set.Tenants[i]
-	return t.FloorShare > 0 && float64(l.pairs[i].inside+l.pairs[i].queued) < t.FloorShare*l.limiter.limit() ||
-		t.Floor > 0 && d.tenants[i].floor.fill(t.Floor, d.now) >= 1
+// underFloor reports whether a tenant has less than its floors.
+func (q *fairQueue) underFloor(c *Controller, i int) bool {
+	t := &c.settings.Tenants[i]
+	present := float64(q.subqueues[i].inFlight + q.subqueues[i].queued)
+	return t.FloorShare > 0 && present < t.FloorShare*q.limiter.limit() ||
+		t.Floor > 0 && c.tenants[i].floor.refill(t.Floor, c.now) >= 1
 }
 
-// isLong tells whether requests of a class are so long that, with the lane full of them, ones of another class that is
-// asked for here would be late before the first of them has ended.
-func (l *lane) isLong(d *Controller, class int) bool {
-	takes := l.classes[class].cost(&d.set.Classes[class])
-	for i := range l.classes {
-		s, c := &l.classes[i], &d.set.Classes[i]
-		if i != class && s.asked > 0 && d.now-s.asked < asksLast && takes > (c.Aim-s.latency(c, d.set.Tolerance)).Seconds() {
+// isLong reports whether requests of a class take so long that, if they used the whole limit, requests of another
+// active class would be late before the first of them has ended.
+func (q *fairQueue) isLong(settings *Settings, now time.Duration, number int) bool {
+	takes := q.classes[number].cost(&settings.Classes[number])
+	for i := range q.classes {
+		stat, class := &q.classes[i], &settings.Classes[i]
+		if i == number || stat.lastOffered <= 0 || now-stat.lastOffered >= classActiveTime {
+			continue
+		}
+		if takes > (class.Aim - stat.expectedLatency(class, settings.Tolerance)).Seconds() {
 			return true
 		}
 	}
 	return false
 }
 
-// limit is how many may be inside. Where nobody asks for so much that others could lack it, there is nothing to hold back:
-// whatever stands behind the door has its own ways with a crowd.
-func (l *lane) limit() float64 {
-	if !l.contested {
-		return l.limiter.most
+// limit is how many requests may be in flight. Without contention between tenants or clients it does not apply: routing
+// sheds load by itself.
+func (q *fairQueue) limit() float64 {
+	if !q.contested {
+		return q.limiter.maximum
 	}
-	return l.limiter.limit()
+	return q.limiter.limit()
 }
 
-// contend looks whether tenants meet here, or a client of one asks for much of what it gets.
-func (l *lane) contend(d *Controller) {
+// updateContention notes whether several tenants are active, or a client has a large share of its tenant's work.
+func (q *fairQueue) updateContention(c *Controller) {
 	tenants := 0
-	l.contested = false
-	for _, p := range l.pairs {
-		if p == nil || d.now-p.used > contendFor && p.queued == 0 {
+	q.contested = false
+	for _, sub := range q.subqueues {
+		if sub == nil || c.now-sub.usedAt > contentionWindow && sub.queued == 0 {
 			continue
 		}
 		tenants++
-		l.contested = l.contested || tenants > 1 || p.sketch.loudest() > loudShare
+		q.contested = q.contested || tenants > 1 || sub.sketch.heaviestShare() > heavyClientShare
 	}
 }
 
-// reserve is how many places are kept for short requests: as many as their work fills in the mean, and a multiple of
-// the square root of that more (square-root staffing), at most half of all.
-func (l *lane) reserve() int {
-	if l.short < shortLeast {
+// shortReserve is how many places are reserved for short requests: their mean load and a multiple of its square root
+// (square-root staffing), at most half of the limit.
+func (q *fairQueue) shortReserve() int {
+	if q.shortLoad < minShortLoad {
 		return 0
 	}
-	return int(math.Ceil(min(l.limit()/2, l.short+staffing*math.Sqrt(l.short))))
+	return int(math.Ceil(min(q.limit()/2, q.shortLoad+staffingFactor*math.Sqrt(q.shortLoad))))
 }
 
-// room is how many requests of a band may go on. The short ones' reserve is theirs also while the limit falls and more
-// is inside than it: what is to become less are the long ones.
-func (l *lane) room(b band) int {
-	limit, reserve := int(l.limit()), l.reserve()
+// capacity is how many more requests of a band may be admitted. The reserve of short requests holds also while the
+// limit falls below the number in flight, so that the long ones are reduced first.
+func (q *fairQueue) capacity(b band) int {
+	limit, reserve := int(q.limit()), q.shortReserve()
 	if b == long {
-		return min(limit-l.inside, max(1, limit-reserve)-l.longs)
+		return min(limit-q.inFlight, max(1, limit-reserve)-q.longInFlight)
 	}
-	return max(limit-l.inside, reserve-(l.inside-l.longs))
+	return max(limit-q.inFlight, reserve-(q.inFlight-q.longInFlight))
 }
 
-// rate is the cost a second that the lane gets through. Before it has ever been full that is a guess: what is inside
-// does a second of work in a second.
-func (l *lane) rate() float64 {
-	if l.endedRate > 0 {
-		return l.endedRate
+// throughput is the cost a second that the databases complete. Until the queue has been saturated it is estimated from
+// the limit: each request in flight does a second of work in a second.
+func (q *fairQueue) throughput() float64 {
+	if q.endedRate > 0 {
+		return q.endedRate
 	}
-	return l.limiter.limit()
+	return q.limiter.limit()
 }
 
-// ahead is how long it takes until so much of the cost of one flow of a tenant has gone through, with all others that
-// wait taking their turns, and no longer than all that waits takes together.
-func (l *lane) ahead(p *pair, cost float64) time.Duration {
-	weight, flows := l.weight, len(p.active[short])+len(p.active[long])
-	if p.at == none {
-		weight += p.weight
+// delay is how long it takes until this cost of one flow of a tenant has been admitted, with all other flows taking
+// their turns, and at most the time of the whole backlog.
+func (q *fairQueue) delay(sub *subqueue, cost float64) time.Duration {
+	weight, flows := q.weight, len(sub.active[short])+len(sub.active[long])
+	if sub.heapIndex == none {
+		weight += sub.weight
 	}
-	own := min(cost*float64(max(flows, 1)), max(p.backlog, cost))
-	seconds := min(own*weight/p.weight, max(l.backlog, cost)) / l.rate()
-	return time.Duration(min(seconds, 3600) * float64(time.Second))
+	own := min(cost*float64(max(flows, 1)), max(sub.backlog, cost))
+	seconds := min(own*weight/sub.weight, max(q.backlog, cost)) / q.throughput()
+	return time.Duration(min(seconds, maxDelaySeconds) * float64(time.Second))
 }
 
-// wait is how long one more request of this cost would wait in a flow.
-func (l *lane) wait(p *pair, f *flow, cost float64) time.Duration {
-	l.backlog += cost // as if it were there
-	p.backlog += cost
-	wait := l.ahead(p, f.backlog+cost)
-	l.backlog -= cost
-	p.backlog -= cost
+// expectedWait is how long one more request of this cost would wait in a flow.
+func (q *fairQueue) expectedWait(sub *subqueue, f *flow, cost float64) time.Duration {
+	q.backlog += cost // as if it were queued
+	sub.backlog += cost
+	wait := q.delay(sub, f.backlog+cost)
+	q.backlog -= cost
+	sub.backlog -= cost
 	return wait
 }
 
-// roll ends a window, if it is time: the rates and the limit follow what happened in it.
-func (l *lane) roll(d *Controller) {
-	l.full = l.full || l.queued > 0 || float64(l.inside) >= l.limiter.limit()-1
-	took := d.now - l.rolled
-	if took < window {
+// rollWindow ends a window when it is long enough, and updates the rates and the limit.
+func (q *fairQueue) rollWindow(controller *Controller) {
+	q.saturated = q.saturated || q.queued > 0 || float64(q.inFlight) >= q.limiter.limit()-1
+	took := controller.now - q.windowStart
+	if took < minWindow {
 		return
 	}
-	l.contend(d)
+	q.updateContention(controller)
 	seconds := took.Seconds()
-	follow(&l.short, l.offered/seconds, 1-math.Exp(-seconds/rateOver.Seconds()))
-	l.offered = 0
-	if l.full {
-		weight := 1 - math.Exp(-seconds/rateOver.Seconds())
-		follow(&l.endedRate, l.ended/seconds, weight)
-		follow(&l.ranRate, l.ran/seconds, weight)
+	updateMean(&q.shortLoad, q.shortOffered/seconds, 1-math.Exp(-seconds/rateTimeConstant.Seconds()))
+	q.shortOffered = 0
+	if q.saturated {
+		weight := 1 - math.Exp(-seconds/rateTimeConstant.Seconds())
+		updateMean(&q.endedRate, q.endedCost/seconds, weight)
+		updateMean(&q.ranRate, q.ranCost/seconds, weight)
 	}
-	l.ended, l.ran, l.rolled = 0, 0, d.now
-	if l.limiter.roll(d.now, l.full, l.classes) {
-		l.full = false
+	q.endedCost, q.ranCost, q.windowStart = 0, 0, controller.now
+	if q.limiter.update(controller.now, q.saturated, q.classes) {
+		q.saturated = false
 	}
-	if l.queued > 0 {
-		d.prune(l)
+	if q.queued > 0 {
+		controller.rejectLate(q)
 	}
 }
 
-func follow(mean *float64, v, weight float64) {
+// updateMean takes a value into a moving average. The first value is taken as it is.
+func updateMean(mean *float64, value, weight float64) {
 	if *mean == 0 {
-		*mean = v
+		*mean = value
 		return
 	}
-	*mean += weight * (v - *mean)
+	*mean += weight * (value - *mean)
 }
 
-// renumber moves the lane to other settings: numbers of old tenants and classes to new ones. Nothing is queued.
-func (l *lane) renumber(d *Controller, tenantTo, classTo []int32) {
-	pairs, classes := make([]*pair, len(d.set.Tenants)), make([]classStat, len(d.set.Classes))
-	for i, p := range l.pairs {
-		if to := tenantTo[i]; p != nil && pairs[to] == nil {
-			p.inside, p.weight = 0, d.set.Tenants[to].Weight
-			pairs[to] = p
+// renumber moves the queue to new numbers of tenants and classes. No request may be waiting in it.
+func (q *fairQueue) renumber(c *Controller, tenantTo, classTo []int32) {
+	pairs, classes := make([]*subqueue, len(c.settings.Tenants)), make([]classStat, len(c.settings.Classes))
+	for i, sub := range q.subqueues {
+		if to := tenantTo[i]; sub != nil && pairs[to] == nil {
+			sub.inFlight, sub.weight = 0, c.settings.Tenants[to].Weight
+			pairs[to] = sub
 		}
 	}
-	for i, stat := range l.classes {
+	for i, stat := range q.classes {
 		if classTo[i] != none {
 			classes[classTo[i]] = stat
 		}
 	}
-	l.pairs, l.classes = pairs, classes
-	l.limiter.retune(&d.set)
+	q.subqueues, q.classes = pairs, classes
+	q.limiter.retune(&c.settings)
 }
 
-// ---- What is learned of a class at a lane
-
+// Tuned values of the latency floor.
 const (
-	floorHalf  = 15 * time.Second // the floor is the least of one to two of these
-	floorRise  = 1.1              // it rises by no more than this in one
-	floorLeast = 4                // samples of a window whose mean may be the floor
+	floorPeriod     = 15 * time.Second // the floor is the least of the last one to two periods
+	maxFloorRise    = 1.1              // greatest factor by which it rises in a period
+	minFloorSamples = 4                // least samples of a window whose mean may become the floor
 )
 
-// classStat is what the requests of a class take at a lane.
+// classStat holds the latency statistics of a class in a queue.
 type classStat struct {
-	asked      time.Duration // when one last came
-	floor      time.Duration // what one takes in the mean with nothing else there: the least mean of a window lately
-	low        time.Duration // the least since begun
-	begun      time.Duration
-	took       float64 // seconds, of the samples since the limiter last looked
-	samples    int
-	sum, count float64 // of latency over floor; each time the limiter has looked, what was before counts less
+	lastOffered          time.Duration // when its last request was offered
+	floor                time.Duration // latency without load: the least mean of a recent window
+	periodMin            time.Duration // the least mean since periodStart
+	periodStart          time.Duration
+	took                 float64 // seconds, of the samples since the limiter was last updated
+	samples              int
+	ratioSum, ratioCount float64 // of latency over floor; they decay with each update of the limiter
 }
 
-// sample takes in one latency.
-func (s *classStat) sample(took time.Duration) {
-	if s.floor > 0 { // against one that says more than all others
-		took = min(took, time.Duration(ratioMost*float64(s.floor)))
+// addSample takes one latency into the window.
+func (s *classStat) addSample(took time.Duration) {
+	if s.floor > 0 { // one outlier must not outweigh all others
+		took = min(took, time.Duration(maxRatio*float64(s.floor)))
 	}
 	s.took += took.Seconds()
 	s.samples++
 }
 
-// look ends a window: it returns the latency in it as a multiple of the floor, and that of all windows lately. Single
-// latencies are no floor: how long requests take differs by itself.
-func (s *classStat) look(now time.Duration) (ratio, lasting float64) {
-	ratio = ratioPrior
+// endWindow ends a window. It returns the latency in it as a multiple of the floor, and the longer average of that
+// ratio. The floor follows the means of windows, since single latencies vary even without load.
+func (s *classStat) endWindow(now time.Duration) (ratio, lasting float64) {
+	ratio = priorRatio
 	if s.samples > 0 {
 		mean := s.took / float64(s.samples)
-		if s.samples >= floorLeast || s.floor == 0 {
-			s.rebase(time.Duration(mean*float64(time.Second)), now)
+		if s.samples >= minFloorSamples || s.floor == 0 {
+			s.updateFloor(time.Duration(mean*float64(time.Second)), now)
 		}
 		n := float64(s.samples)
-		ratio = (mean/s.floor.Seconds()*n + ratioPrior*priorWeight) / (n + priorWeight)
-		s.sum += mean / s.floor.Seconds() * n
-		s.count += n
+		ratio = (mean/s.floor.Seconds()*n + priorRatio*priorWeight) / (n + priorWeight)
+		s.ratioSum += mean / s.floor.Seconds() * n
+		s.ratioCount += n
 	}
-	lasting = (s.sum + ratioPrior*priorWeight) / (s.count + priorWeight)
-	s.sum, s.count, s.took, s.samples = s.sum*ratioKeep, s.count*ratioKeep, 0, 0
+	lasting = (s.ratioSum + priorRatio*priorWeight) / (s.ratioCount + priorWeight)
+	s.ratioSum, s.ratioCount, s.took, s.samples = s.ratioSum*ratioDecay, s.ratioCount*ratioDecay, 0, 0
 	return ratio, lasting
 }
 
-// rebase moves the floor by the mean of a window.
-func (s *classStat) rebase(mean, now time.Duration) {
+// updateFloor moves the floor by the mean of a window.
+func (s *classStat) updateFloor(mean, now time.Duration) {
 	if s.floor == 0 {
-		s.floor, s.low, s.begun = mean, mean, now
+		s.floor, s.periodMin, s.periodStart = mean, mean, now
 	}
-	s.low = min(s.low, mean)
+	s.periodMin = min(s.periodMin, mean)
 	s.floor = min(s.floor, mean)
-	if now-s.begun >= floorHalf {
-		// Against taking a crowd that lasts for the way things are.
-		s.floor = min(s.low, time.Duration(floorRise*float64(s.floor)))
-		s.low, s.begun = mean, now
+	if now-s.periodStart >= floorPeriod {
+		// The bound prevents lasting load from being taken for the floor.
+		s.floor = min(s.periodMin, time.Duration(maxFloorRise*float64(s.floor)))
+		s.periodMin, s.periodStart = mean, now
 	}
 }
 
-// cost of a request, in seconds of work: the floor, as in a crowd the rest of the latency is the others'.
+// cost of a request, in seconds of work: the floor, since under load the rest of the latency is due to other requests.
 func (s *classStat) cost(c *Class) float64 {
 	if s.floor == 0 {
-		return costGuess * c.Aim.Seconds()
+		return defaultCostShare * c.Aim.Seconds()
 	}
 	return s.floor.Seconds()
 }
 
-// latency that the limiter means a request to have once it is let in. What it has just now is no measure: a class that
-// were kept out while it is late would never show that it is late no more.
-func (s *classStat) latency(c *Class, tolerance float64) time.Duration {
+// expectedLatency is the latency of an admitted request that the limiter aims at. The current latency is not used: a
+// class that were rejected while it is late would never be seen to be in time again.
+func (s *classStat) expectedLatency(c *Class, tolerance float64) time.Duration {
 	if s.floor == 0 {
-		return time.Duration(costGuess * float64(c.Aim))
+		return time.Duration(defaultCostShare * float64(c.Aim))
 	}
 	return time.Duration(tolerance * float64(s.floor))
 }
 
-// TenantFigures are what operators are shown of a tenant.
+// TenantFigures are the figures of a tenant for operators.
 type TenantFigures struct {
 	Name                      string
 	Queued, Admitted, Refused int64
 	Inside                    int
 }
 
-// Tenants returns the figures of all tenants, the busiest first.
-func (d *Controller) Tenants() []TenantFigures {
-	all := make([]TenantFigures, len(d.tenants))
-	for i, t := range d.tenants {
-		all[i] = TenantFigures{Name: d.set.Tenants[i].Name, Queued: t.Queued, Admitted: t.Admitted, Refused: t.Refused}
-		for _, l := range d.lanes {
-			if p := l.pairs[i]; p != nil {
-				all[i].Inside += p.inside
+// Tenants returns the figures of all tenants, those with the most requests first.
+func (c *Controller) Tenants() []TenantFigures {
+	all := make([]TenantFigures, len(c.tenants))
+	for i, t := range c.tenants {
+		name := c.settings.Tenants[i].Name
+		all[i] = TenantFigures{Name: name, Queued: t.queued, Admitted: t.admitted, Refused: t.rejected}
+		for _, q := range c.queues {
+			if sub := q.subqueues[i]; sub != nil {
+				all[i].Inside += sub.inFlight
 			}
 		}
 	}
@@ -325,7 +342,7 @@
 	return all
 }
 
-// QueueFigures are what operators are shown of a lane.
+// QueueFigures are the figures of a queue for operators.
 type QueueFigures struct {
 	Group          int
 	Primary        bool
@@ -333,12 +350,12 @@
 	Inside, Queued int
 }
 
-// Queues returns the figures of all lanes, by group.
-func (d *Controller) Queues() []QueueFigures {
-	all := make([]QueueFigures, 0, len(d.lanes))
-	for key, i := range d.laneAt {
-		l := d.lanes[i]
-		all = append(all, QueueFigures{key.group, key.primary, l.limiter.limit(), l.inside, l.queued})
+// Queues returns the figures of all queues, ordered by group.
+func (c *Controller) Queues() []QueueFigures {
+	all := make([]QueueFigures, 0, len(c.queues))
+	for key, i := range c.queueNumbers {
+		q := c.queues[i]
+		all = append(all, QueueFigures{key.group, key.primary, q.limiter.limit(), q.inFlight, q.queued})
 	}
 	slices.SortFunc(all, func(a, b QueueFigures) int {
 		if a.Group != b.Group {
@@ -352,5 +369,5 @@
 	return all
 }
 
-// Queued is how many requests wait.
-func (d *Controller) Queued() int { return d.queued }
+// Queued returns the number of waiting requests.
+func (c *Controller) Queued() int { return c.queued }
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -5,127 +5,127 @@
 	"time"
 )
 
-// LimiterKind tells how the limit on what is inside a lane follows the latency there.
+// LimiterKind is how the limit on the requests in flight of a queue follows their latency.
 type LimiterKind uint8
 
 const (
-	// Gradient sets the limit, window by window, to what it was times tolerance x floor / latency, and room for the
-	// square root of it more: with latency at the floor it grows until that shows.
+	// Gradient multiplies the limit, window by window, by tolerance x floor / latency and adds the square root of the
+	// limit: with latency at the floor it grows until the latency rises.
 	Gradient LimiterKind = iota
-	// AIMD adds one to the limit while the latency is under twice the tolerance, and else takes a tenth away.
+	// AIMD adds one to the limit while the latency is under twice the tolerance, and otherwise reduces it by a tenth.
 	AIMD
 )
 
 const (
-	limitFirst  = 8.0         // before anything is known
-	samplesLess = 8           // a window with fewer goes on
-	gradientMin = 0.5         // the limit is not cut to less than this at once
-	smoothUp    = 0.05        // of a window's new limit, if it is more
-	smoothDown  = 0.7         // ... and if it is less
-	ratioMost   = 8.0         // one latency counts as no more than this multiple of the floor
-	ratioKeep   = 0.9         // of what was measured counts on in the next window
-	quickUp     = 1.5         // the limit grows so fast until it has been met for the first time
-	ratioPrior  = 1.0         // what a class is taken to have had ...
-	priorWeight = 2.0         // ... in so many samples beside those of the window
-	cutMost     = time.Second // between two cuts, if answers take longer
-	fullCut     = 0.9         // of the limit, after a window in which a database turned attempts away
+	initialLimit   = 8.0         // until it has been measured
+	minSamples     = 8           // a window with fewer is continued
+	minGradient    = 0.5         // least factor of a single reduction
+	riseSmoothing  = 0.05        // share of an increase that takes effect at once
+	fallSmoothing  = 0.7         // share of a decrease that does
+	maxRatio       = 8.0         // one latency counts as at most this multiple of the floor
+	ratioDecay     = 0.9         // weight of earlier windows, per window
+	startupGrowth  = 1.5         // growth per window until the limit has been too high once
+	priorRatio     = 1.0         // prior of the ratio of latency to floor ...
+	priorWeight    = 2.0         // ... and the number of samples that it counts as
+	maxCutInterval = time.Second // greatest time between two reductions
+	overloadCut    = 0.9         // factor of a reduction after a database rejected attempts
 )
 
-// limiter bounds what is inside a lane.
+// limiter bounds the requests in flight of a queue.
 type limiter struct {
-	kind               LimiterKind
-	tolerance          float64
-	value, least, most float64
-	met                bool // the limit has been too high once
-	fulls              int  // since the last change
-	changed            time.Duration
-	cutAgain           time.Duration // not before
+	kind                    LimiterKind
+	tolerance               float64
+	value, minimum, maximum float64
+	saturated               bool // the limit has been too high once
+	overloads               int  // rejections by databases since the last change
+	changedAt               time.Duration
+	nextCut                 time.Duration // the next reduction is not before this
 }
 
 func newLimiter(s *Settings) limiter {
 	var l limiter
 	l.retune(s)
-	l.value = min(max(limitFirst, l.least), l.most)
+	l.value = min(max(initialLimit, l.minimum), l.maximum)
 	return l
 }
 
 func (l *limiter) retune(s *Settings) {
-	l.kind, l.tolerance, l.least, l.most = s.Limiter, s.Tolerance, s.Bounds.LimitMin, s.Bounds.LimitMax
-	l.value = min(max(l.value, l.least), l.most)
+	l.kind, l.tolerance, l.minimum, l.maximum = s.Limiter, s.Tolerance, s.Bounds.LimitMin, s.Bounds.LimitMax
+	l.value = min(max(l.value, l.minimum), l.maximum)
 }
 
-// limit is how many requests may be inside.
+// limit is how many requests may be in flight.
 func (l *limiter) limit() float64 { return l.value }
 
-// full notes that a database turned an attempt away.
-func (l *limiter) full() { l.fulls++ }
+// overloaded counts an attempt that a database rejected.
+func (l *limiter) overloaded() { l.overloads++ }
 
-// roll moves the limit, if there is enough to go by. The class that suffers most decides: requests of 60 ms are late in
-// a crowd in which those of a second hardly show it. What has been measured for longer keeps the limit from growing, but
-// only what is new makes it less, and no more often than it takes until a cut shows. The limit grows only while it is in
-// use: one that nobody has met says nothing of the room.
-func (l *limiter) roll(now time.Duration, used bool, classes []classStat) (moved bool) {
-	if l.changed == 0 {
-		l.changed = now
+// update moves the limit at the end of a window, if there are enough samples. The class with the highest ratio decides:
+// under load requests of 60 ms are late long before requests of a second. The longer average prevents growth, but only
+// the latest window reduces the limit, and no more often than it takes until a reduction has an effect. The limit grows
+// only while it is reached: otherwise the latency says nothing about the capacity.
+func (l *limiter) update(now time.Duration, used bool, classes []classStat) (moved bool) {
+	if l.changedAt == 0 {
+		l.changedAt = now
 	}
 	samples, took := 0, 0.0
 	for i := range classes {
 		samples += classes[i].samples
 		took += classes[i].took
 	}
-	if samples+l.fulls < samplesLess && (now-l.changed < windowMost || samples+l.fulls == 0) {
+	if samples+l.overloads < minSamples && (now-l.changedAt < maxWindow || samples+l.overloads == 0) {
 		return false
 	}
 	ratio, lasting := 0.0, 0.0
 	for i := range classes {
-		fresh, long := classes[i].look(now)
+		fresh, long := classes[i].endWindow(now)
 		ratio, lasting = max(ratio, fresh), max(lasting, long)
 	}
-	l.met = l.met || ratio >= l.tolerance || l.fulls > 0
-	if !l.met {
+	l.saturated = l.saturated || ratio >= l.tolerance || l.overloads > 0
+	if !l.saturated {
 		ratio = lasting
 	}
-	next := l.step(ratio)
+	next := l.next(ratio)
 	switch {
-	case !l.met:
-		next = l.value * quickUp
+	case !l.saturated:
+		next = l.value * startupGrowth
 	case next > l.value:
-		next = min(next, max(l.value, l.step(lasting)))
+		next = min(next, max(l.value, l.next(lasting)))
 	case next < l.value:
-		if now < l.cutAgain {
+		if now < l.nextCut {
 			next = l.value
 		} else if samples > 0 {
-			l.cutAgain = now + min(cutMost, time.Duration(took/float64(samples)*float64(time.Second)))
+			l.nextCut = now + min(maxCutInterval, time.Duration(took/float64(samples)*float64(time.Second)))
 		}
 	}
 	if next < l.value || used {
-		l.value = min(max(next, l.least), l.most)
+		l.value = min(max(next, l.minimum), l.maximum)
 	}
-	l.fulls, l.changed = 0, now
+	l.overloads, l.changedAt = 0, now
 	return true
 }
 
-// step is the next limit, for a latency that was this multiple of the floor.
-func (l *limiter) step(ratio float64) float64 {
+// next returns the next limit after a latency of this multiple of the floor.
+func (l *limiter) next(ratio float64) float64 {
 	next := l.value
 	switch l.kind {
 	case AIMD:
-		if ratio > 2*l.tolerance || l.fulls > 0 {
-			next *= fullCut
+		if ratio > 2*l.tolerance || l.overloads > 0 {
+			next *= overloadCut
 		} else {
 			next++
 		}
 	default:
-		next *= max(gradientMin, min(1, l.tolerance/ratio))
-		if l.fulls > 0 {
-			next *= fullCut
+		next *= max(minGradient, min(1, l.tolerance/ratio))
+		if l.overloads > 0 {
+			next *= overloadCut
 			break
 		}
 		next += math.Sqrt(l.value) * min(1, l.tolerance/ratio)
 		if next < l.value {
-			next = l.value + smoothDown*(next-l.value)
+			next = l.value + fallSmoothing*(next-l.value)
 		} else {
-			next = l.value + smoothUp*(next-l.value)
+			next = l.value + riseSmoothing*(next-l.value)
 		}
 	}
 	return next
--- a/internal/admission/measure_test.go
+++ b/internal/admission/measure_test.go
@@ -29,7 +29,7 @@
 	wait                           sync.WaitGroup
 }
 
-// group counts the clients that were refused at first, and how many of them were served in the end.
+// group counts the clients that were rejected at first, and how many of them were served in the end.
 type group struct{ refused, served, tries int }
 
 // ask sends one request and returns how it ended.
@@ -154,8 +154,13 @@
 		rate  float64
 		class string
 		takes func(*rand.Rand) int
-	}{{"none", 0, "read", read}, {"40 reads/s", 40, "read", read}, {"120 reads/s", 120, "read", read},
-		{"2 reports/s", 2, "report", lengthy}, {"6 reports/s", 6, "report", lengthy}} {
+	}{
+		{"none", 0, "read", read},
+		{"40 reads/s", 40, "read", read},
+		{"120 reads/s", 120, "read", read},
+		{"2 reports/s", 2, "report", lengthy},
+		{"6 reports/s", 6, "report", lengthy},
+	} {
 		off, loudOff := one("", row.rate, row.class, row.takes)
 		aimd, _ := one("aimd", row.rate, row.class, row.takes)
 		on, loudOn := one("gradient", row.rate, row.class, row.takes)
--- a/internal/admission/process_test.go
+++ b/internal/admission/process_test.go
@@ -21,8 +21,8 @@
 	"capercove/internal/testbed"
 )
 
-// lane is how many requests are let in before a lane has shown what it can do.
-const lane = 8
+// initialLimit is how many requests are in flight in a queue before its latency has been measured.
+const initialLimit = 8
 
 const tables = `[door]
 enabled = true
@@ -76,9 +76,9 @@
 	return pg.AppendQuery(nil, sql)
 }
 
-// fill takes all that is let in, and queues so many reports of the office beyond it.
+// fill uses the whole limit, and queues so many reports of the office beyond it.
 func fill(b *testbed.Bed, queued int) (clients []*testbed.Client) {
-	for range lane + queued {
+	for range initialLimit + queued {
 		c := b.Client()
 		c.Send(report(b, true))
 		clients = append(clients, c)
@@ -87,16 +87,16 @@
 	return clients
 }
 
-// Tenants are told apart on both wires, by comment, header, user and address; what waits is let in when there is room
-// and everyone gets one answer. Writes do not wait behind reports.
+// Tenants are told apart on both wires, by comment, header, user and address; waiting requests are admitted when
+// there is capacity and each gets one answer. Writes do not wait behind reports.
 func TestBothFronts(t *testing.T) {
 	b := start(t, testbed.WithFlight)
 	clients := fill(b, 2)
 	member := b.Client()
 	member.Send(report(b, false))
 	awaits(b, "tenants.members.queued", 1)
-	awaits(b, "tenants.office.inside", lane)
-	require.True(t, b.Client().Ask(b.Statement("write", "a", 5*time.Second)).Complete, "the primary's lane is free")
+	awaits(b, "tenants.office.inside", initialLimit)
+	require.True(t, b.Client().Ask(b.Statement("write", "a", 5*time.Second)).Complete, "the primary's queue is free")
 
 	flight, err := flightsql.NewClient(b.Flight, nil, nil, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	require.NoError(t, err)
@@ -125,18 +125,18 @@
 	}
 	require.NoError(t, <-answer)
 	awaits(b, "queued", 0)
-	require.Equal(t, lane+5, figure(b, "offered"))
-	require.Equal(t, lane+5, figure(b, "admitted"))
+	require.Equal(t, initialLimit+5, figure(b, "offered"))
+	require.Equal(t, initialLimit+5, figure(b, "admitted"))
 	b.Counters(func(c testbed.Counters) bool {
-		return c.Core.Fronts["postgres"].Served == lane+4 && c.Core.Fronts["flight"].Served == 1
+		return c.Core.Fronts["postgres"].Served == initialLimit+4 && c.Core.Fronts["flight"].Served == 1
 	})
 }
 
-// A client that leaves while its request waits gives its place up, and nothing of it reaches a database.
+// A client that disconnects while its request waits frees its place, and nothing of it reaches a database.
 func TestLeavesWhileQueued(t *testing.T) {
 	b := start(t)
 	clients := fill(b, 3)
-	for _, c := range clients[lane:] {
+	for _, c := range clients[initialLimit:] {
 		c.Close()
 	}
 	awaits(b, "left", 3)
@@ -144,13 +144,13 @@
 	for _, d := range b.Databases {
 		d.Release()
 	}
-	for _, c := range clients[:lane] {
+	for _, c := range clients[:initialLimit] {
 		require.True(t, c.Next().Complete)
 	}
-	require.Equal(t, lane, len(b.Databases[0].Got())+len(b.Databases[1].Got()))
+	require.Equal(t, initialLimit, len(b.Databases[0].Got())+len(b.Databases[1].Got()))
 }
 
-// Who cannot be let in within its time is refused at once, with a number in D that is within what the platform allows.
+// A request that cannot be admitted in time is rejected at once, with a Retry-After in D within the platform's bound.
 func TestRefusedAtOnce(t *testing.T) {
 	b := start(t)
 	fill(b, 1)
@@ -202,26 +202,26 @@
 	b.Configure("")
 	b.Signal(syscall.SIGHUP)
 	awaits(b, "refused.class_gone", 3)
-	for _, c := range clients[lane:] {
+	for _, c := range clients[initialLimit:] {
 		require.Equal(t, pg.CodeFull, c.Next().Code)
 	}
 	for _, d := range b.Databases {
 		d.Release()
 	}
-	for _, c := range clients[:lane] {
+	for _, c := range clients[:initialLimit] {
 		require.True(t, c.Next().Complete, "what was inside goes on")
 	}
 }
 
-// SIGTERM gives everyone who waits one answer, a refusal, if there is no room before the end.
+// SIGTERM gives every waiting request one answer, a rejection, if there is no capacity before the end.
 func TestStopped(t *testing.T) {
 	b := start(t)
 	clients := fill(b, 3)
 	b.Signal(syscall.SIGTERM)
-	for _, c := range clients[lane:] {
+	for _, c := range clients[initialLimit:] {
 		require.Equal(t, pg.CodeFull, c.Next().Code)
 	}
-	for _, c := range clients[:lane] {
+	for _, c := range clients[:initialLimit] {
 		require.NotContains(t, []string{"", pg.CodeFull}, c.Next().Code, "it may have run")
 	}
 	require.NoError(t, b.Wait())
--- a/internal/admission/promise.go
+++ b/internal/admission/promise.go
@@ -1,107 +1,118 @@
 package admission
 
-import (
-	"time"
-)
+import "time"
 
+// Tuned values of scheduled retries.
 const (
-	promisedShare = 0.7                   // of what a tenant gets through is promised ahead at the most
-	ways          = 4                     // places that a promise may have in the table
-	punctual      = 25 * time.Millisecond // one who comes back so much too early is on time
-	grace         = time.Second           // ... and so much too late
-	soonest       = 10 * time.Millisecond // no one is told to come back sooner
-	spread        = 0.25                  // of a time that cannot be promised, in which those who get it are spread
+	scheduledShare    = 0.7                   // of a tenant's throughput that may be reserved for scheduled retries
+	tableWays         = 4                     // slots in the table that a key may use
+	earlyTolerance    = 25 * time.Millisecond // a retry this much before its time is on time
+	lateTolerance     = time.Second           // ... and one this much after it
+	minRetryAfter     = 10 * time.Millisecond // least time to retry after
+	unscheduledJitter = 0.25                  // of a time that is not scheduled, by which it varies at random
 )
 
-// promises remember whom the door told when to come back, in a table of fixed size. A promise is lost when the places
-// that it may have are taken by others that are still to come; then it was never made.
-type promises struct{ table []promise }
+// retryTable remembers which clients were told to retry when, in a table of fixed size. If all slots of a key are taken
+// by retries that are still to come, a retry is not scheduled.
+type retryTable struct{ table []scheduledRetry }
 
-type promise struct {
+// scheduledRetry is one slot of a retryTable.
+type scheduledRetry struct {
 	key uint64
 	due time.Duration // 0: free
 }
 
-func newPromises(size int) promises { return promises{make([]promise, max(ways, size/ways*ways))} }
+// newRetryTable returns a table for about so many retries.
+func newRetryTable(size int) retryTable {
+	return retryTable{make([]scheduledRetry, max(tableWays, size/tableWays*tableWays))}
+}
 
-// promiseKey tells the requests apart that a promise is for.
-func (d *Controller) promiseKey(e *entry) uint64 {
-	return max(1, hash(e.client, uint64(e.lane)<<40|uint64(e.tenant)<<20|uint64(e.class)))
+// retryKey identifies the requests that a scheduled retry is for: same client, queue, tenant and class.
+func (c *Controller) retryKey(e *entry) uint64 {
+	return max(1, hash(e.client, uint64(e.queue)<<40|uint64(e.tenant)<<20|uint64(e.class)))
 }
 
-func (p *promises) set(key uint64) []promise {
-	at := key % uint64(len(p.table)/ways) * ways
-	return p.table[at : at+ways]
+// slots returns the slots that a key may use.
+func (t *retryTable) slots(key uint64) []scheduledRetry {
+	at := key % uint64(len(t.table)/tableWays) * tableWays
+	return t.table[at : at+tableWays]
 }
 
-// make notes a promise, if there is a place for it.
-func (p *promises) make(key uint64, due, now time.Duration) bool {
-	set := p.set(key)
+// schedule remembers a retry. It returns false if no slot is free.
+func (t *retryTable) schedule(key uint64, due, now time.Duration) bool {
+	set := t.slots(key)
 	for i := range set {
-		if set[i].due == 0 || now > set[i].due+grace {
-			set[i] = promise{key, due}
+		if set[i].due == 0 || now > set[i].due+lateTolerance {
+			set[i] = scheduledRetry{key, due}
 			return true
 		}
 	}
 	return false
 }
 
-type meeting uint8
+// arrival is how an arriving request relates to the scheduled retries.
+type arrival uint8
 
 const (
-	stranger meeting = iota // nothing was promised
+	unannounced arrival = iota // no retry is scheduled for its key
 	onTime
 	early
 )
 
-// meet looks up the promise of one who has come. Who is on time has it fulfilled; who is early has lost it.
-func (p *promises) meet(key uint64, now time.Duration) meeting {
-	set := p.set(key)
-	var first *promise
+// redeem looks up the scheduled retry of an arriving request. It frees the slot, whether the request is on time or
+// early.
+func (t *retryTable) redeem(key uint64, now time.Duration) arrival {
+	set := t.slots(key)
+	var first *scheduledRetry
 	for i := range set {
-		if m := &set[i]; m.key == key && m.due > 0 && now <= m.due+grace && (first == nil || m.due < first.due) {
-			first = m
+		retry := &set[i]
+		valid := retry.key == key && retry.due > 0 && now <= retry.due+lateTolerance
+		if valid && (first == nil || retry.due < first.due) {
+			first = retry
 		}
 	}
 	if first == nil {
-		return stranger
+		return unannounced
 	}
 	due := first.due
-	*first = promise{}
-	if now < due-punctual {
+	*first = scheduledRetry{}
+	if now < due-earlyTolerance {
 		return early
 	}
 	return onTime
 }
 
-// promise returns when the client of an entry should come back: when its tenant will have got through what waits now
-// and what it has promised already. No more is promised than its share of what the databases did lately; beyond
-// MaxRetryAfter nothing is, and the client is told about that long.
-func (d *Controller) promise(e *entry, least time.Duration) time.Duration {
-	if d.set.MaxRetryAfter <= 0 { // nobody may be told anything
-		d.Count.Unpromised++
+// assignRetryAfter returns when the client of an entry should retry: after the requests of its tenant that wait and
+// the retries that are scheduled already. Only a share of the recent throughput is reserved for scheduled retries. A
+// time beyond MaxRetryAfter is not scheduled; the client is then given about MaxRetryAfter.
+func (c *Controller) assignRetryAfter(entry *entry, least time.Duration) time.Duration {
+	if c.settings.MaxRetryAfter <= 0 { // clients are given no time
+		c.Count.Unpromised++
 		return 0
 	}
-	l := d.lanes[e.lane]
-	p := l.pair(d, int(e.tenant))
-	weight := l.weight
-	if p.at == none {
-		weight += p.weight
+	queue := c.queues[entry.queue]
+	sub := queue.subqueue(c, int(entry.tenant))
+	weight := queue.weight
+	if sub.heapIndex == none {
+		weight += sub.weight
 	}
-	rate := l.ranRate
+	rate := queue.ranRate
 	if rate <= 0 {
-		rate = l.rate()
+		rate = queue.throughput()
 	}
-	each := time.Duration(min(3600, e.cost*weight/p.weight/(promisedShare*rate)) * float64(time.Second))
-	due := max(p.promised, d.now+l.ahead(p, p.backlog/float64(max(1, len(p.active[short])+len(p.active[long])))+e.cost))
-	due += time.Duration(d.rng.Float64() * float64(each))
-	after := max(due-d.now, soonest, least)
-	if after > d.set.MaxRetryAfter || e.class < 0 || !d.promises.make(d.promiseKey(e), d.now+after, d.now) {
-		d.Count.Unpromised++
-		after = min(after, d.set.MaxRetryAfter)
-		return after - time.Duration(spread*d.rng.Float64()*float64(after))
+	seconds := entry.cost * weight / sub.weight / (scheduledShare * rate)
+	each := time.Duration(min(maxDelaySeconds, seconds) * float64(time.Second))
+	flows := max(1, len(sub.active[short])+len(sub.active[long]))
+	due := max(sub.retriesUntil, c.now+queue.delay(sub, sub.backlog/float64(flows)+entry.cost))
+	due += time.Duration(c.rng.Float64() * float64(each))
+	after := max(due-c.now, minRetryAfter, least)
+	tooLate := after > c.settings.MaxRetryAfter
+	if tooLate || entry.class < 0 || !c.retries.schedule(c.retryKey(entry), c.now+after, c.now) {
+		c.Count.Unpromised++
+		after = min(after, c.settings.MaxRetryAfter)
+		return after - time.Duration(unscheduledJitter*c.rng.Float64()*float64(after))
 	}
-	d.Count.Promised++
-	p.promised = max(p.promised, due) + each
+	c.Count.Promised++
+	sub.retriesUntil = max(sub.retriesUntil, due) + each
 	return after
 }
--- a/internal/admission/promise_test.go
+++ b/internal/admission/promise_test.go
@@ -7,11 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// returns runs a burst: a tenant asks for three times what there is for some seconds. Of its clients a half comes back
-// when told to, and a half at once, again and again. It returns how many of each were served in the end, of those who
-// were refused at first, and in how many tries.
+// returns counts clients that retry: how many were rejected at first, how many of them were served in the end, and in
+// how many attempts.
 type returns struct{ refused, served, tries int }
 
+// burst runs bursts in which a tenant asks for three times the capacity for some seconds. Half of its clients retry at
+// the time that they were given, the others at once, again and again.
 func burst(t *testing.T, seed uint64) (obedient, hasty returns, w *world) {
 	w = newWorld(t, 8, settings(1, 1))
 	type back struct {
@@ -71,51 +72,51 @@
 	return obedient, hasty, w
 }
 
-// Clients that come back when told to are served at least four times in five; those that do not do no better.
-func TestComingBack(t *testing.T) {
+// Clients that retry as scheduled are served at least four times in five; those that do not are served no better.
+func TestScheduledRetriesAreServed(t *testing.T) {
 	obedient, hasty, w := burst(t, 1)
-	t.Logf("obedient %+v, hasty %+v, %+v", obedient, hasty, w.d.Count)
+	t.Logf("obedient %+v, hasty %+v, %+v", obedient, hasty, w.controller.Count)
 	require.Greater(t, obedient.refused, 100)
 	require.GreaterOrEqual(t, float64(obedient.served), 0.8*float64(obedient.refused))
 	require.Less(t, float64(hasty.served)/float64(hasty.refused), float64(obedient.served)/float64(obedient.refused))
-	require.Greater(t, w.d.Count.Kept, 10*w.d.Count.Broken)
+	require.Greater(t, w.controller.Count.Kept, 10*w.controller.Count.Broken)
 	w.settle()
 }
 
-// No more is promised for any stretch of time than can be kept.
-func TestPromisesAreSpread(t *testing.T) {
+// No more retries are scheduled for any interval than can be served.
+func TestRetriesAreSpread(t *testing.T) {
 	w := newWorld(t, 8, settings(1, 1))
 	w.run(5*time.Second, ms, func() { w.every(200, func() { w.ask(w.rng.IntN(2), read, w.rng.Uint64(), 60*ms, nil) }) })
 	due := map[int64]int{}
-	promised := w.d.Count.Promised
+	promised := w.controller.Count.Promised
 	for range 2000 {
 		w.ask(w.rng.IntN(2), read, w.rng.Uint64(), 60*ms, func(j *job) { due[int64((w.now+j.after)/(100*ms))]++ })
 	}
 	w.step()
-	require.Greater(t, w.d.Count.Promised, promised)
+	require.Greater(t, w.controller.Count.Promised, promised)
 	for slot, n := range due {
-		if time.Duration(slot)*100*ms < w.now+w.d.set.MaxRetryAfter*2/5 { // those later may be unpromised
+		if time.Duration(slot)*100*ms < w.now+w.controller.settings.MaxRetryAfter*2/5 { // those later may not be scheduled
 			require.LessOrEqual(t, n, 20, "8 cores do 13 in 100 ms")
 		}
 	}
 }
 
-// The memory of promises is a table of fixed size, in which a flood takes no place of one that is still to come.
-func TestPromiseTable(t *testing.T) {
-	p := newPromises(64)
-	require.True(t, p.make(7, 2*time.Second, time.Second))
+// The table of scheduled retries has a fixed size, and a flood replaces none that is still to come.
+func TestRetryTable(t *testing.T) {
+	p := newRetryTable(64)
+	require.True(t, p.schedule(7, 2*time.Second, time.Second))
 	made := 0
 	for key := range uint64(10_000) {
-		if p.make(1000+key, 2*time.Second, time.Second) {
+		if p.schedule(1000+key, 2*time.Second, time.Second) {
 			made++
 		}
 	}
 	require.Equal(t, 63, made)
-	require.Equal(t, early, p.meet(7, time.Second))
-	require.Equal(t, stranger, p.meet(7, 2*time.Second), "who came early has lost it")
-	require.Equal(t, onTime, p.meet(1001, 2*time.Second-punctual))
-	require.Equal(t, stranger, p.meet(1002, 2*time.Second+grace+1))
-	require.True(t, p.make(8, 9*time.Second, 8*time.Second), "what has passed makes room")
+	require.Equal(t, early, p.redeem(7, time.Second))
+	require.Equal(t, unannounced, p.redeem(7, 2*time.Second), "who came early has lost it")
+	require.Equal(t, onTime, p.redeem(1001, 2*time.Second-earlyTolerance))
+	require.Equal(t, unannounced, p.redeem(1002, 2*time.Second+lateTolerance+1))
+	require.True(t, p.schedule(8, 9*time.Second, 8*time.Second), "what has passed makes room")
 }
 
 // The sketch finds every client that is over a sixteenth of the whole among any number of others.
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -5,107 +5,107 @@
 	"time"
 )
 
-// none is no entry.
+// none is the index that refers to nothing.
 const none int32 = -1
 
 type state uint8
 
 const (
-	nobody   state = iota // the entry is free
-	arriving              // in no queue
+	unused   state = iota // the entry is free
+	arriving              // known, but in no queue
 	queued
-	inside
+	inFlight
 )
 
-// entry is a request that the door knows of. Entries are numbered, and linked by numbers.
+// entry is a request that the controller knows of. Entries are numbered, and linked by their numbers.
 type entry struct {
 	request       uint64
 	client        uint64
 	state         state
-	promised      bool // it came back when it was told to
-	lane, flow    int32
-	tenant, class int32 // class: none if it is no more
+	onSchedule    bool // it is a retry that came at the time it was given
+	queue, flow   int32
+	tenant, class int32 // class: none if it is no longer configured
 	band          band
 	cost          float64
 	offered       time.Duration
-	due           time.Duration // it is admitted by then, or refused
-	next, prev    int32         // in its flow by due, or among the kept; of a free one, the next free
+	admitBy       time.Duration // it is admitted by then, or rejected
+	next, prev    int32         // in its flow by admitBy, or among the retries; of a free one, the next free
 	newer, older  int32         // in its flow by arrival
 }
 
-// take returns a free entry.
-func (d *Controller) take() int32 {
-	if d.free == none {
-		d.entries = append(d.entries, entry{next: none})
-		return int32(len(d.entries) - 1)
+// allocate returns the number of a free entry.
+func (c *Controller) allocate() int32 {
+	if c.free == none {
+		c.entries = append(c.entries, entry{next: none})
+		return int32(len(c.entries) - 1)
 	}
-	at := d.free
-	d.free = d.entries[at].next
+	at := c.free
+	c.free = c.entries[at].next
 	return at
 }
 
-// drop frees an entry that is in no queue.
-func (d *Controller) drop(at int32) {
-	delete(d.at, d.entries[at].request)
-	d.entries[at] = entry{next: d.free}
-	d.free = at
+// release frees an entry that is in no queue.
+func (c *Controller) release(at int32) {
+	delete(c.entryOf, c.entries[at].request)
+	c.entries[at] = entry{next: c.free}
+	c.free = at
 }
 
-// flow is the queue of one client, or of those that hash alike, of a tenant at a lane.
+// flow holds the waiting requests of one client of a tenant, or of the clients with the same hash.
 type flow struct {
-	start          float64 // of its next turn in its tenant's virtual time, while it waits
-	finish         float64 // of its last one
-	backlog        float64 // cost of what waits
+	start          float64 // start tag of its next request in its tenant's virtual time, while it is active
+	finish         float64 // finish tag of its last one
+	backlog        float64 // cost of the waiting requests
 	count          int32
-	first, last    int32 // by due
+	first, last    int32 // by admitBy
 	oldest, newest int32 // by arrival
-	at             int32 // its place in the heap; none: nothing waits
+	heapIndex      int32 // its place in the heap; none: nothing waits
 }
 
-// charge moves a flow's next turn back. Against one that never gets a turn again, it is bounded.
-func (p *pair) charge(flow int32, cost float64) {
-	f := &p.flows[flow]
-	if f.at == none {
-		f.finish = min(max(f.finish, p.vt)+cost, max(f.finish, p.vt+chargeMost*cost))
+// charge delays a flow's next turn. The delay is bounded, so that no flow is kept from its turns for good.
+func (sub *subqueue) charge(flow int32, cost float64) {
+	f := &sub.flows[flow]
+	if f.heapIndex == none {
+		f.finish = min(max(f.finish, sub.virtualTime)+cost, max(f.finish, sub.virtualTime+maxChargeAhead*cost))
 		return
 	}
-	f.start = min(f.start+cost, max(f.start, p.vt+chargeMost*cost))
-	p.fix(flow)
+	f.start = min(f.start+cost, max(f.start, sub.virtualTime+maxChargeAhead*cost))
+	sub.fix(flow)
 }
 
-// list is a queue by arrival.
-type list struct{ first, last int32 }
+// arrivalList links entries in the order of their arrival.
+type arrivalList struct{ first, last int32 }
 
-// pair is a tenant at a lane.
-type pair struct {
-	start, finish float64 // as of a flow, in the lane's virtual time
-	vt            float64 // the virtual time that its flows live in
+// subqueue is the part of a fairQueue that belongs to one tenant.
+type subqueue struct {
+	start, finish float64 // tags as of a flow, in the queue's virtual time
+	virtualTime   float64 // of its flows
 	weight        float64
 	backlog       float64
 	queued        int
-	inside        int
-	flows         [bands * (buckets + heavies)]flow
-	active        [bands][]int32 // heaps of the flows that wait
+	inFlight      int
+	flows         [bands * (hashedFlows + heavyFlows)]flow
+	active        [bands][]int32 // heaps of the flows that have waiting requests
 	heaps         [bands]flowHeap
-	kept          [bands]list // those that came back when told
-	row           int         // how many of them went on in a row
-	at            int32       // its place in the lane's heap; none: nothing waits
+	retries       [bands]arrivalList // the retries that came at the time they were given
+	retriesInRow  int                // how many of them were admitted in a row
+	heapIndex     int32              // its place in the queue's heap; none: nothing waits
 	sketch        sketch
-	used          time.Duration
-	promised      time.Duration // up to here its share of what comes is promised
+	usedAt        time.Duration
+	retriesUntil  time.Duration // up to here its share of the throughput is reserved for scheduled retries
 }
 
-// flowOf is the number of a client's flow: its own if it is one of the heaviest, else the one that it hashes to.
-func (p *pair) flowOf(d *Controller, client uint64, cost float64, b band) int32 {
-	p.used = d.now
-	first := int32(b) * (buckets + heavies)
-	if own := p.sketch.add(client, cost); own >= 0 {
-		return first + int32(buckets+own)
+// flowOf returns the number of a client's flow: its own if it is one of the heaviest, else the one of its hash.
+func (sub *subqueue) flowOf(c *Controller, client uint64, cost float64, b band) int32 {
+	sub.usedAt = c.now
+	first := int32(b) * (hashedFlows + heavyFlows)
+	if own := sub.sketch.add(client, cost); own >= 0 {
+		return first + int32(hashedFlows+own)
 	}
-	return first + int32(hash(client, d.seed)%buckets)
+	return first + int32(hash(client, c.seed)%hashedFlows)
 }
 
-// band tells how long requests take, as against what others at the lane can wait.
+// band separates requests by how long they take, compared with how long others in the queue can wait.
 type band uint8
 
 const (
@@ -114,221 +114,224 @@
 	bands
 )
 
-func bandOf(flow int32) band { return band(flow / (buckets + heavies)) }
+// bandOf returns the band of a flow by its number.
+func bandOf(flow int32) band { return band(flow / (hashedFlows + heavyFlows)) }
 
-// enqueue puts an entry at its place.
-func (d *Controller) enqueue(l *lane, p *pair, at int32) {
-	e := &d.entries[at]
-	e.state = queued
-	d.queued++
-	d.tenants[e.tenant].Queued++
-	l.queued++
-	l.backlog += e.cost
-	p.queued++
-	p.backlog += e.cost
-	if p.at == none {
-		p.start = max(l.vt, p.finish)
-		l.push(e.tenant)
+// enqueue puts an entry in its place in the queue.
+func (c *Controller) enqueue(queue *fairQueue, sub *subqueue, at int32) {
+	entry := &c.entries[at]
+	entry.state = queued
+	c.queued++
+	c.tenants[entry.tenant].queued++
+	queue.queued++
+	queue.backlog += entry.cost
+	sub.queued++
+	sub.backlog += entry.cost
+	if sub.heapIndex == none {
+		sub.start = max(queue.virtualTime, sub.finish)
+		queue.push(entry.tenant)
 	}
-	if e.promised {
-		k := &p.kept[e.band]
-		e.prev, e.next = k.last, none
-		if k.last == none {
-			k.first = at
+	if entry.onSchedule {
+		retries := &sub.retries[entry.band]
+		entry.prev, entry.next = retries.last, none
+		if retries.last == none {
+			retries.first = at
 		} else {
-			d.entries[k.last].next = at
+			c.entries[retries.last].next = at
 		}
-		k.last = at
+		retries.last = at
 		return
 	}
-	f := &p.flows[e.flow]
-	f.count++
-	f.backlog += e.cost
-	behind := f.last // Most come in the order of their due: from the end it is a step or two.
-	for behind != none && d.entries[behind].due > e.due {
-		behind = d.entries[behind].prev
+	flow := &sub.flows[entry.flow]
+	flow.count++
+	flow.backlog += entry.cost
+	behind := flow.last // most arrive in this order: it is a step or two from the end
+	for behind != none && c.entries[behind].admitBy > entry.admitBy {
+		behind = c.entries[behind].prev
 	}
-	e.prev = behind
+	entry.prev = behind
 	if behind == none {
-		e.next, f.first = f.first, at
+		entry.next, flow.first = flow.first, at
 	} else {
-		e.next, d.entries[behind].next = d.entries[behind].next, at
+		entry.next, c.entries[behind].next = c.entries[behind].next, at
 	}
-	if e.next == none {
-		f.last = at
+	if entry.next == none {
+		flow.last = at
 	} else {
-		d.entries[e.next].prev = at
+		c.entries[entry.next].prev = at
 	}
-	e.older, e.newer = f.newest, none
-	if f.newest == none {
-		f.oldest = at
+	entry.older, entry.newer = flow.newest, none
+	if flow.newest == none {
+		flow.oldest = at
 	} else {
-		d.entries[f.newest].newer = at
+		c.entries[flow.newest].newer = at
 	}
-	f.newest = at
-	if f.at == none {
-		f.start = max(p.vt, f.finish)
-		p.push(e.flow)
+	flow.newest = at
+	if flow.heapIndex == none {
+		flow.start = max(sub.virtualTime, flow.finish)
+		sub.push(entry.flow)
 	}
 }
 
-// unlink takes a queued entry out; its flow and its tenant are charged nothing.
-func (d *Controller) unlink(at int32) {
-	e := &d.entries[at]
-	l := d.lanes[e.lane]
-	p := l.pairs[e.tenant]
-	e.state = arriving
-	d.queued--
-	d.tenants[e.tenant].Queued--
-	l.queued--
-	l.backlog -= e.cost
-	p.queued--
-	p.backlog -= e.cost
-	first, last := &p.kept[e.band].first, &p.kept[e.band].last
-	if !e.promised {
-		f := &p.flows[e.flow]
-		first, last = &f.first, &f.last
-		if e.older == none {
-			f.oldest = e.newer
+// unlink takes a queued entry out. Its flow and its tenant are not charged.
+func (c *Controller) unlink(at int32) {
+	entry := &c.entries[at]
+	queue := c.queues[entry.queue]
+	sub := queue.subqueues[entry.tenant]
+	entry.state = arriving
+	c.queued--
+	c.tenants[entry.tenant].queued--
+	queue.queued--
+	queue.backlog -= entry.cost
+	sub.queued--
+	sub.backlog -= entry.cost
+	first, last := &sub.retries[entry.band].first, &sub.retries[entry.band].last
+	if !entry.onSchedule {
+		flow := &sub.flows[entry.flow]
+		first, last = &flow.first, &flow.last
+		if entry.older == none {
+			flow.oldest = entry.newer
 		} else {
-			d.entries[e.older].newer = e.newer
+			c.entries[entry.older].newer = entry.newer
 		}
-		if e.newer == none {
-			f.newest = e.older
+		if entry.newer == none {
+			flow.newest = entry.older
 		} else {
-			d.entries[e.newer].older = e.older
+			c.entries[entry.newer].older = entry.older
 		}
-		f.backlog -= e.cost
-		if f.count--; f.count == 0 {
-			f.backlog = 0 // no rest of rounding
-			p.remove(e.flow)
+		flow.backlog -= entry.cost
+		if flow.count--; flow.count == 0 {
+			flow.backlog = 0 // drop rounding errors
+			sub.remove(entry.flow)
 		}
 	}
-	if e.prev == none {
-		*first = e.next
+	if entry.prev == none {
+		*first = entry.next
 	} else {
-		d.entries[e.prev].next = e.next
+		c.entries[entry.prev].next = entry.next
 	}
-	if e.next == none {
-		*last = e.prev
+	if entry.next == none {
+		*last = entry.prev
 	} else {
-		d.entries[e.next].prev = e.prev
+		c.entries[entry.next].prev = entry.prev
 	}
-	if p.queued == 0 {
-		p.backlog = 0
-		l.remove(p)
+	if sub.queued == 0 {
+		sub.backlog = 0
+		queue.remove(sub)
 	}
-	if l.queued == 0 {
-		l.backlog = 0
+	if queue.queued == 0 {
+		queue.backlog = 0
 	}
 }
 
-// chargeMost is how many requests ahead of its tenant's present a flow is charged at the most.
-const chargeMost = 8
+// maxChargeAhead is how many requests' cost a flow may be charged ahead of its tenant's virtual time.
+const maxChargeAhead = 8
 
-// keptRow is how many in a row may go on ahead of their tenant's other clients, since they came back when told.
-const keptRow = 3
+// maxRetriesInRow is how many scheduled retries in a row may go before the requests of their tenant's other clients.
+const maxRetriesInRow = 3
 
-// next takes the entry out whose turn it is at a tenant, and charges its flow. It returns none if all that waits there
-// is long, and no long ones may go.
-func (d *Controller) next(p *pair, longs bool) int32 {
+// dequeue takes out the entry whose turn it is in a subqueue, and charges its flow. It returns none if only long
+// requests wait there and none of those may be admitted.
+func (c *Controller) dequeue(sub *subqueue, longs bool) int32 {
 	from := short
-	if longs && p.before(long, short) {
+	if longs && sub.precedes(long, short) {
 		from = long
 	}
-	if k := p.kept[from].first; k != none && (len(p.active[from]) == 0 || p.row < keptRow) {
-		p.row++
-		d.unlink(k)
-		p.charge(d.entries[k].flow, d.entries[k].cost)
+	if k := sub.retries[from].first; k != none && (len(sub.active[from]) == 0 || sub.retriesInRow < maxRetriesInRow) {
+		sub.retriesInRow++
+		c.unlink(k)
+		sub.charge(c.entries[k].flow, c.entries[k].cost)
 		return k
 	}
-	p.row = 0
-	if len(p.active[from]) == 0 {
+	sub.retriesInRow = 0
+	if len(sub.active[from]) == 0 {
 		return none
 	}
-	i := p.active[from][0]
-	f := &p.flows[i]
+	i := sub.active[from][0]
+	f := &sub.flows[i]
 	at := f.first
-	p.vt = max(p.vt, f.start)
-	f.finish = f.start + d.entries[at].cost
+	sub.virtualTime = max(sub.virtualTime, f.start)
+	f.finish = f.start + c.entries[at].cost
 	f.start = f.finish
-	d.unlink(at)
-	if f.at != none {
-		p.fix(i)
+	c.unlink(at)
+	if f.heapIndex != none {
+		sub.fix(i)
 	}
 	return at
 }
 
-// before tells whether the next of one band has its turn before the next of the other.
-func (p *pair) before(a, b band) bool {
+// precedes reports whether the next entry of one band has its turn before the next one of the other.
+func (sub *subqueue) precedes(a, b band) bool {
 	turn := func(b band) (float64, bool) {
-		if p.kept[b].first != none {
-			return p.vt, true
+		if sub.retries[b].first != none {
+			return sub.virtualTime, true
 		}
-		if len(p.active[b]) == 0 {
+		if len(sub.active[b]) == 0 {
 			return 0, false
 		}
-		return p.flows[p.active[b][0]].start, true
+		return sub.flows[sub.active[b][0]].start, true
 	}
 	at, waits := turn(a)
 	other, others := turn(b)
 	return waits && (!others || at < other)
 }
 
-// dispatch lets go on what there is room for at a lane.
-func (d *Controller) dispatch(l *lane) {
-	aside := d.aside[:0] // tenants that have nothing that may go on
-	for l.room(short) > 0 && len(l.active) > 0 {
-		tenant := l.first(d)
-		p := l.pairs[tenant]
-		conf := &d.set.Tenants[tenant]
-		least := l.pairs[l.active[0]].start
+// dispatch admits what a queue has capacity for.
+func (c *Controller) dispatch(queue *fairQueue) {
+	aside := c.postponed[:0] // tenants that have nothing that may be admitted
+	for queue.capacity(short) > 0 && len(queue.active) > 0 {
+		tenant := queue.nextTenant(c)
+		sub := queue.subqueues[tenant]
+		conf := &c.settings.Tenants[tenant]
+		least := queue.subqueues[queue.active[0]].start
 		at := none
-		if conf.CeilingShare == 0 || float64(p.inside) < max(1, conf.CeilingShare*l.limiter.limit()) {
-			at = d.next(p, l.room(long) > 0)
+		if conf.CeilingShare == 0 || float64(sub.inFlight) < max(1, conf.CeilingShare*queue.limiter.limit()) {
+			at = c.dequeue(sub, queue.capacity(long) > 0)
 		}
 		if at == none {
 			aside = append(aside, tenant)
-			l.remove(p)
+			queue.remove(sub)
 			continue
 		}
-		l.vt = max(l.vt, min(p.start, least))
-		p.finish = p.start + d.entries[at].cost/p.weight
-		p.start = p.finish
-		if p.at != none {
-			l.fix(p)
+		queue.virtualTime = max(queue.virtualTime, min(sub.start, least))
+		sub.finish = sub.start + c.entries[at].cost/sub.weight
+		sub.start = sub.finish
+		if sub.heapIndex != none {
+			queue.fix(sub)
 		}
-		d.admit(l, at)
+		c.admit(queue, at)
 	}
 	for _, tenant := range aside {
-		l.push(tenant)
+		queue.push(tenant)
 	}
-	d.aside = aside
+	c.postponed = aside
 }
 
-// heaviest is the newest entry of the heaviest flow of the tenant that has the most waiting for its weight.
-func (d *Controller) heaviest() int32 {
-	var worst *pair
-	for _, l := range d.lanes {
-		for _, t := range l.active {
-			if p := l.pairs[t]; worst == nil || p.backlog/p.weight > worst.backlog/worst.weight {
-				worst = p
+// heaviestEntry returns the newest entry of the heaviest flow of the tenant with the largest backlog for its weight.
+func (c *Controller) heaviestEntry() int32 {
+	var most *subqueue
+	for _, queue := range c.queues {
+		for _, t := range queue.active {
+			if sub := queue.subqueues[t]; most == nil || sub.backlog/sub.weight > most.backlog/most.weight {
+				most = sub
 			}
 		}
 	}
-	var f *flow
-	for i := range worst.flows {
-		if g := &worst.flows[i]; g.count > 0 && (f == nil || g.backlog > f.backlog) {
-			f = g
+	var heaviest *flow
+	for i := range most.flows {
+		candidate := &most.flows[i]
+		if candidate.count > 0 && (heaviest == nil || candidate.backlog > heaviest.backlog) {
+			heaviest = candidate
 		}
 	}
-	if f == nil {
-		return max(worst.kept[short].last, worst.kept[long].last)
+	if heaviest == nil {
+		return max(most.retries[short].last, most.retries[long].last)
 	}
-	return f.newest
+	return heaviest.newest
 }
 
-func sortBy(s []int32, less func(a, b int32) bool) {
+// sortNumbers sorts entry numbers by a strict order.
+func sortNumbers(s []int32, less func(a, b int32) bool) {
 	slices.SortFunc(s, func(a, b int32) int {
 		if less(a, b) {
 			return -1
--- a/internal/admission/sketch.go
+++ b/internal/admission/sketch.go
@@ -6,26 +6,27 @@
 	"github.com/zeebo/xxh3"
 )
 
-// hash of a client under a seed.
+// hash returns the hash of a client under a seed.
 func hash(client, seed uint64) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], client)
 	return xxh3.HashSeed(b[:], seed)
 }
 
-// sketch finds the heaviest clients of a tenant by what they ask for: Space-Saving (Metwally, Agrawal, El Abbadi 2005)
-// with counts that are halved now and then. A client that is over a sixteenth of the whole is always in it.
+// sketch finds the heaviest clients of a tenant by the cost of their requests: Space-Saving (Metwally, Agrawal, El
+// Abbadi 2005) with counts that are halved periodically. A client with over a sixteenth of the total is always in it.
 type sketch struct {
-	hitters [heavies]hitter
+	hitters [heavyFlows]hitter
 	total   float64
 }
 
+// hitter is a client in a sketch.
 type hitter struct {
-	client     uint64
-	cost, over float64 // an estimate from above, and by how much it may be over
+	client             uint64
+	cost, overestimate float64 // an upper estimate, and the most by which it may exceed the true cost
 }
 
-// add books a cost and returns the number of the client, if it is heavy for certain, or else -1.
+// add counts a cost and returns the number of the client if it is certainly heavy, else -1.
 func (s *sketch) add(client uint64, cost float64) int {
 	s.total += cost
 	least := 0
@@ -33,7 +34,7 @@
 		h := &s.hitters[i]
 		if h.client == client && h.cost > 0 {
 			h.cost += cost
-			return s.heavy(i)
+			return s.certainlyHeavy(i)
 		}
 		if h.cost < s.hitters[least].cost {
 			least = i
@@ -43,31 +44,32 @@
 		return -1
 	}
 	h := &s.hitters[least]
-	*h = hitter{client: client, cost: h.cost + cost, over: h.cost}
-	return s.heavy(least)
+	*h = hitter{client: client, cost: h.cost + cost, overestimate: h.cost}
+	return s.certainlyHeavy(least)
 }
 
-func (s *sketch) heavy(i int) int {
-	if h := &s.hitters[i]; (h.cost-h.over)*heavies >= s.total {
+// certainlyHeavy returns a number if its client is heavy by the lower estimate of its cost, else -1.
+func (s *sketch) certainlyHeavy(i int) int {
+	if h := &s.hitters[i]; (h.cost-h.overestimate)*heavyFlows >= s.total {
 		return i
 	}
 	return -1
 }
 
-// loudest is the share of the whole that the heaviest client asks for, for certain.
-func (s *sketch) loudest() float64 {
+// heaviestShare is a lower estimate of the heaviest client's share of the total.
+func (s *sketch) heaviestShare() float64 {
 	most := 0.0
 	for i := range s.hitters {
-		most = max(most, s.hitters[i].cost-s.hitters[i].over)
+		most = max(most, s.hitters[i].cost-s.hitters[i].overestimate)
 	}
 	return most / max(s.total, 1e-9)
 }
 
-// halve lets what was asked for long ago count less.
+// halve makes older costs count less.
 func (s *sketch) halve() {
 	s.total /= 2
 	for i := range s.hitters {
 		s.hitters[i].cost /= 2
-		s.hitters[i].over /= 2
+		s.hitters[i].overestimate /= 2
 	}
 }
--- a/internal/admission/world_test.go
+++ b/internal/admission/world_test.go
@@ -10,20 +10,20 @@
 
 const ms = time.Millisecond
 
-// world is a door before databases of a number of cores, in virtual time. What is let in waits for a core and then
-// takes its work. It checks as it goes that every offer ends exactly once.
+// world is a controller before databases with a number of cores, in virtual time. An admitted request waits for a core
+// and then takes its work. It checks that every offered request ends exactly once.
 type world struct {
-	t       *testing.T
-	d       *Controller
-	now     time.Duration
-	cores   int
-	queue   []*job // let in, waiting for a core
-	running []*job
-	jobs    map[uint64]*job
-	last    uint64
-	events  []Event
-	rng     *rand.Rand
-	most    int // queued at once
+	t          *testing.T
+	controller *Controller
+	now        time.Duration
+	cores      int
+	queue      []*job // admitted, waiting for a core
+	running    []*job
+	jobs       map[uint64]*job
+	last       uint64
+	events     []Event
+	rng        *rand.Rand
+	most       int // queued at once
 }
 
 type job struct {
@@ -48,9 +48,14 @@
 )
 
 func settings(weights ...float64) Settings {
-	s := Settings{Classes: []Class{{Name: "read", Aim: 300 * ms}, {Name: "report", Aim: 5 * time.Second},
-		{Name: "write", Aim: time.Second, Primary: true}}, Tolerance: 1.3, MaxRetryAfter: 2 * time.Second,
-		Bounds: Bounds{Queue: 512, Lanes: 8, Promises: 1024, LimitMin: 2, LimitMax: 1000}}
+	s := Settings{
+		Classes: []Class{
+			{Name: "read", Aim: 300 * ms},
+			{Name: "report", Aim: 5 * time.Second},
+			{Name: "write", Aim: time.Second, Primary: true},
+		}, Tolerance: 1.3, MaxRetryAfter: 2 * time.Second,
+		Bounds: Bounds{Queue: 512, Lanes: 8, Promises: 1024, LimitMin: 2, LimitMax: 1000},
+	}
 	for i, w := range weights {
 		s.Tenants = append(s.Tenants, Tenant{Name: string(rune('a' + i)), Weight: w})
 	}
@@ -58,13 +63,13 @@
 }
 
 func newWorld(t *testing.T, cores int, s Settings) *world {
-	return &world{t: t, d: New(s, 7), now: time.Hour, cores: cores, jobs: map[uint64]*job{}, rng: rand.New(rand.NewPCG(1, 2))}
+	return &world{t: t, controller: New(s, 7), now: time.Hour, cores: cores, jobs: map[uint64]*job{}, rng: rand.New(rand.NewPCG(1, 2))}
 }
 
 // ask offers a request; done, if any, is called when it ends.
 func (w *world) ask(tenant, class int, client uint64, work time.Duration, done func(*job)) *job {
 	w.last++
-	expires := 4 * w.d.set.Classes[class].Aim
+	expires := 4 * w.controller.settings.Classes[class].Aim
 	j := &job{id: w.last, offer: Offer{Tenant: tenant, Class: class, Client: client, Expires: expires}, work: work, at: w.now, done: done}
 	w.jobs[j.id] = j
 	w.events = append(w.events, Event{Kind: Offered, Request: j.id, Offer: j.offer})
@@ -78,7 +83,7 @@
 	}
 }
 
-// step hands over what has come and carries out what is decided.
+// step hands the events over and carries out the actions.
 func (w *world) step() {
 	events := w.events
 	w.events = nil
@@ -86,9 +91,9 @@
 	for _, e := range events {
 		gone[e.Request] = gone[e.Request] || e.Kind == Left
 	}
-	for _, a := range w.d.Step(w.now, events, nil) {
+	for _, a := range w.controller.Step(w.now, events, nil) {
 		j := w.jobs[a.Request]
-		if gone[a.Request] { // refused in the batch that brought the client's leave too
+		if gone[a.Request] { // rejected in the batch that brought the client's leave too
 			require.NotEqual(w.t, Admit, a.Kind)
 			continue
 		}
@@ -97,14 +102,14 @@
 			require.Equal(w.t, waits, j.state, "admitted twice, or after its end")
 			j.state, j.in = runs, w.now
 			w.queue = append(w.queue, j)
-		case Refuse:
+		case Reject:
 			require.Equal(w.t, waits, j.state, "refused twice, or after its end")
-			require.LessOrEqual(w.t, a.After, w.d.set.MaxRetryAfter)
+			require.LessOrEqual(w.t, a.After, w.controller.settings.MaxRetryAfter)
 			j.after = a.After
 			w.end(j, refused)
 		}
 	}
-	w.most = max(w.most, w.d.queued)
+	w.most = max(w.most, w.controller.queued)
 }
 
 func (w *world) end(j *job, s jobState) {
@@ -145,23 +150,23 @@
 	}
 }
 
-// settle lets all that is open end, and checks that nothing of it is left behind.
+// settle lets all open requests end, and checks that no state of them is left.
 func (w *world) settle() {
 	w.run(20*time.Second, ms, nil)
 	require.Empty(w.t, w.jobs, "every offer ends")
-	require.Zero(w.t, w.d.queued)
-	require.Empty(w.t, w.d.at)
-	c := w.d.Count
+	require.Zero(w.t, w.controller.queued)
+	require.Empty(w.t, w.controller.entryOf)
+	c := w.controller.Count
 	require.Equal(w.t, c.Offered, c.Admitted+c.Left+c.TooLate+c.NoRoom+c.Capped+c.Gone+c.Overtook)
-	for _, l := range w.d.lanes {
+	for _, l := range w.controller.queues {
 		require.Zero(w.t, l.queued)
-		require.Zero(w.t, l.inside)
+		require.Zero(w.t, l.inFlight)
 		require.Zero(w.t, l.backlog)
 		require.Empty(w.t, l.active)
-		for _, p := range l.pairs {
+		for _, p := range l.subqueues {
 			if p != nil {
 				require.Zero(w.t, p.queued)
-				require.Zero(w.t, p.inside)
+				require.Zero(w.t, p.inFlight)
 				require.Empty(w.t, p.active[short])
 				require.Empty(w.t, p.active[long])
 			}
@@ -190,7 +195,7 @@
 		if j.state == served {
 			y.served++
 			y.work += j.work
-			if w.now-j.at <= w.d.set.Classes[j.offer.Class].Aim {
+			if w.now-j.at <= w.controller.settings.Classes[j.offer.Class].Aim {
 				y.inTime++
 			}
 		} else {
