--- /dev/null
+++ b/internal/admission/figures.go
@@ -0,0 +1,86 @@
+package admission
+
+import "slices"
+
+// Reason is why a request was rejected.
+type Reason uint8
+
+// The reasons of rejections.
+const (
+	TooLate  Reason = iota // it could not be admitted in time for its objective
+	NoRoom                 // the queue is full and its flow is the heaviest
+	Capped                 // its tenant is over its ceiling
+	Gone                   // its class is no longer configured
+	Overtook               // it waited, and its time ran out
+	reasonCount
+)
+
+// Count are the controller's counters. Retries that come as scheduled count as Kept if they are admitted, else as
+// Broken.
+type Count struct {
+	Offered, Admitted, Waited, Left int64 // Waited: of the admitted ones
+	TooLate, NoRoom, Capped, Gone   int64 // rejections by Reason
+	Overtook                        int64
+	Promised, Unpromised            int64 // Retry-After times that are remembered, and those that are not
+	Early, Kept, Broken             int64 // retries: before their time, admitted, rejected again
+}
+
+// rejections returns the counter of a reason.
+func (c *Count) rejections(reason Reason) *int64 {
+	return [reasonCount]*int64{&c.TooLate, &c.NoRoom, &c.Capped, &c.Gone, &c.Overtook}[reason]
+}
+
+// TenantFigures are the figures of a tenant for operators.
+type TenantFigures struct {
+	Name                      string
+	Queued, Admitted, Refused int64
+	Inside                    int
+}
+
+// Tenants returns the figures of all tenants, those with the most requests first.
+func (c *Controller) Tenants() []TenantFigures {
+	all := make([]TenantFigures, len(c.tenants))
+	for i, t := range c.tenants {
+		name := c.settings.Tenants[i].Name
+		all[i] = TenantFigures{Name: name, Queued: t.queued, Admitted: t.admitted, Refused: t.rejected}
+		for _, q := range c.queues {
+			if sub := q.subqueues[i]; sub != nil {
+				all[i].Inside += sub.inFlight
+			}
+		}
+	}
+	slices.SortStableFunc(all, func(a, b TenantFigures) int {
+		return int(b.Admitted + b.Refused + b.Queued - a.Admitted - a.Refused - a.Queued)
+	})
+	return all
+}
+
+// QueueFigures are the figures of a queue for operators.
+type QueueFigures struct {
+	Group          int
+	Primary        bool
+	Limit          float64
+	Inside, Queued int
+}
+
+// Queues returns the figures of all queues, ordered by group.
+func (c *Controller) Queues() []QueueFigures {
+	all := make([]QueueFigures, 0, len(c.queues))
+	for key, i := range c.queueNumbers {
+		q := c.queues[i]
+		all = append(all, QueueFigures{key.group, key.primary, q.limiter.limit(), q.inFlight, q.queued})
+	}
+	slices.SortFunc(all, func(a, b QueueFigures) int {
+		if a.Group != b.Group {
+			return a.Group - b.Group
+		}
+		if a.Primary {
+			return -1
+		}
+		return 1
+	})
+	return all
+}
+
+// Queued returns the number of waiting requests.
+func (c *Controller) Queued() int { return c.queued }
