--- a/internal/admission/lifecycle.go
+++ b/internal/admission/lifecycle.go
@@ -3,51 +3,34 @@
 import "time"
 
 // offer queues a request, or rejects it at once.
-func (c *Controller) offer(request uint64, o *Offer) {
+func (c *Controller) offer(request uint64, offer *Offer) {
 	c.Count.Offered++
-	queue := c.queueFor(o.Group, c.settings.Classes[o.Class].Primary)
-	class, stat := &c.settings.Classes[o.Class], &queue.classes[o.Class]
-	cost := o.Work.Seconds()
-	if cost <= 0 {
-		cost = stat.cost(class)
-	}
-	at := c.allocate()
-	e := &c.entries[at]
-	*e = entry{
-		request: request, state: arriving, queue: queue.number, tenant: int32(o.Tenant), class: int32(o.Class),
-		client: o.Client, cost: cost, offered: c.now,
-	}
-	c.entryOf[request] = at
-	// It waits only while it can still be answered within its objective, and for a part of its client's timeout.
-	slack := class.Aim - stat.expectedLatency(class, c.settings.Tolerance)
-	e.admitBy = c.now + max(0, min(slack, time.Duration(maxWaitShare*float64(o.Expires))))
-	t, conf := &c.tenants[o.Tenant], &c.settings.Tenants[o.Tenant]
-	if conf.Ceiling > 0 {
-		if t.ceiling.refill(conf.Ceiling, c.now) < 1 {
-			c.reject(at, Capped)
-			return
-		}
-		t.ceiling.tokens--
+	queue := c.queueFor(offer.Group, c.settings.Classes[offer.Class].Primary)
+	at := c.newEntry(request, offer, queue)
+	if !c.underCeiling(offer.Tenant) {
+		c.reject(at, Capped)
+		return
 	}
-	stat.lastOffered = c.now
-	if queue.isLong(&c.settings, c.now, o.Class) {
-		e.band = long
+	entry := &c.entries[at]
+	queue.classes[offer.Class].lastOffered = c.now
+	if queue.isLong(&c.settings, c.now, offer.Class) {
+		entry.band = long
 	} else {
-		queue.shortOffered += cost
+		queue.shortOffered += entry.cost
 	}
-	sub := queue.subqueue(c, o.Tenant)
-	e.flow = sub.flowOf(c, e.client, e.cost, e.band)
-	switch c.retries.redeem(c.retryKey(e), c.now) {
+	sub := queue.subqueue(c, offer.Tenant)
+	entry.flow = sub.flowOf(c, entry.client, entry.cost, entry.band)
+	switch c.retries.redeem(c.retryKey(entry), c.now) {
 	case onTime:
-		e.onSchedule = true
+		entry.onSchedule = true
 	case early: // it is treated as any other request, and its flow is charged
 		c.Count.Early++
-		sub.charge(e.flow, earlyRetryCharge*e.cost)
+		sub.charge(entry.flow, earlyRetryCharge*entry.cost)
 	}
 	full := c.queued >= c.settings.Bounds.Queue
-	if queue.queued >= queue.capacity(e.band) { // it may have to wait
-		wait := queue.expectedWait(sub, &sub.flows[e.flow], e.cost)
-		if !e.onSchedule && !queue.underFloor(c, o.Tenant) && c.now+wait > e.admitBy {
+	if queue.queued >= queue.capacity(entry.band) { // it may have to wait
+		wait := queue.expectedWait(sub, &sub.flows[entry.flow], entry.cost)
+		if !entry.onSchedule && !queue.underFloor(c, offer.Tenant) && c.now+wait > entry.admitBy {
 			c.reject(at, TooLate)
 			return
 		}
@@ -58,6 +41,45 @@
 	}
 }
 
+// newEntry allocates the entry of an arriving request, with its cost and the time by which it is to be admitted.
+func (c *Controller) newEntry(request uint64, offer *Offer, queue *fairQueue) int32 {
+	class, stat := &c.settings.Classes[offer.Class], &queue.classes[offer.Class]
+	cost := offer.Work.Seconds()
+	if cost <= 0 {
+		cost = stat.cost(class)
+	}
+	// It waits only while it can still be answered within its objective, and for a part of its client's timeout.
+	slack := class.Aim - stat.expectedLatency(class, c.settings.Tolerance)
+	longest := max(0, min(slack, time.Duration(maxWaitShare*float64(offer.Expires))))
+	at := c.allocate()
+	c.entries[at] = entry{
+		request: request,
+		client:  offer.Client,
+		state:   arriving,
+		queue:   queue.number,
+		tenant:  int32(offer.Tenant),
+		class:   int32(offer.Class),
+		cost:    cost,
+		offered: c.now,
+		admitBy: c.now + longest,
+	}
+	c.entryOf[request] = at
+	return at
+}
+
+// underCeiling reports whether a tenant may have one more request a second, and takes it from the tenant's tokens.
+func (c *Controller) underCeiling(tenant int) bool {
+	ceiling, state := c.settings.Tenants[tenant].Ceiling, &c.tenants[tenant]
+	if ceiling <= 0 {
+		return true
+	}
+	if state.ceiling.refill(ceiling, c.now) < 1 {
+		return false
+	}
+	state.ceiling.tokens--
+	return true
+}
+
 // reject ends an entry with the time to retry after.
 func (c *Controller) reject(at int32, why Reason) {
 	entry := &c.entries[at]
--- a/internal/admission/retune.go
+++ b/internal/admission/retune.go
@@ -2,27 +2,66 @@
 
 import "slices"
 
+// noClass is the number of a class that is no longer configured.
+const noClass = none
+
 // retune applies new settings. Tenants and classes keep their state by name. Requests queued for a tenant that is gone
 // wait with those of the first one; requests of a class that is gone are rejected.
-func (c *Controller) retune(s Settings) {
-	tenantTo, classTo := make([]int32, len(c.settings.Tenants)), make([]int32, len(c.settings.Classes))
-	tenants := make([]tenantState, len(s.Tenants))
-	for i, old := range c.settings.Tenants {
-		for j, t := range s.Tenants {
-			if t.Name == old.Name {
-				tenantTo[i] = int32(j)
+func (c *Controller) retune(settings Settings) {
+	tenantTo := renumberTenants(c.settings.Tenants, settings.Tenants)
+	classTo := renumberClasses(c.settings.Classes, settings.Classes)
+	waiting := c.unlinkAll(classTo)
+	tenants := make([]tenantState, len(settings.Tenants))
+	for i, old := range c.settings.Tenants { // after the queued requests have been taken out of the counters
+		if to := tenantTo[i]; settings.Tenants[to].Name == old.Name {
+			tenants[to] = c.tenants[i]
+		}
+	}
+	c.settings, c.tenants = settings, tenants
+	for _, queue := range c.queues {
+		queue.renumber(c, tenantTo, classTo)
+	}
+	c.renumberEntries(tenantTo, classTo)
+	for _, at := range waiting {
+		if entry := &c.entries[at]; entry.state == arriving {
+			queue := c.queues[entry.queue]
+			sub := queue.subqueue(c, int(entry.tenant))
+			entry.flow = sub.flowOf(c, entry.client, 0, entry.band)
+			c.enqueue(queue, sub, at)
+		}
+	}
+}
+
+// renumberTenants returns the new number of each old tenant: that of the same name, else 0.
+func renumberTenants(before, after []Tenant) []int32 {
+	to := make([]int32, len(before))
+	for i, old := range before {
+		for j, tenant := range after {
+			if tenant.Name == old.Name {
+				to[i] = int32(j)
 			}
 		}
 	}
-	for i, old := range c.settings.Classes {
-		classTo[i] = none
-		for j, class := range s.Classes {
+	return to
+}
+
+// renumberClasses returns the new number of each old class, or noClass.
+func renumberClasses(before, after []Class) []int32 {
+	to := make([]int32, len(before))
+	for i, old := range before {
+		to[i] = noClass
+		for j, class := range after {
 			if class.Name == old.Name && class.Primary == old.Primary {
-				classTo[i] = int32(j)
+				to[i] = int32(j)
 			}
 		}
 	}
-	// Waiting requests are taken out and queued again, in the order of their arrival.
+	return to
+}
+
+// unlinkAll takes all waiting requests out of the queues and rejects those whose class is gone. It returns the waiting
+// ones in the order of their arrival, in which those that are left are to be queued again.
+func (c *Controller) unlinkAll(classTo []int32) []int32 {
 	var waiting []int32
 	for at := range c.entries {
 		if c.entries[at].state == queued {
@@ -30,44 +69,32 @@
 		}
 	}
 	sortNumbers(waiting, func(a, b int32) bool {
-		ea, eb := &c.entries[a], &c.entries[b]
-		return ea.offered < eb.offered || ea.offered == eb.offered && ea.request < eb.request
+		first, second := &c.entries[a], &c.entries[b]
+		return first.offered < second.offered || first.offered == second.offered && first.request < second.request
 	})
 	for _, at := range waiting {
 		c.unlink(at)
-		if class := c.entries[at].class; classTo[class] == none {
+		if class := c.entries[at].class; classTo[class] == noClass {
 			c.entries[at].state = arriving
 			c.reject(at, Gone)
 		}
 	}
-	for i, old := range c.settings.Tenants { // after the queued requests have been taken out of the counters
-		if to := tenantTo[i]; s.Tenants[to].Name == old.Name {
-			tenants[to] = c.tenants[i]
-		}
-	}
-	c.settings, c.tenants = s, tenants
-	for _, queue := range c.queues {
-		queue.renumber(c, tenantTo, classTo)
-	}
+	return waiting
+}
+
+// renumberEntries gives all entries their new numbers, and counts those in flight in their tenants' subqueues.
+func (c *Controller) renumberEntries(tenantTo, classTo []int32) {
 	for at := range c.entries {
-		e := &c.entries[at]
-		if e.state == unused {
+		entry := &c.entries[at]
+		if entry.state == unused {
 			continue
 		}
-		e.tenant = tenantTo[e.tenant]
-		if e.class >= 0 {
-			e.class = classTo[e.class]
-		}
-		if e.state == inFlight {
-			c.queues[e.queue].subqueue(c, int(e.tenant)).inFlight++
+		entry.tenant = tenantTo[entry.tenant]
+		if entry.class >= 0 {
+			entry.class = classTo[entry.class]
 		}
-	}
-	for _, at := range waiting {
-		if e := &c.entries[at]; e.state == arriving {
-			queue := c.queues[e.queue]
-			sub := queue.subqueue(c, int(e.tenant))
-			e.flow = sub.flowOf(c, e.client, 0, e.band)
-			c.enqueue(queue, sub, at)
+		if entry.state == inFlight {
+			c.queues[entry.queue].subqueue(c, int(entry.tenant)).inFlight++
 		}
 	}
 }
@@ -82,7 +109,7 @@
 		}
 	}
 	for i, stat := range q.classes {
-		if classTo[i] != none {
+		if classTo[i] != noClass {
 			classes[classTo[i]] = stat
 		}
 	}
