--- a/internal/statement/cache.go
+++ b/internal/statement/cache.go
@@ -8,119 +8,136 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Fingerprint is what is remembered of one.
+// Fingerprint is the cached state of one fingerprint.
 type Fingerprint struct {
-	Text      string // cut to shapeShown bytes
+	Text      string // truncated to maxTextBytes
 	Kind      Kind
 	MayWrite  bool
 	Why       Why
 	Cost      Cost
 	Calls     int64
-	Seconds   float64 // of all its calls together
-	Disagreed int64   // calls whose label said otherwise
-	Logged    bool    // that it disagrees has been told
+	Seconds   float64 // total time of its calls
+	Disagreed int64   // calls whose label contradicts the analysis
+	Logged    bool    // a disagreement has been logged
 
 	hash       xxh3.Uint128
 	bytes      int
 	hits       uint8
-	where      queue
+	queue      queueID
 	next, prev *Fingerprint
 }
 
-type queue uint8
+// queueID identifies the queue that a cached fingerprint is in.
+type queueID uint8
 
 const (
-	gone  queue = iota
-	small       // seen once or so
-	main
+	notCached  queueID = iota
+	smallQueue         // new fingerprints
+	mainQueue
 )
 
+// Sizes and tuned values of the cache.
 const (
-	shapeShown = 256 // bytes of a shape's text that are kept
-	shapeFixed = 320 // what one takes beside its text, with its places in the tables
-	smallShare = 0.1 // of the bytes, for shapes that have yet to show that they come again
-	ghostShare = 0.1 // ... for the hashes of those that were let go from there
-	ghostHits  = 4   // of one that comes again after it was let go: so long apart, it is no part of a flood
-	hitsMost   = 15  // are counted: one that is asked for often outlasts as many turns of the main queue
+	maxTextBytes     = 256 // bytes of a fingerprint's text that are kept
+	fingerprintBytes = 320 // memory of one beside its text, including its places in the tables
+	smallShare       = 0.1 // of the bytes, for the small queue
+	ghostShare       = 0.1 // of the bytes, for the hashes of fingerprints evicted from it
+	ghostHits        = 4   // hits credited to one that returns after its eviction from the small queue
+	maxHits          = 15  // bound of a hit count: the number of turns of the main queue that it survives
 )
 
-// Fingerprints is a cache of shapes of fixed size in bytes. It is S3-FIFO (Yang, Qiu, Zhang, Yue, Vinayak 2023): what is new
-// enters a small queue, and only what comes again is let into the main one, so that a flood of shapes that come once
-// passes through the small one. It is written here and not taken from a library because it must count bytes and be the
-// same at each run: the libraries at hand count entries, or seed themselves and run goroutines.
+// Fingerprints is a cache of fingerprints whose size is bounded in bytes. It is S3-FIFO (Yang, Qiu, Zhang, Yue,
+// Vinayak 2023): new fingerprints enter a small queue, and only those that are used again enter the main one, so that
+// a flood of fingerprints that are used once passes through the small queue. It is implemented here because it must
+// count bytes and be deterministic: the available libraries count entries, or seed themselves and run goroutines.
 type Fingerprints struct {
-	byHash  map[xxh3.Uint128]*Fingerprint
-	queues  [main + 1]list
-	ghosts  []uint32 // parts of the hashes of shapes that were let go from the small queue, each at the place of its hash
-	most    int
-	seed    uint64
-	Hits    int64
-	Misses  int64
-	Evicted int64
+	byHash   map[xxh3.Uint128]*Fingerprint
+	queues   [mainQueue + 1]fingerprintList
+	ghosts   []uint32 // parts of the hashes of fingerprints evicted from the small queue, indexed by hash
+	maxBytes int
+	seed     uint64
+	Hits     int64
+	Misses   int64
+	Evicted  int64
 }
 
-// list is a queue of shapes with its bytes.
-type list struct {
-	first, last *Fingerprint // the first is the next to go
+// fingerprintList is a queue of fingerprints and its size in bytes.
+type fingerprintList struct {
+	first, last *Fingerprint // first: the next to be evicted
 	bytes       int
 }
 
-// NewFingerprints returns a cache that takes no more than so many bytes. The seed keeps others from choosing texts that meet.
+// NewFingerprints returns a cache of at most so many bytes. The seed prevents clients from choosing texts whose hashes
+// collide.
 func NewFingerprints(bytes int, seed uint64) *Fingerprints {
 	n := max(1, int(ghostShare*float64(bytes))/4)
-	return &Fingerprints{byHash: map[xxh3.Uint128]*Fingerprint{}, ghosts: make([]uint32, n), most: bytes - 4*n, seed: seed}
+	return &Fingerprints{
+		byHash:   map[xxh3.Uint128]*Fingerprint{},
+		ghosts:   make([]uint32, n),
+		maxBytes: bytes - 4*n,
+		seed:     seed,
+	}
 }
 
-// Bytes is how many bytes the cache holds.
+// Bytes returns the size of the cache.
 func (c *Fingerprints) Bytes() int {
-	return c.queues[small].bytes + c.queues[main].bytes + 4*len(c.ghosts)
+	return c.queues[smallQueue].bytes + c.queues[mainQueue].bytes + 4*len(c.ghosts)
 }
 
-// Len is how many shapes it holds.
+// Len returns the number of cached fingerprints.
 func (c *Fingerprints) Len() int { return len(c.byHash) }
 
-// Get returns what is remembered of a shape, and begins to remember it.
-func (c *Fingerprints) Get(shape []byte, info *Info) *Fingerprint {
-	h := xxh3.Hash128Seed(shape, c.seed)
-	if s := c.byHash[h]; s != nil {
+// Get returns the cached state of a fingerprint, and adds it to the cache if necessary.
+func (c *Fingerprints) Get(text []byte, info *Info) *Fingerprint {
+	hash := xxh3.Hash128Seed(text, c.seed)
+	if fingerprint := c.byHash[hash]; fingerprint != nil {
 		c.Hits++
-		s.hits = min(s.hits+1, hitsMost)
-		if s.Why != info.Why { // the rules have changed since
-			s.Kind, s.MayWrite, s.Why, s.Logged = info.Kind, info.MayWrite, info.Why, false
+		fingerprint.hits = min(fingerprint.hits+1, maxHits)
+		if fingerprint.Why != info.Why { // the rules have changed since
+			fingerprint.Kind, fingerprint.MayWrite, fingerprint.Why = info.Kind, info.MayWrite, info.Why
+			fingerprint.Logged = false
 		}
-		return s
+		return fingerprint
 	}
 	c.Misses++
-	text := string(shape[:min(len(shape), shapeShown)])
-	s := &Fingerprint{Text: text, Kind: info.Kind, MayWrite: info.MayWrite, Why: info.Why, hash: h, bytes: shapeFixed + len(text)}
-	to := small
-	if g := c.ghost(h); *g == uint32(h.Hi)|1 { // it has come again soon after it was let go
-		*g = 0
-		to, s.hits = main, ghostHits
+	shown := string(text[:min(len(text), maxTextBytes)])
+	fingerprint := &Fingerprint{
+		Text:     shown,
+		Kind:     info.Kind,
+		MayWrite: info.MayWrite,
+		Why:      info.Why,
+		hash:     hash,
+		bytes:    fingerprintBytes + len(shown),
+	}
+	to := smallQueue
+	if ghost := c.ghost(hash); *ghost == uint32(hash.Hi)|1 { // it returns soon after its eviction
+		*ghost = 0
+		to, fingerprint.hits = mainQueue, ghostHits
 	}
-	for c.queues[small].bytes+c.queues[main].bytes+s.bytes > c.most {
+	for c.queues[smallQueue].bytes+c.queues[mainQueue].bytes+fingerprint.bytes > c.maxBytes {
 		c.evict()
 	}
-	c.byHash[h] = s
-	c.push(s, to)
-	return s
+	c.byHash[hash] = fingerprint
+	c.push(fingerprint, to)
+	return fingerprint
 }
 
-// ghost is the place of a hash among those of the forgotten. Another may stand there: the latest does.
+// ghost returns the place of a hash among those of evicted fingerprints. Hashes that share a place replace each other.
 func (c *Fingerprints) ghost(h xxh3.Uint128) *uint32 { return &c.ghosts[h.Lo%uint64(len(c.ghosts))] }
 
-// ObserveCost notes what one call took, beside so many others of ours at its database.
+// ObserveCost takes in the time of one call that ran beside a number of other requests at its database.
 func (s *Fingerprint) ObserveCost(took time.Duration, others int) {
 	s.Cost.Add(took, others)
 	s.Seconds += took.Seconds()
 }
 
-// Holds tells whether a shape is still remembered; what is learned of others is lost.
-func (c *Fingerprints) Holds(s *Fingerprint) bool { return s.where != gone }
+// Holds reports whether a fingerprint is still cached.
+func (c *Fingerprints) Holds(s *Fingerprint) bool { return s.queue != notCached }
 
-func (c *Fingerprints) push(s *Fingerprint, to queue) {
+// push appends a fingerprint to a queue.
+func (c *Fingerprints) push(s *Fingerprint, to queueID) {
 	q := &c.queues[to]
-	s.where, s.prev, s.next = to, q.last, nil
+	s.queue, s.prev, s.next = to, q.last, nil
 	if q.last == nil {
 		q.first = s
 	} else {
@@ -130,7 +147,8 @@
 	q.bytes += s.bytes
 }
 
-func (c *Fingerprints) pop(from queue) *Fingerprint {
+// pop removes the first fingerprint of a queue.
+func (c *Fingerprints) pop(from queueID) *Fingerprint {
 	q := &c.queues[from]
 	s := q.first
 	if q.first = s.next; q.first == nil {
@@ -143,46 +161,57 @@
 	return s
 }
 
-// evict lets one shape go.
+// evictsSmall reports whether the next eviction is from the small queue.
+func (c *Fingerprints) evictsSmall() bool {
+	if c.queues[smallQueue].first == nil {
+		return false
+	}
+	overShare := float64(c.queues[smallQueue].bytes) > smallShare*float64(c.maxBytes)
+	return overShare || c.queues[mainQueue].first == nil
+}
+
+// evict removes one fingerprint from the cache.
 func (c *Fingerprints) evict() {
-	for c.queues[small].first != nil && (float64(c.queues[small].bytes) > smallShare*float64(c.most) || c.queues[main].first == nil) {
-		s := c.pop(small)
+	for c.evictsSmall() {
+		s := c.pop(smallQueue)
 		if s.hits > 0 {
 			s.hits = 0
-			c.push(s, main)
+			c.push(s, mainQueue)
 			continue
 		}
-		c.forget(s)
+		c.remove(s)
 		*c.ghost(s.hash) = uint32(s.hash.Hi) | 1
 		return
 	}
 	for {
-		s := c.pop(main)
+		s := c.pop(mainQueue)
 		if s.hits == 0 {
-			c.forget(s)
+			c.remove(s)
 			return
 		}
 		s.hits--
-		c.push(s, main)
+		c.push(s, mainQueue)
 	}
 }
 
-func (c *Fingerprints) forget(s *Fingerprint) {
+// remove forgets a fingerprint that is in no queue any more.
+func (c *Fingerprints) remove(s *Fingerprint) {
 	delete(c.byHash, s.hash)
-	s.where = gone
+	s.queue = notCached
 	c.Evicted++
 }
 
-// Order tells which shapes are on top.
+// Order is the order in which Top returns fingerprints.
 type Order uint8
 
+// The orders, each descending.
 const (
 	ByCalls Order = iota
 	ByTime
 	ByDisagreement
 )
 
-// Top returns copies of the first shapes in an order.
+// Top returns copies of the first fingerprints in an order.
 func (c *Fingerprints) Top(by Order, most int) (top []Fingerprint) {
 	key := func(s *Fingerprint) float64 {
 		switch by {
@@ -202,7 +231,7 @@
 		}
 		return 1
 	}
-	for q := small; q <= main; q++ {
+	for q := smallQueue; q <= mainQueue; q++ {
 		for s := c.queues[q].first; s != nil; s = s.next {
 			if key(s) == 0 || len(top) == most && less(*s, top[most-1]) > 0 {
 				continue
--- a/internal/statement/catalogue.go
+++ b/internal/statement/catalogue.go
@@ -2,11 +2,11 @@
 
 import "strings"
 
-// The functions that PostgreSQL brings with it (chapter "Functions and Operators" of its documentation). What stands in
-// neither list is unknown.
+// The built-in functions of PostgreSQL (chapter "Functions and Operators" of its documentation). A function in neither
+// list is unknown.
 
-// writers change data or the session, take locks that others see, or run what nobody has read.
-var writers = names(`
+// writers are functions that change data or the session, take locks, or run code that is not analysed.
+var writers = wordSet(`
 nextval setval lastval currval set_config
 pg_advisory_lock pg_advisory_lock_shared pg_advisory_unlock pg_advisory_unlock_all pg_advisory_unlock_shared
 pg_advisory_xact_lock pg_advisory_xact_lock_shared pg_try_advisory_lock pg_try_advisory_lock_shared
@@ -36,8 +36,8 @@
 dblink_close pg_stat_statements_reset crosstab connectby
 `)
 
-// readers change nothing.
-var readers = names(`
+// readers are functions that change nothing.
+var readers = wordSet(`
 count sum avg min max bool_and bool_or every bit_and bit_or bit_xor array_agg string_agg json_agg jsonb_agg
 json_object_agg jsonb_object_agg xmlagg range_agg range_intersect_agg any_value
 corr covar_pop covar_samp regr_avgx regr_avgy regr_count regr_intercept regr_r2 regr_slope regr_sxx regr_sxy regr_syy
@@ -110,38 +110,45 @@
 similarity word_similarity show_trgm levenshtein soundex metaphone dmetaphone difference unaccent crypt_verify
 `)
 
-// reserved are the key words that can name neither a function nor, without AS, an alias (appendix "SQL Key Words":
-// reserved, and those that cannot be function or type names). A bracket behind one opens no call.
-var reserved = names(`
-all analyse analyze and any array as asc asymmetric both case cast check collate column constraint create current_catalog
+// reserved are the keywords that can name neither a function nor, without AS, an alias (appendix "SQL Key Words":
+// reserved, and those that cannot be function or type names). A bracket after one does not open a call.
+var reserved = wordSet(`
+all analyse analyze and any array as asc asymmetric both case cast check collate column constraint create
+current_catalog
 current_date current_role current_time current_timestamp current_user default deferrable desc distinct do else end
 except false fetch for foreign from grant group having in initially intersect into lateral leading limit localtime
 localtimestamp not null offset on only or order placing primary references returning select session_user some symmetric
 system_user table then to trailing true union unique user using variadic when where window with
 between bigint bit boolean char character coalesce dec decimal exists extract float greatest grouping inout int integer
 interval json json_array json_arrayagg json_exists json_object json_objectagg json_query json_scalar json_serialize
-json_table json_value least merge_action national nchar none normalize nullif numeric out overlay position precision real
+json_table json_value least merge_action national nchar none normalize nullif numeric out overlay position precision
+real
 row setof smallint substring time timestamp treat trim values varchar xmlattributes xmlconcat xmlelement xmlexists
 xmlforest xmlnamespaces xmlparse xmlpi xmlroot xmlserialize xmltable
 `)
 
-// infix words may be names of functions; behind an operand they are syntax, and a bracket behind them opens no call.
-var infix = names(`
+// infix words may be names of functions; after an operand they are syntax, and a bracket after them does not open a
+// call.
+var infix = wordSet(`
 join like ilike overlaps escape over filter columns is isnull notnull similar collation cross natural inner
 left right full outer tablesample ordinality
 `)
 
-// behind tells after which word another is syntax, and a bracket behind it opens no call.
-var behind = map[string]map[string]bool{
-	"by": names("group order partition"), "materialized": names("as not"), "rollup": names("by"), "cube": names("by"),
-	"sets": names("grouping"), "first": names("fetch"), "next": names("fetch"), "bernoulli": names("tablesample"),
-	"system": names("tablesample"), "recursive": names("with"), "zone": names("time"), "varying": names("bit char character nchar"),
+// wordsAfter lists, for a word, those after which it is syntax and a bracket after it does not open a call.
+var wordsAfter = map[string]map[string]bool{
+	"by": wordSet("group order partition"), "materialized": wordSet("as not"),
+	"rollup": wordSet("by"), "cube": wordSet("by"),
+	"sets": wordSet("grouping"), "first": wordSet("fetch"), "next": wordSet("fetch"),
+	"bernoulli": wordSet("tablesample"),
+	"system":    wordSet("tablesample"), "recursive": wordSet("with"), "zone": wordSet("time"),
+	"varying": wordSet("bit char character nchar"),
 }
 
 // joins are the words that JOIN may follow.
-var joins = names("cross natural inner left right full outer")
+var joins = wordSet("cross natural inner left right full outer")
 
-func names(list string) map[string]bool {
+// wordSet returns the set of the words of a list.
+func wordSet(list string) map[string]bool {
 	m := map[string]bool{}
 	for _, n := range strings.Fields(list) {
 		m[n] = true
@@ -149,7 +156,8 @@
 	return m
 }
 
-// Builtin tells what the catalogue knows of a function of PostgreSQL's own.
+// Builtin returns what the catalogue knows of a built-in function: ByFunction if it writes, Surely if it only reads,
+// else ByUnknown.
 func Builtin(name string) Why {
 	switch {
 	case writers[name]:
--- a/internal/statement/config.go
+++ b/internal/statement/config.go
@@ -8,30 +8,32 @@
 
 // Config is the table [statements] of the operators' file.
 type Config struct {
-	Mode      string   `toml:"mode"`      // off; observe: read and count, change nothing; enforce: route by what is read
-	Writes    string   `toml:"writes"`    // a label that says write on what surely reads: believe, or read
-	Unknown   string   `toml:"unknown"`   // functions that nobody lists: write, or read
+	Mode      string   `toml:"mode"`      // off; observe: analyse and count only; enforce: route by the analysis
+	Writes    string   `toml:"writes"`    // route of a read that is labelled as a write: believe (the label), or read
+	Unknown   string   `toml:"unknown"`   // unlisted functions count as: write, or read
 	Writers   []string `toml:"writers"`   // functions that write, as name or schema.name
 	Readers   []string `toml:"readers"`   // functions that only read
-	Relations []string `toml:"relations"` // views and the like that write when read
+	Relations []string `toml:"relations"` // views and other relations that write when read
 }
 
 // Defaults are the values of keys that the file lacks.
 func Defaults() Config { return Config{Mode: "off", Writes: "believe", Unknown: "write"} }
 
-// Check tells what is wrong with the table.
+// Check returns the first error of the table, a tables.KeyError, or nil.
 func (c Config) Check() error {
-	for _, v := range []struct {
-		key, value string
-		words      string
-	}{{"mode", c.Mode, "off observe enforce"}, {"writes", c.Writes, "believe read"}, {"unknown", c.Unknown, "write read"}} {
-		if !names(v.words)[v.value] {
-			return tables.Bad(v.key, "%q is none of %s", v.value, strings.ReplaceAll(v.words, " ", ", "))
+	for _, setting := range []struct{ key, value, words string }{
+		{"mode", c.Mode, "off observe enforce"},
+		{"writes", c.Writes, "believe read"},
+		{"unknown", c.Unknown, "write read"},
+	} {
+		if !wordSet(setting.words)[setting.value] {
+			words := strings.ReplaceAll(setting.words, " ", ", ")
+			return tables.Bad(setting.key, "%q is none of %s", setting.value, words)
 		}
 	}
 	for key, list := range map[string][]string{"writers": c.Writers, "readers": c.Readers, "relations": c.Relations} {
 		for _, name := range list {
-			if name == "" || strings.Count(name, ".") > 1 || strings.HasPrefix(name, ".") || strings.HasSuffix(name, ".") || strings.ContainsAny(name, " ()\"'") {
+			if !validName(name) {
 				return tables.Bad(key, "%q is neither name nor schema.name", name)
 			}
 		}
@@ -46,13 +48,24 @@
 	return nil
 }
 
-// On tells whether statements are read at all.
+// validName reports whether a name is of the form name or schema.name.
+func validName(name string) bool {
+	if name == "" || strings.Count(name, ".") > 1 {
+		return false
+	}
+	if strings.HasPrefix(name, ".") || strings.HasSuffix(name, ".") {
+		return false
+	}
+	return !strings.ContainsAny(name, " ()\"'")
+}
+
+// On reports whether statements are analysed at all.
 func (c Config) On() bool { return c.Mode == "observe" || c.Mode == "enforce" }
 
-// Enforced tells whether they are routed by what is read.
+// Enforced reports whether they are routed by the analysis.
 func (c Config) Enforced() bool { return c.Mode == "enforce" }
 
-// Rules are the lists as an Analyser wants them.
+// Rules returns the rules for an Analyser.
 func (c Config) Rules() *Rules {
 	set := func(list []string) map[string]bool {
 		m := map[string]bool{}
@@ -61,5 +74,10 @@
 		}
 		return m
 	}
-	return &Rules{Writers: set(c.Writers), Readers: set(c.Readers), Relations: set(c.Relations), TrustUnknown: c.Unknown == "read"}
+	return &Rules{
+		Writers:      set(c.Writers),
+		Readers:      set(c.Readers),
+		Relations:    set(c.Relations),
+		TrustUnknown: c.Unknown == "read",
+	}
 }
--- a/internal/statement/cost.go
+++ b/internal/statement/cost.go
@@ -8,63 +8,66 @@
 
 // Tuned values of the estimate.
 const (
-	samplesMost = 64.0 // what was learned longer ago than so many calls counts for little
-	recent      = 0.25 // weight of a call in the quick mean
-	steps       = 8    // calls in a row that lie off before the estimate follows them
-	offBy       = 2.5  // deviations that count as off
-	clampBy     = 4.0  // a sample counts as no further off than so many deviations
-	widthLeast  = 0.05 // deviations of the logarithm are taken for no less
-	confident   = 5    // samples before an estimate is told
-	ninety      = 1.645
-	crowdHalf   = 2.0 // with so many others at the database, a sample counts half
+	maxWeight         = 64.0  // calls that the estimate remembers
+	quickMeanWeight   = 0.25  // weight of a call in the quick mean
+	changeSteps       = 8     // outliers in a row after which the estimate starts anew
+	outlierDeviations = 2.5   // deviations beyond which a call is an outlier
+	maxDeviations     = 4.0   // a call is clamped to so many deviations
+	minDeviation      = 0.05  // least deviation of the logarithm
+	minCalls          = 5     // calls before there is an estimate
+	quantile90        = 1.645 // bounds of the middle 90% of a normal distribution, in deviations
+	firstVariance     = 0.25  // of the logarithm, after one call
+	restartWeight     = 4     // of the quick mean when the estimate starts anew
+
+	othersForHalfWeight = 2.0 // with so many other requests at the database, a call counts half
 )
 
-// Cost is what the calls of a shape take, learned from the logarithms of their latencies: a mean and a deviation that
-// forget, against which a single long call is cut down, and a quick mean that tells when the calls have changed for good,
-// such as by another plan.
+// Cost estimates how long the calls of a fingerprint take, from the logarithms of their latencies: a moving mean and
+// variance, to which single long calls are clamped, and a quick mean that replaces them when the latency has changed
+// lastingly, for instance by another plan.
 type Cost struct {
 	mean, variance float64 // of the logarithm of seconds
-	weight         float64 // of what is in them, at most samplesMost
+	weight         float64 // number of calls in them, at most maxWeight
 	quick          float64
-	off            int8 // calls in a row on one side beyond offBy
+	off            int8 // outliers in a row, negative below the mean
 	calls          uint32
 }
 
-// Add takes in one call, that ran beside so many others of ours at its database.
+// Add takes in one call that ran beside a number of other requests of this pooler at its database.
 func (c *Cost) Add(took time.Duration, others int) {
 	if took <= 0 {
 		return
 	}
-	x := math.Log(took.Seconds())
+	logarithm := math.Log(took.Seconds())
 	c.calls++
 	if c.weight == 0 {
-		c.mean, c.quick, c.variance, c.weight = x, x, 0.25, 1
+		c.mean, c.quick, c.variance, c.weight = logarithm, logarithm, firstVariance, 1
 		return
 	}
-	width := math.Sqrt(max(c.variance, widthLeast*widthLeast))
-	switch away := (x - c.mean) / width; {
-	case away > offBy:
+	width := math.Sqrt(max(c.variance, minDeviation*minDeviation))
+	switch away := (logarithm - c.mean) / width; {
+	case away > outlierDeviations:
 		c.off = max(c.off, 0) + 1
-	case away < -offBy:
+	case away < -outlierDeviations:
 		c.off = min(c.off, 0) - 1
 	default:
 		c.off = 0
 	}
-	c.quick += recent * (x - c.quick)
-	if c.calls > confident && (c.off >= steps || c.off <= -steps) { // it is another statement now, for all we know
-		c.mean, c.variance, c.weight, c.off = c.quick, 0.25, 4, 0
+	c.quick += quickMeanWeight * (logarithm - c.quick)
+	if c.calls > minCalls && (c.off >= changeSteps || c.off <= -changeSteps) { // the latency has changed lastingly
+		c.mean, c.variance, c.weight, c.off = c.quick, firstVariance, restartWeight, 0
 		return
 	}
-	part := 1 / (1 + float64(others)/crowdHalf)
-	c.weight = min(samplesMost, c.weight+part)
-	x = min(max(x, c.mean-clampBy*width), c.mean+clampBy*width)
+	part := 1 / (1 + float64(others)/othersForHalfWeight)
+	c.weight = min(maxWeight, c.weight+part)
+	logarithm = min(max(logarithm, c.mean-maxDeviations*width), c.mean+maxDeviations*width)
 	share := part / c.weight
-	d := x - c.mean
-	c.mean += share * d
-	c.variance += share * (d*d*(1-share) - c.variance)
+	away := logarithm - c.mean
+	c.mean += share * away
+	c.variance += share * (away*away*(1-share) - c.variance)
 }
 
-// MarshalJSON tells the estimate in milliseconds.
+// MarshalJSON encodes the estimate in milliseconds.
 func (c Cost) MarshalJSON() ([]byte, error) {
 	typical, low, high, known := c.Estimate()
 	ms := func(d time.Duration) float64 { return math.Round(d.Seconds()*1e6) / 1e3 }
@@ -74,19 +77,19 @@
 	}{known, ms(typical), ms(low), ms(high)})
 }
 
-// MarshalText names the kind.
+// MarshalText encodes the kind as its name.
 func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// MarshalText names the reason.
+// MarshalText encodes the reason in words.
 func (w Why) MarshalText() ([]byte, error) { return []byte(w.String()), nil }
 
-// Estimate returns what a call is expected to take, and between what times nine in ten of them lie. ok is false if too
-// few have been seen.
+// Estimate returns how long a call is expected to take, and the bounds between which nine in ten calls lie. ok is false
+// after too few calls.
 func (c *Cost) Estimate() (typical, low, high time.Duration, ok bool) {
-	if c.calls < confident {
+	if c.calls < minCalls {
 		return 0, 0, 0, false
 	}
-	wide := ninety * math.Sqrt(max(c.variance, widthLeast*widthLeast)*(1+1/c.weight))
+	wide := quantile90 * math.Sqrt(max(c.variance, minDeviation*minDeviation)*(1+1/c.weight))
 	at := func(x float64) time.Duration { return time.Duration(math.Exp(x) * float64(time.Second)) }
 	return at(c.mean), at(c.mean - wide), at(c.mean + wide), true
 }
--- a/internal/statement/fuzz_test.go
+++ b/internal/statement/fuzz_test.go
@@ -8,8 +8,10 @@
 // FuzzRead feeds any text. Whatever it is: it is read without a panic and twice alike, what is said to be where lies
 // within it, and a write that follows is never lost behind it, as what could hide it cannot be read.
 func FuzzRead(f *testing.F) {
-	for _, s := range []string{"SELECT 1", "SELECT 'a''b' /* /* */ */ -- x\n", "WITH a AS (DELETE FROM t) SELECT", "$a$ $$ $a$", "E'\\''", "U&\"a\" U&'b'",
-		"explain (analyze) select", "f(x).y.z(1)", "1.e+5..2 :: := $1 @-- x", "/*", "'a'\n'b'", "\xff", ";;", "((((", "select a from b c(d)"} {
+	for _, s := range []string{
+		"SELECT 1", "SELECT 'a''b' /* /* */ */ -- x\n", "WITH a AS (DELETE FROM t) SELECT", "$a$ $$ $a$", "E'\\''", "U&\"a\" U&'b'",
+		"explain (analyze) select", "f(x).y.z(1)", "1.e+5..2 :: := $1 @-- x", "/*", "'a'\n'b'", "\xff", ";;", "((((", "select a from b c(d)",
+	} {
 		f.Add(s)
 	}
 	a, b := New(&Rules{}), New(&Rules{})
--- a/internal/statement/lexer.go
+++ b/internal/statement/lexer.go
@@ -1,56 +1,57 @@
 package statement
 
-import (
-	"strings"
-)
+import "strings"
 
-// kind of a token.
-type kind uint8
+// tokenKind is the kind of a token.
+type tokenKind uint8
 
 const (
-	end    kind = iota
-	word        // a key word or a name without quotes
-	quoted      // a name in quotes
-	text        // a string of any sort
+	endToken    tokenKind = iota
+	word                  // a keyword or an unquoted name
+	quoted                // a quoted name
+	stringToken           // a string constant of any form
 	number
-	param // $1
-	sign  // an operator
-	mark  // one of ( ) [ ] , ; . :
-	bad   // what cannot be the start of a token, or has no end
+	parameter     // $1
+	operatorToken // an operator
+	punctuation   // one of ( ) [ ] , ; . :
+	invalidToken  // no token starts like this, or it is not terminated
 )
 
-// token is a piece of a text, from start to end in bytes.
+// token is a part of a text, from start to end as byte offsets.
 type token struct {
-	kind       kind
+	kind       tokenKind
 	start, end int
-	odd        bool // of a string: it reads otherwise where backslashes escape; of a name: it holds Unicode escapes
+	special    bool // string: it would differ if backslashes escaped; name: with Unicode escapes
 }
 
-// lexer cuts a text into tokens by the lexical rules of PostgreSQL with standard_conforming_strings on ("Lexical
-// Structure" in its documentation). It goes over each byte a bounded number of times, and needs no memory.
+// lexer splits a text into tokens by the lexical rules of PostgreSQL with standard_conforming_strings on ("Lexical
+// Structure" in its documentation). It visits each byte a bounded number of times and does not allocate.
 type lexer struct {
-	s       string
-	at      int
-	comment struct{ start, end int } // the last block comment passed
-	opened  int                      // where the last one began, be it whole or not
+	sql          string
+	at           int
+	comment      struct{ start, end int } // the last complete block comment
+	commentStart int                      // start of the last one, complete or not
 }
 
+// peek returns the byte at an offset from the current one, 0 beyond the end.
 func (l *lexer) peek(i int) byte {
-	if l.at+i < len(l.s) {
-		return l.s[l.at+i]
+	if l.at+i < len(l.sql) {
+		return l.sql[l.at+i]
 	}
 	return 0
 }
 
+// Classes of bytes.
 const (
 	space = 1 << iota
-	begins
-	goesOn
+	beginsName
+	continuesName
 	digit
 	operator
 	hexadecimal
 )
 
+// classes holds the classes of each byte.
 var classes = func() (c [256]uint8) {
 	set := func(chars string, class uint8) {
 		for i := range len(chars) {
@@ -58,74 +59,74 @@
 		}
 	}
 	set(" \t\n\r\f\v", space)
-	set("0123456789", digit|goesOn|hexadecimal)
+	set("0123456789", digit|continuesName|hexadecimal)
 	set("abcdefABCDEF", hexadecimal)
 	set("+-*/<>=~!@#%^&|`?", operator)
-	set("_", begins|goesOn)
-	set("$", goesOn)
+	set("_", beginsName|continuesName)
+	set("$", continuesName)
 	for b := 'a'; b <= 'z'; b++ {
-		c[b] |= begins | goesOn
-		c[b-'a'+'A'] |= begins | goesOn
+		c[b] |= beginsName | continuesName
+		c[b-'a'+'A'] |= beginsName | continuesName
 	}
 	for b := 0x80; b <= 0xff; b++ {
-		c[b] |= begins | goesOn
+		c[b] |= beginsName | continuesName
 	}
 	return c
 }()
 
 // next returns the next token. At the end, and behind a bad token, it returns end.
 func (l *lexer) next() token {
-	if !l.skip() {
-		return l.fail(l.opened)
+	if !l.skipBlanks() {
+		return l.fail(l.commentStart)
 	}
 	start := l.at
-	if start >= len(l.s) {
-		return token{kind: end, start: start, end: start}
+	if start >= len(l.sql) {
+		return token{kind: endToken, start: start, end: start}
 	}
-	c := l.s[start]
+	char := l.sql[start]
 	switch {
-	case c == '\'':
-		return l.str(start, 1, false)
-	case c == '"':
-		return l.name(start, 1)
-	case classes[c]&begins != 0:
+	case char == '\'':
+		return l.quotedString(start, 1, false)
+	case char == '"':
+		return l.quotedName(start, 1)
+	case classes[char]&beginsName != 0:
 		return l.word(start)
-	case classes[c]&digit != 0, c == '.' && classes[l.peek(1)]&digit != 0:
+	case classes[char]&digit != 0, char == '.' && classes[l.peek(1)]&digit != 0:
 		return l.number(start)
-	case c == '$':
+	case char == '$':
 		return l.dollar(start)
-	case strings.IndexByte("()[],;.", c) >= 0:
+	case strings.IndexByte("()[],;.", char) >= 0:
 		l.at++
-		return token{kind: mark, start: start, end: l.at}
-	case c == ':':
+		return token{kind: punctuation, start: start, end: l.at}
+	case char == ':':
 		l.at++
 		if l.peek(0) == ':' || l.peek(0) == '=' {
 			l.at++
-			return token{kind: sign, start: start, end: l.at}
+			return token{kind: operatorToken, start: start, end: l.at}
 		}
-		return token{kind: mark, start: start, end: l.at}
-	case classes[c]&operator != 0:
+		return token{kind: punctuation, start: start, end: l.at}
+	case classes[char]&operator != 0:
 		return l.operator(start)
 	}
 	return l.fail(start)
 }
 
-// fail ends the text at what is not to be read.
+// fail returns an invalid token that extends to the end of the text.
 func (l *lexer) fail(start int) token {
-	l.at = len(l.s)
-	return token{kind: bad, start: start, end: len(l.s)}
+	l.at = len(l.sql)
+	return token{kind: invalidToken, start: start, end: len(l.sql)}
 }
 
-// skip passes white space and comments. It returns false at a block comment without end.
-func (l *lexer) skip() bool {
-	for l.at < len(l.s) {
-		switch c := l.s[l.at]; {
+// skipBlanks skips white space and comments. It returns false at an unterminated block comment.
+func (l *lexer) skipBlanks() bool {
+	for l.at < len(l.sql) {
+		switch c := l.sql[l.at]; {
 		case classes[c]&space != 0:
 			l.at++
 		case c == '-' && l.peek(1) == '-':
-			l.line()
+			l.lineComment()
 		case c == '/' && l.peek(1) == '*':
-			if !l.block() {
+			if !l.blockComment() {
 				return false
 			}
 		default:
@@ -135,24 +136,24 @@
 	return true
 }
 
-// line passes a comment up to the end of its line.
-func (l *lexer) line() {
-	for l.at < len(l.s) && l.s[l.at] != '\n' && l.s[l.at] != '\r' {
+// lineComment skips a comment up to the end of its line.
+func (l *lexer) lineComment() {
+	for l.at < len(l.sql) && l.sql[l.at] != '\n' && l.sql[l.at] != '\r' {
 		l.at++
 	}
 }
 
-// block passes a comment that may hold others.
-func (l *lexer) block() bool {
-	l.opened = l.at
+// blockComment skips a block comment, in which others may be nested. It returns false if it is not terminated.
+func (l *lexer) blockComment() bool {
+	l.commentStart = l.at
 	depth := 1
 	for l.at += 2; depth > 0; {
-		i := strings.IndexAny(l.s[l.at:], "*/")
-		if i < 0 || l.at+i+1 >= len(l.s) {
+		i := strings.IndexAny(l.sql[l.at:], "*/")
+		if i < 0 || l.at+i+1 >= len(l.sql) {
 			return false
 		}
 		l.at += i
-		switch two := l.s[l.at : l.at+2]; two {
+		switch two := l.sql[l.at : l.at+2]; two {
 		case "/*":
 			depth++
 			l.at += 2
@@ -163,54 +164,54 @@
 			l.at++
 		}
 	}
-	l.comment.start, l.comment.end = l.opened, l.at
+	l.comment.start, l.comment.end = l.commentStart, l.at
 	return true
 }
 
-// str reads a string whose quote stands behind a prefix. In one with escapes, a backslash takes the next byte's meaning.
-func (l *lexer) str(start, prefix int, escapes bool) token {
-	t := token{kind: text, start: start}
+// quotedString reads a string whose quote follows a prefix. With escapes, a backslash escapes the next byte.
+func (l *lexer) quotedString(start, prefix int, escapes bool) token {
+	token := token{kind: stringToken, start: start}
 	l.at = start + prefix
 	for {
 		i := 0
 		if escapes {
-			i = strings.IndexAny(l.s[l.at:], "'\\")
+			i = strings.IndexAny(l.sql[l.at:], "'\\")
 		} else {
-			i = strings.IndexByte(l.s[l.at:], '\'')
+			i = strings.IndexByte(l.sql[l.at:], '\'')
 		}
 		if i < 0 {
 			return l.fail(start)
 		}
-		if l.at += i; l.s[l.at] == '\\' {
-			l.at = min(l.at+2, len(l.s))
+		if l.at += i; l.sql[l.at] == '\\' {
+			l.at = min(l.at+2, len(l.sql))
 			continue
 		}
-		t.odd = t.odd || !escapes && l.s[l.at-1] == '\\'
+		token.special = token.special || !escapes && l.sql[l.at-1] == '\\'
 		if l.at++; l.peek(0) == '\'' {
 			l.at++
 			continue
 		}
 		if !l.continued() {
-			t.end = l.at
-			return t
+			token.end = l.at
+			return token
 		}
 	}
 }
 
-// continued tells whether a string goes on behind a line's end, as two strings with nothing else between them do, and
-// if so passes its next quote.
+// continued reports whether a string is continued: by another one with only white space and a line's end between
+// them. If so, it skips the next opening quote.
 func (l *lexer) continued() bool {
-	line := false
-	for i := l.at; i < len(l.s); i++ {
-		switch c := l.s[i]; {
+	newline := false
+	for i := l.at; i < len(l.sql); i++ {
+		switch c := l.sql[i]; {
 		case c == '\n' || c == '\r':
-			line = true
+			newline = true
 		case classes[c]&space != 0:
-		case c == '-' && i+1 < len(l.s) && l.s[i+1] == '-':
-			for i+1 < len(l.s) && l.s[i+1] != '\n' && l.s[i+1] != '\r' {
+		case c == '-' && i+1 < len(l.sql) && l.sql[i+1] == '-':
+			for i+1 < len(l.sql) && l.sql[i+1] != '\n' && l.sql[i+1] != '\r' {
 				i++
 			}
-		case c == '\'' && line:
+		case c == '\'' && newline:
 			l.at = i + 1
 			return true
 		default:
@@ -220,11 +221,11 @@
 	return false
 }
 
-// name reads a name in quotes, whose opening one stands behind a prefix.
-func (l *lexer) name(start, prefix int) token {
+// quotedName reads a quoted name whose opening quote follows a prefix.
+func (l *lexer) quotedName(start, prefix int) token {
 	l.at = start + prefix
 	for {
-		i := strings.IndexByte(l.s[l.at:], '"')
+		i := strings.IndexByte(l.sql[l.at:], '"')
 		if i < 0 {
 			return l.fail(start)
 		}
@@ -233,48 +234,48 @@
 		}
 		l.at++
 	}
-	if l.at-start == prefix+1 { // a name is not empty
+	if l.at-start == prefix+1 { // empty names are not allowed
 		return l.fail(start)
 	}
-	return token{kind: quoted, start: start, end: l.at, odd: prefix > 1}
+	return token{kind: quoted, start: start, end: l.at, special: prefix > 1}
 }
 
-// word reads a word, or a string or name that begins with a letter.
+// word reads a word, or a string or quoted name with a letter as its prefix.
 func (l *lexer) word(start int) token {
 	next := l.peek(1)
-	switch l.s[start] {
+	switch l.sql[start] {
 	case 'e', 'E':
 		if next == '\'' {
-			return l.str(start, 2, true)
+			return l.quotedString(start, 2, true)
 		}
 	case 'b', 'B', 'x', 'X', 'n', 'N':
 		if next == '\'' {
-			return l.str(start, 2, false)
+			return l.quotedString(start, 2, false)
 		}
 	case 'u', 'U':
 		if next == '&' && l.peek(2) == '\'' {
-			return l.str(start, 3, false)
+			return l.quotedString(start, 3, false)
 		}
 		if next == '&' && l.peek(2) == '"' {
-			return l.name(start, 3)
+			return l.quotedName(start, 3)
 		}
 	}
-	for l.at < len(l.s) && classes[l.s[l.at]]&goesOn != 0 {
+	for l.at < len(l.sql) && classes[l.sql[l.at]]&continuesName != 0 {
 		l.at++
 	}
 	return token{kind: word, start: start, end: l.at}
 }
 
-// number reads a number. Where it ends matters only so far that what follows is not read otherwise than PostgreSQL does:
-// letters right behind a number are part of no other token there, but an error.
+// number reads a number. Its end need only be so exact that what follows is read as PostgreSQL does: letters directly
+// after a number are an error there, not another token.
 func (l *lexer) number(start int) token {
-	for l.at < len(l.s) {
-		c := l.s[l.at]
+	for l.at < len(l.sql) {
+		c := l.sql[l.at]
 		switch {
-		case classes[c]&goesOn != 0 && c != '$':
+		case classes[c]&continuesName != 0 && c != '$':
 			l.at++
-			if (c == 'e' || c == 'E') && (l.peek(0) == '+' || l.peek(0) == '-') && classes[l.peek(1)]&digit != 0 &&
-				!(l.s[start] == '0' && start+1 < l.at && (l.s[start+1] == 'x' || l.s[start+1] == 'X')) {
+			signed := (c == 'e' || c == 'E') && (l.peek(0) == '+' || l.peek(0) == '-') && classes[l.peek(1)]&digit != 0
+			if signed && !l.hexadecimalAt(start) {
 				l.at++
 			}
 		case c == '.' && l.peek(1) != '.':
@@ -286,40 +287,45 @@
 	return token{kind: number, start: start, end: l.at}
 }
 
-// dollar reads a parameter or a string in dollar quotes.
+// hexadecimalAt reports whether the number that is being read from start on has the prefix of hexadecimal numbers.
+func (l *lexer) hexadecimalAt(start int) bool {
+	return l.sql[start] == '0' && start+1 < l.at && (l.sql[start+1] == 'x' || l.sql[start+1] == 'X')
+}
+
+// dollar reads a parameter or a dollar-quoted string.
 func (l *lexer) dollar(start int) token {
 	i := start + 1
-	if i < len(l.s) && classes[l.s[i]]&digit != 0 {
-		for i < len(l.s) && classes[l.s[i]]&goesOn != 0 && l.s[i] != '$' {
+	if i < len(l.sql) && classes[l.sql[i]]&digit != 0 {
+		for i < len(l.sql) && classes[l.sql[i]]&continuesName != 0 && l.sql[i] != '$' {
 			i++
 		}
 		l.at = i
-		return token{kind: param, start: start, end: i}
+		return token{kind: parameter, start: start, end: i}
 	}
-	if i < len(l.s) && classes[l.s[i]]&begins != 0 {
-		for i < len(l.s) && classes[l.s[i]]&goesOn != 0 && l.s[i] != '$' {
+	if i < len(l.sql) && classes[l.sql[i]]&beginsName != 0 {
+		for i < len(l.sql) && classes[l.sql[i]]&continuesName != 0 && l.sql[i] != '$' {
 			i++
 		}
 	}
-	if i >= len(l.s) || l.s[i] != '$' {
+	if i >= len(l.sql) || l.sql[i] != '$' {
 		return l.fail(start)
 	}
-	tag := l.s[start : i+1]
-	close := strings.Index(l.s[i+1:], tag)
-	if close < 0 {
+	tag := l.sql[start : i+1]
+	closing := strings.Index(l.sql[i+1:], tag)
+	if closing < 0 {
 		return l.fail(start)
 	}
-	l.at = i + 1 + close + len(tag)
-	return token{kind: text, start: start, end: l.at}
+	l.at = i + 1 + closing + len(tag)
+	return token{kind: stringToken, start: start, end: l.at}
 }
 
-// operator reads an operator. One that holds the beginning of a comment ends before it.
+// operator reads an operator. It ends before the beginning of a comment.
 func (l *lexer) operator(start int) token {
-	for l.at < len(l.s) && classes[l.s[l.at]]&operator != 0 {
-		if l.at > start && (l.s[l.at] == '-' && l.peek(1) == '-' || l.s[l.at] == '/' && l.peek(1) == '*') {
+	for l.at < len(l.sql) && classes[l.sql[l.at]]&operator != 0 {
+		if l.at > start && (l.sql[l.at] == '-' && l.peek(1) == '-' || l.sql[l.at] == '/' && l.peek(1) == '*') {
 			break
 		}
 		l.at++
 	}
-	return token{kind: sign, start: start, end: l.at}
+	return token{kind: operatorToken, start: start, end: l.at}
 }
--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -1,18 +1,20 @@
-// Package statement reads SQL far enough to route it: whether a text surely only reads, or may write, lock or change
-// the session; what it names; and its shape, the text without its values.
+// Package statement analyses SQL as far as routing needs it: whether a text certainly only reads, or may write, lock
+// or change the session; which relations and functions it names; and its fingerprint, the text without its values.
 //
-// It knows PostgreSQL's lexical rules whole and of its grammar only what tells a read from the rest. Whoever is not
-// surely a read may write: what cannot be read, what is not known, and every doubt. There is no recursion, the time is
-// linear in the text, and nothing is allocated once an Analyser has warmed up.
+// It implements PostgreSQL's lexical rules completely, and of its grammar only what distinguishes reads. A text that
+// is not certainly a read counts as one that may write: if it is malformed, unknown or ambiguous. There is no
+// recursion, the time is linear in the length of the text, and an Analyser does not allocate once its buffers have
+// grown.
 package statement
 
 import (
 	"unicode/utf8"
 )
 
-// Kind is what a statement is by its first words.
+// Kind is the kind of a statement by its first words.
 type Kind uint8
 
+// The kinds of statements.
 const (
 	Unknown Kind = iota
 	Read
@@ -23,154 +25,172 @@
 	Utility
 )
 
+// String returns the name of the kind.
 func (k Kind) String() string {
 	return [...]string{"unknown", "read", "lock", "write", "define", "control", "utility"}[k]
 }
 
-// Why tells what makes a statement one that may write.
+// Why is the reason why a statement may write.
 type Why uint8
 
+// The reasons why a statement may write.
 const (
 	Surely     Why = iota // it only reads
-	Unreadable            // bad UTF-8, a string without end, too deep, nothing at all
+	Unreadable            // malformed UTF-8, an unterminated string, nested too deeply, or empty
 	ByVerb                // its first word, or one of those after a semicolon
 	ByPart                // something within it inserts, updates, deletes, merges, or creates a table
 	ByLock                // FOR UPDATE or the like
 	ByFunction            // a function that is known to write
-	ByUnknown             // a function that nobody knows
-	ByRelation            // a relation that the operators say writes
+	ByUnknown             // a function that is not known
+	ByRelation            // a relation that writes by the operators' rules
 )
 
+// String returns the reason in words.
 func (w Why) String() string {
-	return [...]string{"only reads", "unreadable", "verb", "part", "lock", "function", "unknown function", "relation"}[w]
+	return [...]string{
+		"only reads", "unreadable", "verb", "part", "lock", "function", "unknown function", "relation",
+	}[w]
 }
 
-// Span is a part of the text, in bytes.
+// Span is a part of the text, as byte offsets.
 type Span struct{ Start, End int }
 
-// NamesMost is how many relations and functions an Info names.
+// NamesMost is the number of relations, and of functions, that an Info can name.
 const NamesMost = 16
 
-// Nesting is how deep brackets may go. PostgreSQL's own bound on its stack is met about there.
+// Nesting bounds the depth of brackets. PostgreSQL reaches its own stack limit at about this depth.
 const Nesting = 1000
 
-// fromDepth is how deep FROM clauses are followed. Further down a column list of an alias is taken for a call.
-const fromDepth = 64
+// maxClauseDepth bounds the depth to which FROM clauses are tracked. Below it a column list of an alias counts as a
+// call.
+const maxClauseDepth = 64
 
-// Info is what a text turned out to be. It holds no pointers: the spans are into the text.
+// Info is the result of analysing a text. It holds no pointers: the spans refer to the text.
 type Info struct {
 	Kind     Kind
 	MayWrite bool
 	Why      Why
-	Where    Span // of what made it so
-	Several  bool // statements in one text
-	Comment  Span // the last block comment that is one, not a part of a string or another comment
-	Tail     bool // nothing but white space and semicolons follows it
+	Where    Span // of what made it one that may write
+	Several  bool // the text holds several statements
+	Comment  Span // the last block comment outside of strings and other comments
+	Tail     bool // only white space and semicolons follow the comment
 
 	Relations, Functions   [NamesMost]Span
-	RelationsN, FunctionsN int // how many there are, also beyond those named
+	RelationsN, FunctionsN int // their number, including those beyond NamesMost
 }
 
-// Rules are what the operators know of their own functions and relations. Names are in lower case, with or without a
-// schema, as "audit.note"; one without matches in every schema.
+// Rules are the operators' rules on their own functions and relations. Names are in lower case, with or without a
+// schema, such as "audit.note"; a name without a schema matches in every schema.
 type Rules struct {
-	Writers, Readers map[string]bool // functions; before the built-in ones
-	Relations        map[string]bool // views and the like that write when read
-	TrustUnknown     bool            // functions in neither list nor the catalogue only read
+	Writers, Readers map[string]bool // functions; they go before the built-in ones
+	Relations        map[string]bool // relations such as views that write when they are read
+	TrustUnknown     bool            // functions that are in neither list nor the catalogue only read
 }
 
-// Analyser reads texts. It is used by one goroutine at a time.
+// Analyser analyses texts. It is used by one goroutine at a time.
 type Analyser struct {
-	rules *Rules
-	shape []byte
-	info  Info
-	scan  scan
+	rules       *Rules
+	fingerprint []byte
+	info        Info
+	scan        scanner
 }
 
-// New returns an analyser with rules, which must not change any more.
-func New(r *Rules) *Analyser { return &Analyser{rules: r} }
+// New returns an analyser with rules, which must not be changed afterwards.
+func New(rules *Rules) *Analyser { return &Analyser{rules: rules} }
 
-// link is a part of a name.
-type link struct {
+// namePart is one part of a name that is qualified by dots.
+type namePart struct {
 	token token
-	name  []byte // folded and cut as PostgreSQL does it; nil if it cannot be told
+	name  []byte // folded and truncated as PostgreSQL does it; nil if it cannot be determined
 }
 
-// scan is the state of one reading.
-type scan struct {
+// explainState is how far the options of an EXPLAIN have been read.
+type explainState uint8
+
+const (
+	notExplained     explainState = iota // the statement does not begin with EXPLAIN
+	explainOptions                       // options may follow
+	explainBrackets                      // in the options' brackets
+	explainStatement                     // the explained statement has begun
+)
+
+// scanner is the state of one analysis.
+type scanner struct {
 	lexer
-	a    *Analyser
-	info *Info
-
-	depth      int
-	from, item uint64 // by depth: in a FROM clause; where an alias may stand in it
-	list       uint64 // by depth: in the list of a WITH
-	first      bool   // the statement has begun
-	verb       string
-	verbAt     int
-	later      bool  // a semicolon came before
-	explain    uint8 // 0: no; 1: options may come; 2: in their brackets; 3: over
-	analyze    bool
-	stdout     bool // of COPY
-	pending    string
-	prev       token
-	prevWord   string // folded, if prev is a word that is no part of a longer name
-	relation   bool   // a relation's name comes next
-
-	chain    [3]link
-	links    int    // of the chain; 0: the last token ended no name
-	before   token  // the token before the chain
-	beforeW  string // its word
-	dotted   bool   // the last token was a dot behind the chain
-	buffers  [3][nameBytes]byte
-	wordBuf  [nameBytes]byte
-	isSelect bool
+	analyser *Analyser
+	info     *Info
+
+	depth                  int
+	inFrom, aliasMayFollow uint64 // bits by depth: in a FROM clause; an alias may follow in it
+	inWithList             uint64 // bits by depth: in the list of a WITH
+	atStart                bool   // the first word of a statement is still to come
+	verb                   string
+	verbAt                 int
+	afterSemicolon         bool         // of an earlier statement
+	explainState           explainState // progress through EXPLAIN and its options
+	analyze                bool
+	toStdout               bool // of COPY
+	pendingWrite           string
+	prev                   token
+	prevWord               string // its keyword, if prev is one
+	relationNext           bool   // the name of a relation comes next
+
+	parts          [3]namePart
+	partCount      int    // 0: the last token is not the end of a name
+	beforeName     token  // the token before the name
+	wordBeforeName string // its keyword, if it is one
+	afterDot       bool   // the last token was a dot after a part of the name
+	partBuffers    [3][maxNameBytes]byte
+	wordBuffer     [maxNameBytes]byte
+	isSelect       bool
 }
 
-// nameBytes is how long a name may be; what is beyond is cut off.
-const nameBytes = 63
+// maxNameBytes is the length to which PostgreSQL truncates names (NAMEDATALEN - 1).
+const maxNameBytes = 63
 
-// Read reads a text.
+// Read analyses a text.
 func (a *Analyser) Read(sql string) Info {
-	a.shape, a.info = a.shape[:0], Info{}
+	a.fingerprint, a.info = a.fingerprint[:0], Info{}
 	info := &a.info
-	a.scan = scan{lexer: lexer{s: sql}, a: a, info: info, first: true}
-	s := &a.scan
+	a.scan = scanner{lexer: lexer{sql: sql}, analyser: a, info: info, atStart: true}
+	scan := &a.scan
 	if !utf8.ValidString(sql) {
-		s.flag(Unreadable, Span{0, 0})
-		a.shape = append(a.shape, "(not UTF-8)"...)
+		scan.mayWrite(Unreadable, Span{0, 0})
+		a.fingerprint = append(a.fingerprint, "(not UTF-8)"...)
 		return *info
 	}
 	for {
-		t := s.next()
-		if t.kind == end {
+		token := scan.next()
+		if token.kind == endToken {
 			break
 		}
-		if t.kind == bad || s.depth > Nesting {
-			s.flag(Unreadable, Span{t.start, t.end})
+		if token.kind == invalidToken || scan.depth > Nesting {
+			scan.mayWrite(Unreadable, Span{token.start, token.end})
 			break
 		}
-		if t.kind == text && t.odd { // where the database lets backslashes escape, it reads on
-			s.flag(Unreadable, Span{t.start, t.end})
+		if token.kind == stringToken && token.special { // with standard_conforming_strings off it would not end here
+			scan.mayWrite(Unreadable, Span{token.start, token.end})
 		}
-		s.token(t)
-		a.shape = shapeOf(a.shape, sql, t, s.prevWord)
+		scan.token(token)
+		a.fingerprint = appendToken(a.fingerprint, sql, token)
 	}
-	s.finish()
+	scan.finish()
 	if info.Kind == Unknown && !info.MayWrite {
-		s.flag(Unreadable, Span{0, len(sql)})
+		scan.mayWrite(Unreadable, Span{0, len(sql)})
 	}
-	if c := s.comment; c.end > 0 {
+	if c := scan.comment; c.end > 0 {
 		info.Comment = Span{c.start, c.end}
 		info.Tail = blank(sql[c.end:])
 	}
-	s.lexer.s, s.info, s.verb, s.prevWord, s.beforeW, s.pending = "", nil, "", "", "", ""
+	// Drop the references to the text.
+	scan.sql, scan.info, scan.verb, scan.prevWord, scan.wordBeforeName, scan.pendingWrite = "", nil, "", "", "", ""
 	return *info
 }
 
-// Fingerprint is the shape of the text that was read last. It is the analyser's, until the next one is read.
-func (a *Analyser) Fingerprint() []byte { return a.shape }
+// Fingerprint returns the fingerprint of the text that was read last. It is valid until the next call of Read.
+func (a *Analyser) Fingerprint() []byte { return a.fingerprint }
 
+// blank reports whether a text holds only white space and semicolons.
 func blank(s string) bool {
 	for i := range len(s) {
 		if classes[s[i]]&space == 0 && s[i] != ';' {
@@ -180,23 +200,24 @@
 	return true
 }
 
-// flag notes that the text may write. The first reason stands.
-func (s *scan) flag(why Why, where Span) {
+// mayWrite notes that the text may write. Only the first reason is kept.
+func (s *scanner) mayWrite(why Why, where Span) {
 	if !s.info.MayWrite {
 		s.info.MayWrite, s.info.Why, s.info.Where = true, why, where
 	}
 }
 
-func bit(depth int) uint64 {
-	if depth >= fromDepth {
+// depthBit returns the bit of a depth in the scanner's sets of depths; none beyond maxClauseDepth.
+func depthBit(depth int) uint64 {
+	if depth >= maxClauseDepth {
 		return 0
 	}
 	return 1 << depth
 }
 
-// fold returns a name as PostgreSQL knows it: letters of ASCII in lower case, cut to 63 bytes.
-func fold(dst *[nameBytes]byte, s string) []byte {
-	n := min(len(s), nameBytes)
+// foldName returns an unquoted name as PostgreSQL folds it: ASCII letters in lower case, truncated to maxNameBytes.
+func foldName(dst *[maxNameBytes]byte, s string) []byte {
+	n := min(len(s), maxNameBytes)
 	for n < len(s) && n > 0 && !utf8.RuneStart(s[n]) {
 		n--
 	}
@@ -210,15 +231,15 @@
 	return dst[:n]
 }
 
-// unquote returns the name in quotes, nil if it cannot be told without more work.
-func unquote(dst *[nameBytes]byte, s string) []byte {
+// unquoteName returns a quoted name without its quotes, truncated to maxNameBytes.
+func unquoteName(dst *[maxNameBytes]byte, s string) []byte {
 	n := 0
 	for i := 1; i < len(s)-1; i++ {
 		if s[i] == '"' {
 			i++
 		}
-		if n == nameBytes {
-			for n > 0 && !utf8.RuneStart(s[i]) { // cut between characters
+		if n == maxNameBytes {
+			for n > 0 && !utf8.RuneStart(s[i]) { // truncate between characters
 				n--
 				if utf8.RuneStart(dst[n]) {
 					break
@@ -232,40 +253,43 @@
 	return dst[:n]
 }
 
-// canonical returns a word from the tables that is equal to these bytes, so that nothing is allocated to keep it.
-func canonical(b []byte) (w string, isReserved bool) {
-	k, known := keywords[string(b)]
-	return k.word, known && k.reserved
+// keywordOf returns the keyword that equals a folded name, or "". The string is that of the table, so that keeping it
+// does not allocate.
+func keywordOf(name []byte) (word string, isReserved bool) {
+	found, known := keywords[string(name)]
+	return found.word, known && found.reserved
 }
 
+// keyword is an entry of the table of keywords.
 type keyword struct {
 	word     string
 	reserved bool
 }
 
+// keywords are the words that the scanner tells apart.
 var keywords = func() map[string]keyword {
-	m := map[string]keyword{}
-	for w := range reserved {
-		m[w] = keyword{w, true}
+	table := map[string]keyword{}
+	for word := range reserved {
+		table[word] = keyword{word, true}
 	}
-	for w := range infix {
-		m[w] = keyword{w, false}
+	for word := range infix {
+		table[word] = keyword{word, false}
 	}
-	for w := range behind {
-		m[w] = keyword{w, false}
+	for word := range wordsAfter {
+		table[word] = keyword{word, false}
 	}
-	for w := range names(`insert update delete merge copy explain prepare execute deallocate call begin start commit
+	for word := range wordSet(`insert update delete merge copy explain prepare execute deallocate call begin start commit
 		rollback abort savepoint release set reset show discard listen notify unlisten lock truncate alter drop revoke
 		comment security reindex cluster vacuum refresh import reassign declare move close checkpoint load verbose
 		stdout program share no key partition as`) {
-		if _, known := m[w]; !known {
-			m[w] = keyword{w, false}
+		if _, known := table[word]; !known {
+			table[word] = keyword{word, false}
 		}
 	}
-	return m
+	return table
 }()
 
-// verbs are the kinds of statements by their first words. What is missing is not known.
+// verbs are the kinds of statements by their first words; others are Unknown.
 var verbs = map[string]Kind{
 	"select": Read, "values": Read, "table": Read, "with": Read, "show": Utility, "copy": Utility,
 	"insert": Write, "update": Write, "delete": Write, "merge": Write, "truncate": Write, "call": Write, "do": Write,
@@ -278,224 +302,231 @@
 	"analyse": Utility, "checkpoint": Utility, "load": Utility,
 }
 
-// readVerbs are those whose statement is a read if nothing within it says otherwise.
-var readVerbs = map[string]bool{"select": true, "values": true, "table": true, "with": true, "show": true, "copy": true}
+// readOnlyVerbs are the first words of statements that are reads if nothing within them says otherwise.
+var readOnlyVerbs = wordSet("select values table with show copy")
 
-// token takes in the next token.
-func (s *scan) token(t token) {
-	var w string
+// token processes the next token.
+func (s *scanner) token(token token) {
+	var keyword string
 	isReserved := false
-	switch t.kind {
+	switch token.kind {
 	case word:
-		name := fold(&s.wordBuf, s.s[t.start:t.end])
-		if !s.dotted {
-			w, isReserved = canonical(name)
+		name := foldName(&s.wordBuffer, s.sql[token.start:token.end])
+		if !s.afterDot {
+			keyword, isReserved = keywordOf(name)
 		}
-		s.named(t, name, isReserved)
+		s.addNamePart(token, name, isReserved)
 	case quoted:
 		var name []byte
-		if !t.odd {
-			name = unquote(&s.wordBuf, s.s[t.start:t.end])
+		if !token.special {
+			name = unquoteName(&s.wordBuffer, s.sql[token.start:token.end])
 		}
-		s.named(t, name, false)
-	case mark:
-		s.mark(t)
+		s.addNamePart(token, name, false)
+	case punctuation:
+		s.trackPunctuation(token)
 	default:
 		s.endName()
 	}
-	s.verbs(t, w)
-	if t.kind == word && w != "" {
-		s.clause(t, w)
+	s.trackVerb(token, keyword)
+	if token.kind == word && keyword != "" {
+		s.trackClause(token, keyword)
 	}
-	s.prev, s.prevWord = t, w
+	s.prev, s.prevWord = token, keyword
 }
 
-// named takes in a name, or a part of one. Behind a dot every word is a name.
-func (s *scan) named(t token, name []byte, isReserved bool) {
-	if !s.dotted {
+// addNamePart processes a name, or a part of one. After a dot every word is a name.
+func (s *scanner) addNamePart(token token, name []byte, isReserved bool) {
+	if !s.afterDot {
 		s.endName()
 		if isReserved {
 			return
 		}
-		s.before, s.beforeW = s.prev, s.prevWord
+		s.beforeName, s.wordBeforeName = s.prev, s.prevWord
 	}
-	s.dotted = false
-	if s.links == len(s.chain) { // catalog.schema.name at the most is looked at; the last parts count
-		s.chain[0], s.chain[1] = s.chain[1], s.chain[2]
-		s.buffers[0], s.buffers[1] = s.buffers[1], s.buffers[2]
+	s.afterDot = false
+	if s.partCount == len(s.parts) { // only the last parts count: catalog.schema.name
+		s.parts[0], s.parts[1] = s.parts[1], s.parts[2]
+		s.partBuffers[0], s.partBuffers[1] = s.partBuffers[1], s.partBuffers[2]
 		for i := range 2 {
-			if s.chain[i].name != nil {
-				s.chain[i].name = s.buffers[i][:len(s.chain[i].name)]
+			if s.parts[i].name != nil {
+				s.parts[i].name = s.partBuffers[i][:len(s.parts[i].name)]
 			}
 		}
-		s.links--
+		s.partCount--
 	}
-	l := link{token: t}
+	part := namePart{token: token}
 	if name != nil {
-		l.name = s.buffers[s.links][:copy(s.buffers[s.links][:], name)]
+		part.name = s.partBuffers[s.partCount][:copy(s.partBuffers[s.partCount][:], name)]
 	}
-	s.chain[s.links] = l
-	s.links++
+	s.parts[s.partCount] = part
+	s.partCount++
 }
 
-// endName is called at a token that is no part of a name: the one before it, if any, is whole.
-func (s *scan) endName() {
-	if s.links > 0 {
-		s.wholeName()
+// endName is called at a token that is no part of a name: a name before it is complete.
+func (s *scanner) endName() {
+	if s.partCount > 0 {
+		s.finishName()
 	}
-	s.links, s.dotted = 0, false
+	s.partCount, s.afterDot = 0, false
 }
 
-// span is where the name that was read last stands.
-func (s *scan) span() Span { return Span{s.chain[0].token.start, s.chain[s.links-1].token.end} }
+// span returns the position of the last name.
+func (s *scanner) span() Span { return Span{s.parts[0].token.start, s.parts[s.partCount-1].token.end} }
 
-// wholeName looks at a name that no bracket follows.
-func (s *scan) wholeName() {
-	last := s.chain[s.links-1]
-	// A column's name may call a function of the row: t.f is f(t). Only the operators can know.
-	if s.links > 1 && last.name != nil && s.a.rules.Writers[string(last.name)] {
-		s.flag(ByFunction, s.span())
+// finishName processes a complete name that no bracket follows.
+func (s *scanner) finishName() {
+	last := s.parts[s.partCount-1]
+	// A column's name may call a function of the row: t.f is f(t). Only the operators' rules can tell.
+	if s.partCount > 1 && last.name != nil && s.analyser.rules.Writers[string(last.name)] {
+		s.mayWrite(ByFunction, s.span())
 	}
-	if w, _ := canonical(last.name); !s.relation || s.links == 1 && last.token.kind == word && infix[w] {
+	keyword, _ := keywordOf(last.name)
+	if !s.relationNext || s.partCount == 1 && last.token.kind == word && infix[keyword] {
 		return
 	}
-	s.relation = false
+	s.relationNext = false
 	if s.info.RelationsN < NamesMost {
 		s.info.Relations[s.info.RelationsN] = s.span()
 	}
 	s.info.RelationsN++
-	if last.name == nil && len(s.a.rules.Relations) > 0 || s.listed(s.a.rules.Relations) {
-		s.flag(ByRelation, s.span())
+	if last.name == nil && len(s.analyser.rules.Relations) > 0 || s.nameIn(s.analyser.rules.Relations) {
+		s.mayWrite(ByRelation, s.span())
 	}
 }
 
-// listed tells whether a list has the name that was read last, with its schema or without.
-func (s *scan) listed(list map[string]bool) bool {
+// nameIn reports whether a list holds the last name, with its schema or without.
+func (s *scanner) nameIn(list map[string]bool) bool {
 	if len(list) == 0 {
 		return false
 	}
-	last := s.chain[s.links-1].name
+	last := s.parts[s.partCount-1].name
 	if last == nil {
 		return false
 	}
 	if list[string(last)] {
 		return true
 	}
-	if s.links < 2 || s.chain[s.links-2].name == nil {
+	if s.partCount < 2 || s.parts[s.partCount-2].name == nil {
 		return false
 	}
-	var b [2*nameBytes + 1]byte
-	whole := append(append(append(b[:0], s.chain[s.links-2].name...), '.'), last...)
-	return list[string(whole)]
+	var buffer [2*maxNameBytes + 1]byte
+	qualified := append(append(append(buffer[:0], s.parts[s.partCount-2].name...), '.'), last...)
+	return list[string(qualified)]
 }
 
-// mark takes in a bracket, a comma, a dot.
-func (s *scan) mark(t token) {
-	switch s.s[t.start] {
+// trackPunctuation processes a bracket, a comma, a dot or a semicolon.
+func (s *scanner) trackPunctuation(token token) {
+	switch s.sql[token.start] {
 	case '.':
-		if s.links > 0 && !s.dotted {
-			s.dotted = true
+		if s.partCount > 0 && !s.afterDot {
+			s.afterDot = true
 			return
 		}
 		s.endName()
 	case '(':
-		if s.links > 0 {
+		if s.partCount > 0 {
 			s.call()
-			s.links, s.dotted = 0, false
+			s.partCount, s.afterDot = 0, false
 		}
 		s.depth++
-		b := bit(s.depth)
-		s.from, s.item, s.list = s.from&^b, s.item&^b, s.list&^b
-		if s.relation { // FROM (a JOIN b): in these brackets it goes on
-			s.from, s.item = s.from|b, s.item|b
+		here := depthBit(s.depth)
+		s.inFrom, s.aliasMayFollow, s.inWithList = s.inFrom&^here, s.aliasMayFollow&^here, s.inWithList&^here
+		if s.relationNext { // FROM (a JOIN b): the clause goes on within the brackets
+			s.inFrom, s.aliasMayFollow = s.inFrom|here, s.aliasMayFollow|here
 		}
 	case ')':
 		s.endName()
 		s.depth = max(0, s.depth-1)
-		s.relation = false
+		s.relationNext = false
 	case ',':
 		s.endName()
-		if s.from&bit(s.depth) != 0 {
-			s.item |= bit(s.depth)
-			s.relation = true
+		if s.inFrom&depthBit(s.depth) != 0 {
+			s.aliasMayFollow |= depthBit(s.depth)
+			s.relationNext = true
 		}
 	case ';':
 		s.endName()
 		s.finish()
-		*s = scan{lexer: s.lexer, a: s.a, info: s.info, first: true, later: true}
+		*s = scanner{lexer: s.lexer, analyser: s.analyser, info: s.info, atStart: true, afterSemicolon: true}
 	default:
 		s.endName()
 	}
 }
 
-// operand tells whether a token can end a value, so that what follows is an operator or an alias.
-func operand(t token, w string) bool {
-	switch t.kind {
-	case quoted, text, number, param:
+// operand reports whether a token can end a value, so that what follows is an operator or an alias.
+func operand(token token, keyword string) bool {
+	switch token.kind {
+	case quoted, stringToken, number, parameter:
 		return true
 	case word:
-		return w == "" || !reserved[w] && !infix[w] && behind[w] == nil && w != "update" && w != "share" ||
-			w == "ordinality" || w == "end" || w == "null" || w == "true" || w == "false"
-	case mark:
-		return true // looked at by the callers: ) and ]
+		switch keyword {
+		case "", "ordinality", "end", "null", "true", "false":
+			return true
+		case "update", "share":
+			return false
+		}
+		return !reserved[keyword] && !infix[keyword] && wordsAfter[keyword] == nil
+	case punctuation:
+		return true // the caller has excluded all but ) and ]
 	}
 	return false
 }
 
-// call looks at a name that a bracket follows.
-func (s *scan) call() {
-	last := s.chain[s.links-1]
-	s.relation = false
-	b := bit(s.depth)
-	opens := s.before.kind == mark && s.s[s.before.start] != ')' && s.s[s.before.start] != ']'
-	behindOperand := !opens && operand(s.before, s.beforeW)
-	if s.links == 1 && last.token.kind == word {
+// call processes a name that a bracket follows.
+func (s *scanner) call() {
+	last := s.parts[s.partCount-1]
+	s.relationNext = false
+	here := depthBit(s.depth)
+	opens := s.beforeName.kind == punctuation && s.sql[s.beforeName.start] != ')' && s.sql[s.beforeName.start] != ']'
+	behindOperand := !opens && operand(s.beforeName, s.wordBeforeName)
+	if s.partCount == 1 && last.token.kind == word {
 		if last.token.start == s.verbAt { // EXPLAIN (options), COPY (query)
 			return
 		}
-		w, _ := canonical(last.name)
-		if infix[w] && behindOperand || w == "join" && joins[s.beforeW] {
+		keyword, _ := keywordOf(last.name)
+		if infix[keyword] && behindOperand || keyword == "join" && joins[s.wordBeforeName] {
 			return
 		}
-		if after, special := behind[w]; special && after[s.beforeW] {
+		if after, special := wordsAfter[keyword]; special && after[s.wordBeforeName] {
 			return
 		}
 	}
 	switch {
-	case s.beforeW == "as": // an alias with its columns, or a type
+	case s.wordBeforeName == "as": // an alias with its columns, or a type
 		return
-	case s.before.kind == sign && s.s[s.before.start:s.before.end] == "::": // a type
+	case s.beforeName.kind == operatorToken && s.sql[s.beforeName.start:s.beforeName.end] == "::": // a type
 		return
-	case s.list&b != 0: // WITH name (columns)
+	case s.inWithList&here != 0: // WITH name (columns)
 		return
-	case s.item&b != 0 && behindOperand && (s.beforeW == "" || s.beforeW == "ordinality"): // an alias without AS, with its columns
+	case s.aliasMayFollow&here != 0 && behindOperand &&
+		(s.wordBeforeName == "" || s.wordBeforeName == "ordinality"): // an alias without AS, with its columns
 		return
 	}
 	if s.info.FunctionsN < NamesMost {
 		s.info.Functions[s.info.FunctionsN] = s.span()
 	}
 	s.info.FunctionsN++
-	switch s.function() {
+	switch s.classifyFunction() {
 	case ByFunction:
-		s.flag(ByFunction, s.span())
+		s.mayWrite(ByFunction, s.span())
 	case ByUnknown:
-		s.flag(ByUnknown, s.span())
+		s.mayWrite(ByUnknown, s.span())
 	}
 }
 
-// function tells what is known of the function that was read last.
-func (s *scan) function() Why {
-	last := s.chain[s.links-1].name
-	if last == nil || s.links > 1 && s.chain[s.links-2].name == nil {
+// classifyFunction returns what is known of the function that the last name names.
+func (s *scanner) classifyFunction() Why {
+	last := s.parts[s.partCount-1].name
+	if last == nil || s.partCount > 1 && s.parts[s.partCount-2].name == nil {
 		return ByUnknown
 	}
-	if s.listed(s.a.rules.Writers) {
+	if s.nameIn(s.analyser.rules.Writers) {
 		return ByFunction
 	}
-	if s.listed(s.a.rules.Readers) {
+	if s.nameIn(s.analyser.rules.Readers) {
 		return Surely
 	}
-	if s.links == 1 || s.links == 2 && string(s.chain[0].name) == "pg_catalog" {
+	if s.partCount == 1 || s.partCount == 2 && string(s.parts[0].name) == "pg_catalog" {
 		if writers[string(last)] {
 			return ByFunction
 		}
@@ -503,153 +534,153 @@
 			return Surely
 		}
 	}
-	if s.a.rules.TrustUnknown {
+	if s.analyser.rules.TrustUnknown {
 		return Surely
 	}
 	return ByUnknown
 }
 
-// verbs follows what the statement is.
-func (s *scan) verbs(t token, w string) {
-	where := Span{t.start, t.end}
-	switch s.pending {
+// trackVerb tracks the first words of statements, and writes within them.
+func (s *scanner) trackVerb(token token, keyword string) {
+	where := Span{token.start, token.end}
+	switch s.pendingWrite {
 	case "update":
-		if t.kind == quoted || t.kind == word && (!reserved[w] || w == "only") {
-			s.flag(ByPart, where)
+		if token.kind == quoted || token.kind == word && (!reserved[keyword] || keyword == "only") {
+			s.mayWrite(ByPart, where)
 		}
 	case "delete":
-		if w == "from" {
-			s.flag(ByPart, where)
+		if keyword == "from" {
+			s.mayWrite(ByPart, where)
 		}
 	case "insert", "merge":
-		if w == "into" {
-			s.flag(ByPart, where)
+		if keyword == "into" {
+			s.mayWrite(ByPart, where)
 		}
 	}
-	s.pending = ""
-	if t.kind == mark && s.s[t.start] == ';' {
+	s.pendingWrite = ""
+	if token.kind == punctuation && s.sql[token.start] == ';' {
 		return
 	}
-	s.info.Several = s.info.Several || s.later
-	if s.explain == 1 || s.explain == 2 {
-		if s.options(t, w) {
+	s.info.Several = s.info.Several || s.afterSemicolon
+	if s.explainState == explainOptions || s.explainState == explainBrackets {
+		if s.explainOption(token, keyword) {
 			return
 		}
-		s.first = true
+		s.atStart = true
 	}
-	if !s.first {
-		switch w {
+	if !s.atStart {
+		switch keyword {
 		case "update":
 			if s.prevWord != "for" && s.prevWord != "key" {
-				s.pending = w
+				s.pendingWrite = keyword
 			}
 		case "delete", "insert", "merge":
-			s.pending = w
+			s.pendingWrite = keyword
 		}
 		return
 	}
-	if t.kind == mark && s.s[t.start] == '(' { // (SELECT ...)
+	if token.kind == punctuation && s.sql[token.start] == '(' { // (SELECT ...)
 		return
 	}
-	s.first, s.verbAt = false, t.start
-	if w == "explain" && s.explain == 0 {
-		s.explain = 1
-		s.kind(Utility)
+	s.atStart, s.verbAt = false, token.start
+	if keyword == "explain" && s.explainState == notExplained {
+		s.explainState = explainOptions
+		s.setKind(Utility)
 		return
 	}
-	s.verb = w
-	kind := verbs[w]
-	s.isSelect = readVerbs[w]
-	if s.explain == 0 {
-		s.kind(kind)
+	s.verb = keyword
+	kind := verbs[keyword]
+	s.isSelect = readOnlyVerbs[keyword]
+	if s.explainState == notExplained {
+		s.setKind(kind)
 	}
-	if s.explain > 0 && !s.analyze { // planned, not run
+	if s.explainState != notExplained && !s.analyze { // planned, not run
 		return
 	}
-	if s.explain > 0 {
-		s.kind(kind)
+	if s.explainState != notExplained {
+		s.setKind(kind)
 	}
-	if !readVerbs[w] {
-		s.flag(ByVerb, where)
+	if !readOnlyVerbs[keyword] {
+		s.mayWrite(ByVerb, where)
 	}
 }
 
-// options passes those of EXPLAIN, and returns false at what it explains.
-func (s *scan) options(t token, w string) bool {
-	if s.explain == 1 {
+// explainOption processes the options of EXPLAIN. It returns false at the first token of the explained statement.
+func (s *scanner) explainOption(token token, keyword string) bool {
+	if s.explainState == explainOptions {
 		switch {
-		case w == "analyze" || w == "analyse":
+		case keyword == "analyze" || keyword == "analyse":
 			s.analyze = true
 			return true
-		case w == "verbose":
+		case keyword == "verbose":
 			return true
-		case t.kind == mark && s.s[t.start] == '(' && s.prevWord == "explain":
-			s.explain = 2
+		case token.kind == punctuation && s.sql[token.start] == '(' && s.prevWord == "explain":
+			s.explainState = explainBrackets
 			return true
 		}
-		s.explain = 3
+		s.explainState = explainStatement
 		return false
 	}
-	if w == "analyze" || w == "analyse" {
+	if keyword == "analyze" || keyword == "analyse" {
 		s.analyze = true
 	}
-	if t.kind == mark && s.s[t.start] == ')' {
-		s.explain = 3
-		s.first = true
+	if token.kind == punctuation && s.sql[token.start] == ')' {
+		s.explainState = explainStatement
+		s.atStart = true
 	}
 	return true
 }
 
-// kind notes the statement's kind: of several, the first one's.
-func (s *scan) kind(k Kind) {
-	if s.info.Kind == Unknown || s.explain > 0 && s.info.Kind == Utility {
-		s.info.Kind = k
+// setKind notes the kind of the statement; the first statement of several decides.
+func (s *scanner) setKind(kind Kind) {
+	if s.info.Kind == Unknown || s.explainState != notExplained && s.info.Kind == Utility {
+		s.info.Kind = kind
 	}
 }
 
-// clause follows the words that tell where in a statement we are, and those that make a read something else.
-func (s *scan) clause(t token, w string) {
-	where := Span{t.start, t.end}
-	b := bit(s.depth)
-	planned := s.explain > 0 && !s.analyze
-	switch w {
+// trackClause tracks the clauses of a statement by their keywords, and the clauses that make a read something else.
+func (s *scanner) trackClause(token token, keyword string) {
+	where := Span{token.start, token.end}
+	here := depthBit(s.depth)
+	planned := s.explainState != notExplained && !s.analyze
+	switch keyword {
 	case "with":
-		if t.start == s.verbAt || s.prev.kind == mark && s.s[s.prev.start] == '(' {
-			s.list |= b
+		if token.start == s.verbAt || s.prev.kind == punctuation && s.sql[s.prev.start] == '(' {
+			s.inWithList |= here
 		}
 	case "select", "values", "insert", "delete", "merge":
-		s.list &^= b
-		s.from, s.item = s.from&^b, s.item&^b
+		s.inWithList &^= here
+		s.inFrom, s.aliasMayFollow = s.inFrom&^here, s.aliasMayFollow&^here
 	case "from":
 		if s.prevWord != "distinct" {
-			s.from, s.item = s.from|b, s.item|b
-			s.relation = true
+			s.inFrom, s.aliasMayFollow = s.inFrom|here, s.aliasMayFollow|here
+			s.relationNext = true
 		}
 		if s.verb == "copy" && s.depth == 0 && !planned {
-			s.flag(ByPart, where)
+			s.mayWrite(ByPart, where)
 		}
 	case "join":
-		s.from, s.item = s.from|b, s.item|b
-		s.relation = true
+		s.inFrom, s.aliasMayFollow = s.inFrom|here, s.aliasMayFollow|here
+		s.relationNext = true
 	case "table":
 		if s.verb == "table" || s.verb == "with" {
-			s.list &^= b
-			s.relation = true
+			s.inWithList &^= here
+			s.relationNext = true
 		}
 	case "on", "using":
-		s.item &^= b
-	case "where", "group", "having", "order", "limit", "offset", "fetch", "union", "intersect", "except", "window", "for",
-		"returning":
-		s.from, s.item, s.list = s.from&^b, s.item&^b, s.list&^b
+		s.aliasMayFollow &^= here
+	case "where", "group", "having", "order", "limit", "offset", "fetch", "union", "intersect", "except", "window",
+		"for", "returning":
+		s.inFrom, s.aliasMayFollow, s.inWithList = s.inFrom&^here, s.aliasMayFollow&^here, s.inWithList&^here
 	case "into":
 		if !planned && s.isSelect {
-			s.flag(ByPart, where)
+			s.mayWrite(ByPart, where)
 		}
 	case "update", "share":
 		if s.prevWord == "for" || s.prevWord == "key" {
 			s.lock(where)
-		} else if w == "update" {
-			s.list, s.from, s.item = s.list&^b, s.from&^b, s.item&^b
+		} else if keyword == "update" {
+			s.inWithList, s.inFrom, s.aliasMayFollow = s.inWithList&^here, s.inFrom&^here, s.aliasMayFollow&^here
 		}
 	case "no", "key":
 		if s.prevWord == "for" {
@@ -657,30 +688,33 @@
 		}
 	case "program":
 		if s.verb == "copy" {
-			s.flag(ByPart, where)
+			s.mayWrite(ByPart, where)
 		}
 	case "stdout":
-		s.stdout = true
+		s.toStdout = true
 	}
-	if w != "from" && w != "join" && w != "only" && w != "lateral" && w != "table" && w != "on" {
-		s.relation = s.relation && !reserved[w]
+	switch keyword {
+	case "from", "join", "only", "lateral", "table", "on":
+	default:
+		s.relationNext = s.relationNext && !reserved[keyword]
 	}
 }
 
-func (s *scan) lock(where Span) {
-	if s.explain > 0 && !s.analyze {
+// lock notes a locking clause.
+func (s *scanner) lock(where Span) {
+	if s.explainState != notExplained && !s.analyze {
 		return
 	}
 	if s.info.Kind == Read {
 		s.info.Kind = Lock
 	}
-	s.flag(ByLock, where)
+	s.mayWrite(ByLock, where)
 }
 
-// finish ends a statement.
-func (s *scan) finish() {
+// finish processes the end of a statement.
+func (s *scanner) finish() {
 	s.endName()
-	if s.verb == "copy" && !s.stdout && (s.explain == 0 || s.analyze) {
-		s.flag(ByVerb, Span{0, 0})
+	if s.verb == "copy" && !s.toStdout && (s.explainState == notExplained || s.analyze) {
+		s.mayWrite(ByVerb, Span{0, 0})
 	}
 }
--- a/internal/statement/statement_test.go
+++ b/internal/statement/statement_test.go
@@ -22,7 +22,7 @@
 	require.Equal(t, why, i.Why, "%s: %s", sql, i.Why)
 }
 
-// Plain reads are known for reads, whatever words stand in their values, names and comments.
+// Plain reads are recognised, whatever words their values, names and comments contain.
 func TestReads(t *testing.T) {
 	for _, sql := range []string{
 		"SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655' /* id=9b1f03aa5c7e2d41,c=basket,d=480,cluster=2 */",
@@ -50,7 +50,7 @@
 	}
 }
 
-// Whatever writes, locks or is not known may write, however it is hidden.
+// Everything that writes, locks or is unknown counts as a possible write, however it is hidden.
 func TestMayWrite(t *testing.T) {
 	for sql, why := range map[string]Why{
 		"INSERT INTO t VALUES (1)": ByVerb, "update t set a = 1": ByVerb, "DELETE FROM t": ByVerb, "MERGE INTO t USING u ON a": ByVerb,
@@ -83,9 +83,9 @@
 	}
 }
 
-// The operators' own lists go before the catalogue, by name and by schema.
+// The operators' rules go before the catalogue, by name and by schema.
 func TestRules(t *testing.T) {
-	r := &Rules{Writers: names("note audit.write lower"), Readers: names("mine app.nextval"), Relations: names("app.live counted")}
+	r := &Rules{Writers: wordSet("note audit.write lower"), Readers: wordSet("mine app.nextval"), Relations: wordSet("app.live counted")}
 	for sql, why := range map[string]Why{
 		"SELECT note(1)": ByFunction, "SELECT x.note(1)": ByFunction, "SELECT audit.write(1)": ByFunction, "SELECT lower('A')": ByFunction,
 		"SELECT write(1)": ByUnknown, "SELECT mine(1), x.mine(2), app.nextval(3)": Surely, "SELECT nextval(3)": ByFunction,
@@ -100,7 +100,7 @@
 	require.True(t, New(&Rules{TrustUnknown: true}).Read("SELECT setval('a', 1)").MayWrite)
 }
 
-// What a statement names is told, and which comment is the last that is one.
+// The names in a statement and its last real comment are found.
 func TestNames(t *testing.T) {
 	sql := "SELECT lower(a), app.f(b) FROM app.t, u JOIN \"V\" ON true /* first */ /* id=1 */ ;"
 	i := New(none).Read(sql)
@@ -118,8 +118,8 @@
 	require.Equal(t, strings.Index(nested, "/*"), New(none).Read(nested).Comment.Start, "the outer one")
 }
 
-// One shape for all values, and for lists of any length; what decides the route shows in it.
-func TestShapes(t *testing.T) {
+// All values, and lists of any length, have one fingerprint; it contains everything that decides the route.
+func TestFingerprints(t *testing.T) {
 	a := New(none)
 	shape := func(sql string) string { a.Read(sql); return string(a.Fingerprint()) }
 	require.Equal(t, "select a, lower(b) from t where c in(?) and d = ?",
@@ -138,8 +138,10 @@
 	deep := "SELECT " + strings.Repeat("(", 999) + "1" + strings.Repeat(")", 999)
 	require.False(t, a.Read(long).MayWrite)
 	require.False(t, a.Read(deep).MayWrite)
-	for _, sql := range []string{long, deep, "SELECT " + strings.Repeat("a", 256<<10), strings.Repeat("/*", 1<<17), strings.Repeat("$a", 1<<17),
-		"SELECT " + strings.Repeat("x.", 1<<16) + "y", strings.Repeat("'a'\n", 1<<16)} {
+	for _, sql := range []string{
+		long, deep, "SELECT " + strings.Repeat("a", 256<<10), strings.Repeat("/*", 1<<17), strings.Repeat("$a", 1<<17),
+		"SELECT " + strings.Repeat("x.", 1<<16) + "y", strings.Repeat("'a'\n", 1<<16),
+	} {
 		a.Read(sql)
 		require.LessOrEqual(t, testing.AllocsPerRun(3, func() { a.Read(sql) }), 0.0)
 	}
