--- a/internal/statement/catalogue.go
+++ b/internal/statement/catalogue.go
@@ -1,7 +1,5 @@
 package statement
 
-import "strings"
-
 // The built-in functions of PostgreSQL (chapter "Functions and Operators" of its documentation). A function in neither
 // list is unknown.
 
@@ -110,52 +108,6 @@
 similarity word_similarity show_trgm levenshtein soundex metaphone dmetaphone difference unaccent crypt_verify
 `)
 
-// reserved are the keywords that can name neither a function nor, without AS, an alias (appendix "SQL Key Words":
-// reserved, and those that cannot be function or type names). A bracket after one does not open a call.
-var reserved = wordSet(`
-all analyse analyze and any array as asc asymmetric both case cast check collate column constraint create
-current_catalog
-current_date current_role current_time current_timestamp current_user default deferrable desc distinct do else end
-except false fetch for foreign from grant group having in initially intersect into lateral leading limit localtime
-localtimestamp not null offset on only or order placing primary references returning select session_user some symmetric
-system_user table then to trailing true union unique user using variadic when where window with
-between bigint bit boolean char character coalesce dec decimal exists extract float greatest grouping inout int integer
-interval json json_array json_arrayagg json_exists json_object json_objectagg json_query json_scalar json_serialize
-json_table json_value least merge_action national nchar none normalize nullif numeric out overlay position precision
-real
-row setof smallint substring time timestamp treat trim values varchar xmlattributes xmlconcat xmlelement xmlexists
-xmlforest xmlnamespaces xmlparse xmlpi xmlroot xmlserialize xmltable
-`)
-
-// infix words may be names of functions; after an operand they are syntax, and a bracket after them does not open a
-// call.
-var infix = wordSet(`
-join like ilike overlaps escape over filter columns is isnull notnull similar collation cross natural inner
-left right full outer tablesample ordinality
-`)
-
-// wordsAfter lists, for a word, those after which it is syntax and a bracket after it does not open a call.
-var wordsAfter = map[string]map[string]bool{
-	"by": wordSet("group order partition"), "materialized": wordSet("as not"),
-	"rollup": wordSet("by"), "cube": wordSet("by"),
-	"sets": wordSet("grouping"), "first": wordSet("fetch"), "next": wordSet("fetch"),
-	"bernoulli": wordSet("tablesample"),
-	"system":    wordSet("tablesample"), "recursive": wordSet("with"), "zone": wordSet("time"),
-	"varying": wordSet("bit char character nchar"),
-}
-
-// joins are the words that JOIN may follow.
-var joins = wordSet("cross natural inner left right full outer")
-
-// wordSet returns the set of the words of a list.
-func wordSet(list string) map[string]bool {
-	m := map[string]bool{}
-	for _, n := range strings.Fields(list) {
-		m[n] = true
-	}
-	return m
-}
-
 // Builtin returns what the catalogue knows of a built-in function: ByFunction if it writes, Surely if it only reads,
 // else ByUnknown.
 func Builtin(name string) Why {
--- a/internal/statement/cost.go
+++ b/internal/statement/cost.go
@@ -77,12 +77,6 @@
 	}{known, ms(typical), ms(low), ms(high)})
 }
 
-// MarshalText encodes the kind as its name.
-func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
-
-// MarshalText encodes the reason in words.
-func (w Why) MarshalText() ([]byte, error) { return []byte(w.String()), nil }
-
 // Estimate returns how long a call is expected to take, and the bounds between which nine in ten calls lie. ok is false
 // after too few calls.
 func (c *Cost) Estimate() (typical, low, high time.Duration, ok bool) {
--- /dev/null
+++ b/internal/statement/keywords.go
@@ -0,0 +1,101 @@
+package statement
+
+import "strings"
+
+// keyword is an entry of the table of keywords.
+type keyword struct {
+	word     string
+	reserved bool
+}
+
+// keywords are the words that the scanner tells apart.
+var keywords = func() map[string]keyword {
+	table := map[string]keyword{}
+	for word := range reserved {
+		table[word] = keyword{word, true}
+	}
+	for word := range infix {
+		table[word] = keyword{word, false}
+	}
+	for word := range wordsAfter {
+		table[word] = keyword{word, false}
+	}
+	for word := range wordSet(`insert update delete merge copy explain prepare execute deallocate call begin start commit
+		rollback abort savepoint release set reset show discard listen notify unlisten lock truncate alter drop revoke
+		comment security reindex cluster vacuum refresh import reassign declare move close checkpoint load verbose
+		stdout program share no key partition as`) {
+		if _, known := table[word]; !known {
+			table[word] = keyword{word, false}
+		}
+	}
+	return table
+}()
+
+// keywordOf returns the keyword that equals a folded name, or "". The string is that of the table, so that keeping it
+// does not allocate.
+func keywordOf(name []byte) (word string, isReserved bool) {
+	found, known := keywords[string(name)]
+	return found.word, known && found.reserved
+}
+
+// verbs are the kinds of statements by their first words; others are Unknown.
+var verbs = map[string]Kind{
+	"select": Read, "values": Read, "table": Read, "with": Read, "show": Utility, "copy": Utility,
+	"insert": Write, "update": Write, "delete": Write, "merge": Write, "truncate": Write, "call": Write, "do": Write,
+	"notify": Write, "lock": Lock, "prepare": Control, "execute": Control, "deallocate": Control, "begin": Control,
+	"start": Control, "commit": Control, "end": Control, "rollback": Control, "abort": Control, "savepoint": Control,
+	"release": Control, "set": Control, "reset": Control, "discard": Control, "listen": Control, "unlisten": Control,
+	"declare": Control, "fetch": Control, "move": Control, "close": Control, "create": Define, "alter": Define,
+	"drop": Define, "grant": Define, "revoke": Define, "comment": Define, "security": Define, "reassign": Define,
+	"refresh": Define, "import": Define, "reindex": Utility, "cluster": Utility, "vacuum": Utility, "analyze": Utility,
+	"analyse": Utility, "checkpoint": Utility, "load": Utility,
+}
+
+// readOnlyVerbs are the first words of statements that are reads if nothing within them says otherwise.
+var readOnlyVerbs = wordSet("select values table with show copy")
+
+// reserved are the keywords that can name neither a function nor, without AS, an alias (appendix "SQL Key Words":
+// reserved, and those that cannot be function or type names). A bracket after one does not open a call.
+var reserved = wordSet(`
+all analyse analyze and any array as asc asymmetric both case cast check collate column constraint create
+current_catalog
+current_date current_role current_time current_timestamp current_user default deferrable desc distinct do else end
+except false fetch for foreign from grant group having in initially intersect into lateral leading limit localtime
+localtimestamp not null offset on only or order placing primary references returning select session_user some symmetric
+system_user table then to trailing true union unique user using variadic when where window with
+between bigint bit boolean char character coalesce dec decimal exists extract float greatest grouping inout int integer
+interval json json_array json_arrayagg json_exists json_object json_objectagg json_query json_scalar json_serialize
+json_table json_value least merge_action national nchar none normalize nullif numeric out overlay position precision
+real
+row setof smallint substring time timestamp treat trim values varchar xmlattributes xmlconcat xmlelement xmlexists
+xmlforest xmlnamespaces xmlparse xmlpi xmlroot xmlserialize xmltable
+`)
+
+// infix words may be names of functions; after an operand they are syntax, and a bracket after them does not open a
+// call.
+var infix = wordSet(`
+join like ilike overlaps escape over filter columns is isnull notnull similar collation cross natural inner
+left right full outer tablesample ordinality
+`)
+
+// wordsAfter lists, for a word, those after which it is syntax and a bracket after it does not open a call.
+var wordsAfter = map[string]map[string]bool{
+	"by": wordSet("group order partition"), "materialized": wordSet("as not"),
+	"rollup": wordSet("by"), "cube": wordSet("by"),
+	"sets": wordSet("grouping"), "first": wordSet("fetch"), "next": wordSet("fetch"),
+	"bernoulli": wordSet("tablesample"),
+	"system":    wordSet("tablesample"), "recursive": wordSet("with"), "zone": wordSet("time"),
+	"varying": wordSet("bit char character nchar"),
+}
+
+// joins are the words that JOIN may follow.
+var joins = wordSet("cross natural inner left right full outer")
+
+// wordSet returns the set of the words of a list.
+func wordSet(list string) map[string]bool {
+	m := map[string]bool{}
+	for _, n := range strings.Fields(list) {
+		m[n] = true
+	}
+	return m
+}
