--- a/internal/statement/keywords.go
+++ b/internal/statement/keywords.go
@@ -8,6 +8,14 @@
 	reserved bool
 }
 
+// otherKeywords are the keywords that are in none of the tables below.
+var otherKeywords = wordSet(`
+insert update delete merge copy explain prepare execute deallocate call begin start commit rollback abort
+savepoint release set reset show discard listen notify unlisten lock truncate alter drop revoke comment security
+reindex cluster vacuum refresh import reassign declare move close checkpoint load verbose stdout program share
+no key partition as
+`)
+
 // keywords are the words that the scanner tells apart.
 var keywords = func() map[string]keyword {
 	table := map[string]keyword{}
@@ -20,10 +28,7 @@
 	for word := range wordsAfter {
 		table[word] = keyword{word, false}
 	}
-	for word := range wordSet(`insert update delete merge copy explain prepare execute deallocate call begin start commit
-		rollback abort savepoint release set reset show discard listen notify unlisten lock truncate alter drop revoke
-		comment security reindex cluster vacuum refresh import reassign declare move close checkpoint load verbose
-		stdout program share no key partition as`) {
+	for word := range otherKeywords {
 		if _, known := table[word]; !known {
 			table[word] = keyword{word, false}
 		}
