--- a/internal/statement/bench_test.go
+++ b/internal/statement/bench_test.go
@@ -73,8 +73,8 @@
 	}
 	out.WriteString("\n## Error of the cost estimate\n\nTwenty shapes of one class, typically 5 to 500 ms, deviation 0.2 of the logarithm, one call in twenty 20 times as long,\n" +
 		"0 to 4 others at the database, each of which adds a tenth; 200 calls a shape. Mean of |estimate / true - 1|.\n\n| estimate | error |\n| --- | --- |\n")
-	shape, class := costErrors()
-	fmt.Fprintf(&out, "| by shape | %.2f |\n| mean of the class | %.2f |\n", shape, class)
+	fingerprint, class := costErrors()
+	fmt.Fprintf(&out, "| by shape | %.2f |\n| mean of the class | %.2f |\n", fingerprint, class)
 	if err := os.WriteFile(path, []byte(out.String()), 0o644); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/statement/cache_test.go
+++ b/internal/statement/cache_test.go
@@ -12,8 +12,8 @@
 
 const floodBytes = 256 << 10
 
-// floodOf asks for a hundred useful shapes 20,000 times, each time with so many of shapes of their own, a tenth of them
-// twice. It returns the share of hits of the useful ones, how many other shapes there were and the most bytes held.
+// floodOf asks for a hundred useful fingerprints 20,000 times, each time with so many of fingerprints of their own, a tenth of them
+// twice. It returns the share of hits of the useful ones, how many other fingerprints there were and the most bytes held.
 func floodOf(flood int) (hits float64, distinct, bytes int) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	c, a := NewFingerprints(floodBytes, 7), New(none)
@@ -44,8 +44,8 @@
 	return hits, distinct, bytes
 }
 
-// costErrors compares the estimate by shape with the mean of the class.
-func costErrors() (shape, class float64) {
+// costErrors compares the estimate by fingerprint with the mean of the class.
+func costErrors() (fingerprint, class float64) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	var costs [20]Cost
 	truth := func(i int) float64 { return 0.005 * math.Pow(100, float64(i)/19) }
@@ -65,13 +65,13 @@
 	}
 	for i := range costs {
 		typical, _, _, _ := costs[i].Estimate()
-		shape += math.Abs(typical.Seconds()/truth(i)-1) / 20
+		fingerprint += math.Abs(typical.Seconds()/truth(i)-1) / 20
 		class += math.Abs(sum/float64(n)/truth(i)-1) / 20
 	}
-	return shape, class
+	return fingerprint, class
 }
 
-// A million shapes that come once or twice, meant to drive the useful hundred out, do not; and the bytes stay bounded.
+// A million fingerprints that come once or twice, meant to drive the useful hundred out, do not; and the bytes stay bounded.
 func TestFlood(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it reads a million texts")
@@ -107,7 +107,7 @@
 	require.Less(t, c.Len(), 250)
 }
 
-// The estimate finds a shape's cost among outliers, tells an interval that nine in ten calls lie in, and follows a plan
+// The estimate finds a fingerprint's cost among outliers, tells an interval that nine in ten calls lie in, and follows a plan
 // that flips within tens of calls.
 func TestCost(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -143,7 +143,7 @@
 			break
 		}
 	}
-	require.Less(t, flip, 40, "calls until a shape that turned expensive shows")
+	require.Less(t, flip, 40, "calls until a fingerprint that turned expensive shows")
 	for range 100 {
 		c.Add(0, 0)
 		c.Add(time.Nanosecond, 1000)
--- a/internal/statement/fuzz_test.go
+++ b/internal/statement/fuzz_test.go
@@ -26,7 +26,7 @@
 			}
 		}
 		if len(a.Fingerprint()) > 2*len(sql)+16 {
-			t.Fatalf("%q: its shape is %d long", sql, len(a.Fingerprint()))
+			t.Fatalf("%q: its fingerprint is %d long", sql, len(a.Fingerprint()))
 		}
 		if info.Why == Unreadable && !info.MayWrite || !utf8.ValidString(sql) && !info.MayWrite {
 			t.Fatalf("%q is not to be read and yet a read", sql)
--- a/internal/statement/statement_test.go
+++ b/internal/statement/statement_test.go
@@ -121,14 +121,14 @@
 // All values, and lists of any length, have one fingerprint; it contains everything that decides the route.
 func TestFingerprints(t *testing.T) {
 	a := New(none)
-	shape := func(sql string) string { a.Read(sql); return string(a.Fingerprint()) }
+	fingerprint := func(sql string) string { a.Read(sql); return string(a.Fingerprint()) }
 	require.Equal(t, "select a, lower(b) from t where c in(?) and d = ?",
-		shape("SELECT a,LOWER( b )\nFROM t WHERE c IN (1, 2,\n'x') /* y */ AND d=$1 -- z"))
-	require.Equal(t, shape("INSERT INTO t VALUES (1, 'a')"), shape("insert into t values (2,'b') , (3,'c'),(4, 'd')"))
-	require.NotEqual(t, shape("SELECT f(1)"), shape("SELECT f(1, 2)"))
-	require.NotEqual(t, shape("SELECT 'it'"), shape("SELECT 'it\\''"))
-	require.NotEqual(t, shape(`SELECT "A"`), shape(`SELECT a`))
-	require.Equal(t, shape("SELECT 'a'"), shape("SELECT $$b$$"))
+		fingerprint("SELECT a,LOWER( b )\nFROM t WHERE c IN (1, 2,\n'x') /* y */ AND d=$1 -- z"))
+	require.Equal(t, fingerprint("INSERT INTO t VALUES (1, 'a')"), fingerprint("insert into t values (2,'b') , (3,'c'),(4, 'd')"))
+	require.NotEqual(t, fingerprint("SELECT f(1)"), fingerprint("SELECT f(1, 2)"))
+	require.NotEqual(t, fingerprint("SELECT 'it'"), fingerprint("SELECT 'it\\''"))
+	require.NotEqual(t, fingerprint(`SELECT "A"`), fingerprint(`SELECT a`))
+	require.Equal(t, fingerprint("SELECT 'a'"), fingerprint("SELECT $$b$$"))
 }
 
 // Long texts take linear time and no memory of their own.
