--- a/internal/statement/cache_test.go
+++ b/internal/statement/cache_test.go
@@ -12,8 +12,9 @@
 
 const floodBytes = 256 << 10
 
-// floodOf asks for a hundred useful fingerprints 20,000 times, each time with so many of fingerprints of their own, a tenth of them
-// twice. It returns the share of hits of the useful ones, how many other fingerprints there were and the most bytes held.
+// floodOf asks for a hundred useful fingerprints 20,000 times, each time with so many of fingerprints of their own, a
+// tenth of them twice. It returns the share of hits of the useful ones, how many other fingerprints there were and
+// the most bytes held.
 func floodOf(flood int) (hits float64, distinct, bytes int) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	c, a := NewFingerprints(floodBytes, 7), New(none)
@@ -71,7 +72,8 @@
 	return fingerprint, class
 }
 
-// A million fingerprints that come once or twice, meant to drive the useful hundred out, do not; and the bytes stay bounded.
+// A million fingerprints that come once or twice, meant to drive the useful hundred out, do not; and the bytes stay
+// bounded.
 func TestFlood(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it reads a million texts")
@@ -107,8 +109,8 @@
 	require.Less(t, c.Len(), 250)
 }
 
-// The estimate finds a fingerprint's cost among outliers, tells an interval that nine in ten calls lie in, and follows a plan
-// that flips within tens of calls.
+// The estimate finds a fingerprint's cost among outliers, tells an interval that nine in ten calls lie in, and
+// follows a plan that flips within tens of calls.
 func TestCost(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var c Cost
