--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -1,338 +1,222 @@
 package admission
 
 import (
-	"slices"
+	"math"
 	"time"
 )
 
-// none is no entry.
-const none int32 = -1
-
-type state uint8
-
-const (
-	nobody   state = iota // the entry is free
-	arriving              // in no queue
-	queued
-	inside
-)
-
-// entry is a request that the door knows of. Entries are numbered, and linked by numbers.
-type entry struct {
-	request       uint64
-	client        uint64
-	state         state
-	promised      bool // it came back when it was told to
-	lane, flow    int32
-	tenant, class int32 // class: none if it is no more
-	band          band
-	cost          float64
-	offered       time.Duration
-	due           time.Duration // it is admitted by then, or refused
-	next, prev    int32         // in its flow by due, or among the kept; of a free one, the next free
-	newer, older  int32         // in its flow by arrival
+// queueKey identifies the databases of a queue: the primary of a group, or its replicas.
+type queueKey struct {
+	group   int
+	primary bool
 }
 
-// take returns a free entry.
-func (d *Controller) take() int32 {
-	if d.free == none {
-		d.entries = append(d.entries, entry{next: none})
-		return int32(len(d.entries) - 1)
-	}
-	at := d.free
-	d.free = d.entries[at].next
-	return at
+// fairQueue holds the requests for the same databases, waiting and in flight.
+type fairQueue struct {
+	number       int32
+	virtualTime  float64     // start tag of the last admitted request
+	subqueues    []*subqueue // by tenant; nil: without requests lately
+	active       []int32     // heap of the tenants that have waiting requests
+	weight       float64     // sum of theirs
+	queued       int
+	inFlight     int
+	backlog      float64 // cost of the waiting requests
+	limiter      limiter
+	classes      []classStat
+	contested    bool    // one client or tenant may delay another
+	longInFlight int     // long ones among those in flight
+	shortOffered float64 // cost of the short requests offered in the window
+	shortLoad    float64 // its moving average, in seconds of work a second
+	sweptAt      time.Duration
+
+	windowStart        time.Duration // start of the measuring window
+	endedCost, ranCost float64       // cost of the requests that ended in it, and of those of them that ran
+	saturated          bool          // its limit has been reached since the limiter last moved
+	endedRate          float64       // cost a second, while saturated
+	ranRate            float64
 }
 
-// drop frees an entry that is in no queue.
-func (d *Controller) drop(at int32) {
-	delete(d.at, d.entries[at].request)
-	d.entries[at] = entry{next: d.free}
-	d.free = at
+// queueFor returns the queue of a group's primary or replicas. Beyond their bound, groups share queues.
+func (c *Controller) queueFor(group int, primary bool) *fairQueue {
+	key := queueKey{group, primary}
+	i, known := c.queueNumbers[key]
+	if !known {
+		if i = len(c.queues); i >= c.settings.Bounds.Lanes {
+			h := hash(uint64(group)*2, 0)
+			if primary {
+				h = hash(uint64(group)*2+1, 0)
+			}
+			return c.queues[h%uint64(len(c.queues))]
+		}
+		c.queueNumbers[key] = i
+		c.queues = append(c.queues, &fairQueue{
+			number:      int32(i),
+			subqueues:   make([]*subqueue, len(c.settings.Tenants)),
+			classes:     make([]classStat, len(c.settings.Classes)),
+			windowStart: c.now,
+			limiter:     newLimiter(&c.settings),
+			contested:   true,
+		})
+	}
+	return c.queues[i]
 }
 
-// flow is the queue of one client, or of those that hash alike, of a tenant at a lane.
-type flow struct {
-	start          float64 // of its next turn in its tenant's virtual time, while it waits
-	finish         float64 // of its last one
-	backlog        float64 // cost of what waits
-	count          int32
-	first, last    int32 // by due
-	oldest, newest int32 // by arrival
-	at             int32 // its place in the heap; none: nothing waits
+// subqueue returns the part of the queue that belongs to a tenant, and creates it if necessary.
+func (q *fairQueue) subqueue(c *Controller, tenant int) *subqueue {
+	sub := q.subqueues[tenant]
+	if sub == nil {
+		sub = &subqueue{
+			heapIndex: none,
+			retries:   [bands]arrivalList{{none, none}, {none, none}},
+			finish:    q.virtualTime,
+			weight:    c.settings.Tenants[tenant].Weight,
+			usedAt:    c.now,
+		}
+		sub.heaps = [bands]flowHeap{{sub, short}, {sub, long}}
+		for i := range sub.flows {
+			sub.flows[i] = flow{first: none, last: none, oldest: none, newest: none, heapIndex: none}
+		}
+		q.subqueues[tenant] = sub
+	}
+	return sub
 }
 
-// charge moves a flow's next turn back. Against one that never gets a turn again, it is bounded.
-func (p *pair) charge(flow int32, cost float64) {
-	f := &p.flows[flow]
-	if f.at == none {
-		f.finish = min(max(f.finish, p.vt)+cost, max(f.finish, p.vt+chargeMost*cost))
-		return
+// nextTenant returns the tenant whose turn it is: one under its floor, else the one with the least start tag.
+func (q *fairQueue) nextTenant(c *Controller) int32 {
+	for i := range c.settings.Tenants {
+		if q.subqueues[i] != nil && q.subqueues[i].heapIndex != none && q.underFloor(c, i) {
+			return int32(i)
+		}
 	}
-	f.start = min(f.start+cost, max(f.start, p.vt+chargeMost*cost))
-	p.fix(flow)
+	return q.active[0]
 }
 
-// list is a queue by arrival.
-type list struct{ first, last int32 }
-
-// pair is a tenant at a lane.
-type pair struct {
-	start, finish float64 // as of a flow, in the lane's virtual time
-	vt            float64 // the virtual time that its flows live in
-	weight        float64
-	backlog       float64
-	queued        int
-	inside        int
-	flows         [bands * (buckets + heavies)]flow
-	active        [bands][]int32 // heaps of the flows that wait
-	heaps         [bands]flowHeap
-	kept          [bands]list // those that came back when told
-	row           int         // how many of them went on in a row
-	at            int32       // its place in the lane's heap; none: nothing waits
-	sketch        sketch
-	used          time.Duration
-	promised      time.Duration // up to here its share of what comes is promised
+// underFloor reports whether a tenant has less than its floors.
+func (q *fairQueue) underFloor(c *Controller, i int) bool {
+	t := &c.settings.Tenants[i]
+	present := float64(q.subqueues[i].inFlight + q.subqueues[i].queued)
+	return t.FloorShare > 0 && present < t.FloorShare*q.limiter.limit() ||
+		t.Floor > 0 && c.tenants[i].floor.refill(t.Floor, c.now) >= 1
 }
 
-// flowOf is the number of a client's flow: its own if it is one of the heaviest, else the one that it hashes to.
-func (p *pair) flowOf(d *Controller, client uint64, cost float64, b band) int32 {
-	p.used = d.now
-	first := int32(b) * (buckets + heavies)
-	if own := p.sketch.add(client, cost); own >= 0 {
-		return first + int32(buckets+own)
+// isLong reports whether requests of a class take so long that, if they used the whole limit, requests of another
+// active class would be late before the first of them has ended.
+func (q *fairQueue) isLong(settings *Settings, now time.Duration, number int) bool {
+	takes := q.classes[number].cost(&settings.Classes[number])
+	for i := range q.classes {
+		stat, class := &q.classes[i], &settings.Classes[i]
+		if i == number || stat.lastOffered <= 0 || now-stat.lastOffered >= classActiveTime {
+			continue
+		}
+		if takes > (class.Aim - stat.expectedLatency(class, settings.Tolerance)).Seconds() {
+			return true
+		}
 	}
-	return first + int32(hash(client, d.seed)%buckets)
+	return false
 }
 
-// band tells how long requests take, as against what others at the lane can wait.
-type band uint8
-
-const (
-	short band = iota
-	long
-	bands
-)
-
-func bandOf(flow int32) band { return band(flow / (buckets + heavies)) }
-
-// enqueue puts an entry at its place.
-func (d *Controller) enqueue(l *lane, p *pair, at int32) {
-	e := &d.entries[at]
-	e.state = queued
-	d.queued++
-	d.tenants[e.tenant].Queued++
-	l.queued++
-	l.backlog += e.cost
-	p.queued++
-	p.backlog += e.cost
-	if p.at == none {
-		p.start = max(l.vt, p.finish)
-		l.push(e.tenant)
-	}
-	if e.promised {
-		k := &p.kept[e.band]
-		e.prev, e.next = k.last, none
-		if k.last == none {
-			k.first = at
-		} else {
-			d.entries[k.last].next = at
-		}
-		k.last = at
-		return
-	}
-	f := &p.flows[e.flow]
-	f.count++
-	f.backlog += e.cost
-	behind := f.last // Most come in the order of their due: from the end it is a step or two.
-	for behind != none && d.entries[behind].due > e.due {
-		behind = d.entries[behind].prev
-	}
-	e.prev = behind
-	if behind == none {
-		e.next, f.first = f.first, at
-	} else {
-		e.next, d.entries[behind].next = d.entries[behind].next, at
-	}
-	if e.next == none {
-		f.last = at
-	} else {
-		d.entries[e.next].prev = at
-	}
-	e.older, e.newer = f.newest, none
-	if f.newest == none {
-		f.oldest = at
-	} else {
-		d.entries[f.newest].newer = at
-	}
-	f.newest = at
-	if f.at == none {
-		f.start = max(p.vt, f.finish)
-		p.push(e.flow)
+// limit is how many requests may be in flight. Without contention between tenants or clients it does not apply: routing
+// sheds load by itself.
+func (q *fairQueue) limit() float64 {
+	if !q.contested {
+		return q.limiter.maximum
 	}
+	return q.limiter.limit()
 }
 
-// unlink takes a queued entry out; its flow and its tenant are charged nothing.
-func (d *Controller) unlink(at int32) {
-	e := &d.entries[at]
-	l := d.lanes[e.lane]
-	p := l.pairs[e.tenant]
-	e.state = arriving
-	d.queued--
-	d.tenants[e.tenant].Queued--
-	l.queued--
-	l.backlog -= e.cost
-	p.queued--
-	p.backlog -= e.cost
-	first, last := &p.kept[e.band].first, &p.kept[e.band].last
-	if !e.promised {
-		f := &p.flows[e.flow]
-		first, last = &f.first, &f.last
-		if e.older == none {
-			f.oldest = e.newer
-		} else {
-			d.entries[e.older].newer = e.newer
-		}
-		if e.newer == none {
-			f.newest = e.older
-		} else {
-			d.entries[e.newer].older = e.older
-		}
-		f.backlog -= e.cost
-		if f.count--; f.count == 0 {
-			f.backlog = 0 // no rest of rounding
-			p.remove(e.flow)
+// updateContention notes whether several tenants are active, or a client has a large share of its tenant's work.
+func (q *fairQueue) updateContention(c *Controller) {
+	tenants := 0
+	q.contested = false
+	for _, sub := range q.subqueues {
+		if sub == nil || c.now-sub.usedAt > contentionWindow && sub.queued == 0 {
+			continue
 		}
-	}
-	if e.prev == none {
-		*first = e.next
-	} else {
-		d.entries[e.prev].next = e.next
-	}
-	if e.next == none {
-		*last = e.prev
-	} else {
-		d.entries[e.next].prev = e.prev
-	}
-	if p.queued == 0 {
-		p.backlog = 0
-		l.remove(p)
-	}
-	if l.queued == 0 {
-		l.backlog = 0
+		tenants++
+		q.contested = q.contested || tenants > 1 || sub.sketch.heaviestShare() > heavyClientShare
 	}
 }
 
-// chargeMost is how many requests ahead of its tenant's present a flow is charged at the most.
-const chargeMost = 8
-
-// keptRow is how many in a row may go on ahead of their tenant's other clients, since they came back when told.
-const keptRow = 3
-
-// next takes the entry out whose turn it is at a tenant, and charges its flow. It returns none if all that waits there
-// is long, and no long ones may go.
-func (d *Controller) next(p *pair, longs bool) int32 {
-	from := short
-	if longs && p.before(long, short) {
-		from = long
+// shortReserve is how many places are reserved for short requests: their mean load and a multiple of its square root
+// (square-root staffing), at most half of the limit.
+func (q *fairQueue) shortReserve() int {
+	if q.shortLoad < minShortLoad {
+		return 0
 	}
-	if k := p.kept[from].first; k != none && (len(p.active[from]) == 0 || p.row < keptRow) {
-		p.row++
-		d.unlink(k)
-		p.charge(d.entries[k].flow, d.entries[k].cost)
-		return k
-	}
-	p.row = 0
-	if len(p.active[from]) == 0 {
-		return none
-	}
-	i := p.active[from][0]
-	f := &p.flows[i]
-	at := f.first
-	p.vt = max(p.vt, f.start)
-	f.finish = f.start + d.entries[at].cost
-	f.start = f.finish
-	d.unlink(at)
-	if f.at != none {
-		p.fix(i)
-	}
-	return at
+	return int(math.Ceil(min(q.limit()/2, q.shortLoad+staffingFactor*math.Sqrt(q.shortLoad))))
 }
 
-// before tells whether the next of one band has its turn before the next of the other.
-func (p *pair) before(a, b band) bool {
-	turn := func(b band) (float64, bool) {
-		if p.kept[b].first != none {
-			return p.vt, true
-		}
-		if len(p.active[b]) == 0 {
-			return 0, false
-		}
-		return p.flows[p.active[b][0]].start, true
+// capacity is how many more requests of a band may be admitted. The reserve of short requests holds also while the
+// limit falls below the number in flight, so that the long ones are reduced first.
+func (q *fairQueue) capacity(b band) int {
+	limit, reserve := int(q.limit()), q.shortReserve()
+	if b == long {
+		return min(limit-q.inFlight, max(1, limit-reserve)-q.longInFlight)
 	}
-	at, waits := turn(a)
-	other, others := turn(b)
-	return waits && (!others || at < other)
+	return max(limit-q.inFlight, reserve-(q.inFlight-q.longInFlight))
 }
 
-// dispatch lets go on what there is room for at a lane.
-func (d *Controller) dispatch(l *lane) {
-	aside := d.aside[:0] // tenants that have nothing that may go on
-	for l.room(short) > 0 && len(l.active) > 0 {
-		tenant := l.first(d)
-		p := l.pairs[tenant]
-		conf := &d.set.Tenants[tenant]
-		least := l.pairs[l.active[0]].start
-		at := none
-		if conf.CeilingShare == 0 || float64(p.inside) < max(1, conf.CeilingShare*l.limiter.limit()) {
-			at = d.next(p, l.room(long) > 0)
-		}
-		if at == none {
-			aside = append(aside, tenant)
-			l.remove(p)
-			continue
-		}
-		l.vt = max(l.vt, min(p.start, least))
-		p.finish = p.start + d.entries[at].cost/p.weight
-		p.start = p.finish
-		if p.at != none {
-			l.fix(p)
-		}
-		d.admit(l, at)
+// throughput is the cost a second that the databases complete. Until the queue has been saturated it is estimated from
+// the limit: each request in flight does a second of work in a second.
+func (q *fairQueue) throughput() float64 {
+	if q.endedRate > 0 {
+		return q.endedRate
 	}
-	for _, tenant := range aside {
-		l.push(tenant)
+	return q.limiter.limit()
+}
+
+// delay is how long it takes until this cost of one flow of a tenant has been admitted, with all other flows taking
+// their turns, and at most the time of the whole backlog.
+func (q *fairQueue) delay(sub *subqueue, cost float64) time.Duration {
+	weight, flows := q.weight, len(sub.active[short])+len(sub.active[long])
+	if sub.heapIndex == none {
+		weight += sub.weight
 	}
-	d.aside = aside
+	own := min(cost*float64(max(flows, 1)), max(sub.backlog, cost))
+	seconds := min(own*weight/sub.weight, max(q.backlog, cost)) / q.throughput()
+	return time.Duration(min(seconds, maxDelaySeconds) * float64(time.Second))
 }
 
-// heaviest is the newest entry of the heaviest flow of the tenant that has the most waiting for its weight.
-func (d *Controller) heaviest() int32 {
-	var worst *pair
-	for _, l := range d.lanes {
-		for _, t := range l.active {
-			if p := l.pairs[t]; worst == nil || p.backlog/p.weight > worst.backlog/worst.weight {
-				worst = p
-			}
-		}
+// expectedWait is how long one more request of this cost would wait in a flow.
+func (q *fairQueue) expectedWait(sub *subqueue, f *flow, cost float64) time.Duration {
+	q.backlog += cost // as if it were queued
+	sub.backlog += cost
+	wait := q.delay(sub, f.backlog+cost)
+	q.backlog -= cost
+	sub.backlog -= cost
+	return wait
+}
+
+// rollWindow ends a window when it is long enough, and updates the rates and the limit.
+func (q *fairQueue) rollWindow(controller *Controller) {
+	q.saturated = q.saturated || q.queued > 0 || float64(q.inFlight) >= q.limiter.limit()-1
+	took := controller.now - q.windowStart
+	if took < minWindow {
+		return
 	}
-	var f *flow
-	for i := range worst.flows {
-		if g := &worst.flows[i]; g.count > 0 && (f == nil || g.backlog > f.backlog) {
-			f = g
-		}
+	q.updateContention(controller)
+	seconds := took.Seconds()
+	updateMean(&q.shortLoad, q.shortOffered/seconds, 1-math.Exp(-seconds/rateTimeConstant.Seconds()))
+	q.shortOffered = 0
+	if q.saturated {
+		weight := 1 - math.Exp(-seconds/rateTimeConstant.Seconds())
+		updateMean(&q.endedRate, q.endedCost/seconds, weight)
+		updateMean(&q.ranRate, q.ranCost/seconds, weight)
+	}
+	q.endedCost, q.ranCost, q.windowStart = 0, 0, controller.now
+	if q.limiter.update(controller.now, q.saturated, q.classes) {
+		q.saturated = false
 	}
-	if f == nil {
-		return max(worst.kept[short].last, worst.kept[long].last)
+	if q.queued > 0 {
+		controller.rejectLate(q)
 	}
-	return f.newest
 }
 
-func sortBy(s []int32, less func(a, b int32) bool) {
-	slices.SortFunc(s, func(a, b int32) int {
-		if less(a, b) {
-			return -1
-		}
-		return 1
-	})
+// updateMean takes a value into a moving average. The first value is taken as it is.
+func updateMean(mean *float64, value, weight float64) {
+	if *mean == 0 {
+		*mean = value
+		return
+	}
+	*mean += weight * (value - *mean)
 }
