--- a/cmd/capercove/command.go
+++ b/cmd/capercove/command.go
@@ -6,13 +6,12 @@
 	"fmt"
 	"io"
 	"os"
-	"runtime/debug"
 	"time"
 
-	"capercove/internal/config"
 	"capercove/internal/config/tables"
 	"capercove/internal/maintenance/agent"
 	"capercove/internal/membership/gossip"
+	"capercove/internal/pooler"
 )
 
 // command runs a sub-command, if there is one: with no argument the program serves. It returns the exit status.
@@ -22,14 +21,14 @@
 	}
 	switch {
 	case args[0] == "version" && len(args) == 1:
-		version, revision, changed := build()
+		version, revision, changed := pooler.Build()
 		fmt.Fprintf(out, "capercove %s, revision %s%s\n", version, revision, changed)
 		return 0, true
 	case args[0] == "check" && len(args) <= 2:
 		if len(args) == 2 {
 			os.Setenv(tables.Variable, args[1])
 		}
-		if err := check(); err != nil {
+		if err := pooler.Check(); err != nil {
 			fmt.Fprintln(out, err)
 			return 1, true
 		}
@@ -55,24 +54,6 @@
 	return 2, true
 }
 
-// build tells which build this is.
-func build() (version, revision, changed string) {
-	version, revision = "devel", "unknown"
-	b, ok := debug.ReadBuildInfo()
-	if !ok {
-		return version, revision, ""
-	}
-	for _, s := range b.Settings {
-		switch {
-		case s.Key == "vcs.revision":
-			revision = s.Value
-		case s.Key == "vcs.modified" && s.Value == "true":
-			changed = ", changed since"
-		}
-	}
-	return b.Main.Version + " " + b.GoVersion, revision, changed
-}
-
 // showFleet prints a pooler's view of the fleet. It returns 0 where the views agree, 1 where they do not, 2 where none is to be had.
 func showFleet(args []string, out io.Writer) (status int, ok bool) {
 	flags := flag.NewFlagSet("fleet", flag.ContinueOnError)
@@ -106,15 +87,3 @@
 	}
 	return 0, true
 }
-
-// check reads the files as a start does, and begins nothing.
-func check() error {
-	if _, err := load(); err != nil {
-		return err
-	}
-	if os.Getenv("GW_CONFIG") == "" {
-		return nil
-	}
-	_, err := config.Load()
-	return err
-}
