--- a/cmd/capercove/command.go
+++ b/cmd/capercove/command.go
@@ -28,7 +28,7 @@
 		if len(args) == 2 {
 			os.Setenv(tables.Variable, args[1])
 		}
-		if err := pooler.Check(); err != nil {
+		if err := pooler.CheckConfiguration(); err != nil {
 			fmt.Fprintln(out, err)
 			return 1, true
 		}
--- a/internal/pooler/build.go
+++ b/internal/pooler/build.go
@@ -1,23 +1,22 @@
 package pooler
 
-import (
-	"runtime/debug"
-)
+import "runtime/debug"
 
-// Build tells which build this is.
+// Build tells which build this is: the module's version with that of Go, the revision of the source, and a note if
+// the source differed from it. Without such a record they are "devel", "unknown" and "".
 func Build() (version, revision, changed string) {
 	version, revision = "devel", "unknown"
-	b, ok := debug.ReadBuildInfo()
+	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return version, revision, ""
 	}
-	for _, s := range b.Settings {
+	for _, setting := range info.Settings {
 		switch {
-		case s.Key == "vcs.revision":
-			revision = s.Value
-		case s.Key == "vcs.modified" && s.Value == "true":
+		case setting.Key == "vcs.revision":
+			revision = setting.Value
+		case setting.Key == "vcs.modified" && setting.Value == "true":
 			changed = ", changed since"
 		}
 	}
-	return b.Main.Version + " " + b.GoVersion, revision, changed
+	return info.Main.Version + " " + info.GoVersion, revision, changed
 }
--- a/internal/pooler/config.go
+++ b/internal/pooler/config.go
@@ -22,57 +22,82 @@
 	"capercove/internal/store"
 )
 
-// file is the operators' file.
-type file struct {
-	Flight     flight.Config    `toml:"flight"`
-	Store      store.Config     `toml:"store"`
-	Pcap       pcap.Config      `toml:"pcap"`
-	Door       admission.Config `toml:"door"`
-	Statements statement.Config `toml:"statements"`
-	Fleet      gossip.Config    `toml:"fleet"`
-	Works      agent.Config     `toml:"works"`
+// hexadecimal is the base in which digests are written.
+const hexadecimal = 16
+
+// operatorsFile is the operators' file: one table for each subsystem, under its name in the file.
+type operatorsFile struct {
+	Flight      flight.Config    `toml:"flight"`
+	Store       store.Config     `toml:"store"`
+	Traffic     pcap.Config      `toml:"pcap"`
+	Admission   admission.Config `toml:"door"`
+	Statements  statement.Config `toml:"statements"`
+	Membership  gossip.Config    `toml:"fleet"`
+	Maintenance agent.Config     `toml:"works"`
 }
 
-// defaults is what an empty file means: all off.
-func defaults() file {
-	return file{Pcap: pcap.Defaults(), Door: admission.Defaults(), Statements: statement.Defaults(), Works: agent.Defaults()}
+// defaultOperatorsFile is what an empty file means: all subsystems are off.
+func defaultOperatorsFile() operatorsFile {
+	return operatorsFile{
+		Traffic:     pcap.Defaults(),
+		Admission:   admission.Defaults(),
+		Statements:  statement.Defaults(),
+		Maintenance: agent.Defaults(),
+	}
 }
 
-// load reads the operators' file over the defaults.
-func load() (own file, err error) {
-	own = defaults()
-	if err := tables.Load(&own); err != nil {
-		return own, err
+// loadOperatorsFile reads the operators' file over the defaults, and checks what concerns more than one table.
+func loadOperatorsFile() (operatorsFile, error) {
+	loaded := defaultOperatorsFile()
+	if err := tables.Load(&loaded); err != nil {
+		return loaded, err
+	}
+	if !loaded.Maintenance.Enabled {
+		return loaded, nil
 	}
-	switch w := own.Works; {
-	case w.Enabled && !own.Fleet.Enabled:
-		return own, errors.New("works.enabled: poolers have to know each other, and [fleet] is off")
-	case w.Enabled && len(own.records()) == 0:
-		return own, errors.New("works.record: empty, and [store] is off or has no api")
+	if !loaded.Membership.Enabled {
+		return loaded, errors.New("works.enabled: poolers have to know each other, and [fleet] is off")
 	}
-	return own, nil
+	if len(loaded.recordAddresses()) == 0 {
+		return loaded, errors.New("works.record: empty, and [store] is off or has no api")
+	}
+	return loaded, nil
 }
 
-// records are the addresses at which the record of works is called, the own first.
-func (f file) records() (apis []string) {
-	if len(f.Works.Record) > 0 {
-		return f.Works.Record
+// recordAddresses are the store's HTTP addresses that hold the record of planned maintenance, the own first.
+func (f operatorsFile) recordAddresses() (addresses []string) {
+	if len(f.Maintenance.Record) > 0 {
+		return f.Maintenance.Record
+	}
+	if !f.Store.Enabled || f.Store.API == "" {
+		return nil
 	}
-	if f.Store.Enabled && f.Store.API != "" {
-		apis = append(apis, f.Store.API)
-		for _, p := range f.Store.Peers {
-			if p.API != f.Store.API {
-				apis = append(apis, p.API)
-			}
+	addresses = append(addresses, f.Store.API)
+	for _, peer := range f.Store.Peers {
+		if peer.API != f.Store.API {
+			addresses = append(addresses, peer.API)
 		}
 	}
-	return apis
+	return addresses
+}
+
+// CheckConfiguration reads the files as a start does, and starts nothing. The platform's file is read only if
+// GW_CONFIG names one.
+func CheckConfiguration() error {
+	if _, err := loadOperatorsFile(); err != nil {
+		return err
+	}
+	if os.Getenv("GW_CONFIG") == "" {
+		return nil
+	}
+	_, err := config.Load()
+	return err
 }
 
-// limitsOf are the limits that a configuration asks for.
-func limitsOf(c config.Config, own file) limits.Limits {
+// limitsOf returns the limits that a configuration asks for.
+func limitsOf(c config.Config, operators operatorsFile) limits.Limits {
 	machine := c.Machine
-	machine.Flight = own.Flight.Listen != ""
+	machine.Flight = operators.Flight.Listen != ""
 	var longest time.Duration
 	for _, class := range c.Settings.Classes {
 		longest = max(longest, class.Deadline)
@@ -80,35 +105,23 @@
 	return limits.For(machine, c.Facts.Connect, c.Facts.Keepalive, longest)
 }
 
-// settings are the core's part of the configuration.
-func settings(c config.Config) core.Settings {
+// coreSettings returns the core's part of the configuration.
+func coreSettings(c config.Config) core.Settings {
 	return core.Settings{Settings: c.Settings, Names: c.Facts.Classes}
 }
 
-// members is a list in the core's form.
-func members(l discovery.List, zones []string) []core.Member {
-	all := make([]core.Member, 0, len(l.Members))
-	for _, e := range l.Members {
-		all = append(all, core.Member{Node: e.Node(zones), Name: e.ID, Addr: e.Addr})
+// members returns an endpoint list in the core's form. Zones are numbered as in the list of zones.
+func members(list discovery.List, zones []string) []core.Member {
+	all := make([]core.Member, 0, len(list.Members))
+	for _, entry := range list.Members {
+		all = append(all, core.Member{Node: entry.Node(zones), Name: entry.ID, Addr: entry.Addr})
 	}
 	return all
 }
 
-// digest tells settings apart.
+// digest returns a hash of the settings, by which poolers tell whether theirs are the same.
 func digest(c config.Config) string {
-	h := fnv.New64a()
-	json.NewEncoder(h).Encode(c.Settings)
-	return strconv.FormatUint(h.Sum64(), 16)
-}
-
-// Check reads the files as a start does, and begins nothing.
-func Check() error {
-	if _, err := load(); err != nil {
-		return err
-	}
-	if os.Getenv("GW_CONFIG") == "" {
-		return nil
-	}
-	_, err := config.Load()
-	return err
+	hash := fnv.New64a()
+	_ = json.NewEncoder(hash).Encode(c.Settings) // a hash takes all, and the settings were JSON
+	return strconv.FormatUint(hash.Sum64(), hexadecimal)
 }
--- a/internal/pooler/counters.go
+++ b/internal/pooler/counters.go
@@ -2,20 +2,36 @@
 
 import (
 	"time"
+
+	"capercove/internal/clock"
+	"capercove/internal/core"
 )
 
-// keep stores this pooler's state, again and again.
-func (p *program) keep(name string) {
-	p.store.Put("state/"+name, map[string]any{"at": time.Now().UTC(), "open": p.core.Open(),
-		"fronts": p.core.Count.Fronts, "members": p.core.Members()})
-	p.core.Wheel.At(p.core.Now()+p.limits.StoreEvery, func() { p.keep(name) })
+// storedState is what the replicated store holds of a running pooler, under "state/" and its name.
+type storedState struct {
+	At      time.Time                           `json:"at"` // UTC
+	Fronts  map[string]map[string]*core.Answers `json:"fronts"`
+	Members []string                            `json:"members"`
+	Open    int                                 `json:"open"` // requests
+}
+
+// storeState stores this pooler's state periodically.
+func (p *Pooler) storeState(name string) {
+	p.store.Put("state/"+name, storedState{
+		At:      clock.Wall().UTC(),
+		Fronts:  p.core.Count.Fronts,
+		Members: p.core.Members(),
+		Open:    p.core.Open(),
+	})
+	p.core.Wheel.At(p.core.Now()+p.limits.StoreEvery, func() { p.storeState(name) })
 }
 
-func (p *program) counters(what string) {
+// logCounters logs the counters of all parts that are on. The fields' names are a contract with readers of the log.
+func (p *Pooler) logCounters(message string) {
 	line := p.log.Info().Interface("core", p.core.Count).Interface("front", p.front.Count).
 		Interface("pool", p.pool.Count).Int64("accepts_failed", p.loop.AcceptsFailed()).Int("open", p.core.Open())
-	if p.beside != nil {
-		line = line.Int("takes", p.beside.Takes())
+	if p.quota != nil {
+		line = line.Int("takes", p.quota.Takes())
 	}
 	if p.flight != nil {
 		line = line.Interface("flight", p.flight.Counts())
@@ -23,11 +39,11 @@
 	if p.store != nil {
 		line = line.Interface("store", p.store.All())
 	}
-	if r := p.intake.Readings(); r != nil {
-		line = line.Interface("statements", r)
+	if readings := p.intake.Readings(); readings != nil {
+		line = line.Interface("statements", readings)
 	}
-	if d := p.core.Admission(); d != nil {
-		line = line.Interface("door", d)
+	if controller := p.core.Admission(); controller != nil {
+		line = line.Interface("door", controller)
 	}
-	line.Msg(what)
+	line.Msg(message)
 }
--- a/internal/pooler/listen.go
+++ b/internal/pooler/listen.go
@@ -1,19 +1,23 @@
 package pooler
 
 import (
+	"context"
 	"net"
 
-	"capercove/internal/limits"
 	"capercove/internal/netretry"
 )
 
-func listenTCP(address string) (net.Listener, error) { return net.Listen("tcp", address) }
+// listenTCP listens on a TCP address.
+func listenTCP(address string) (net.Listener, error) {
+	var config net.ListenConfig
+	return config.Listen(context.Background(), "tcp", address)
+}
 
-// listen listens on an address. What may be over in a moment, as a want of descriptors or an address that another
-// process is about to give up, is waited for a little.
-func listen(l limits.Limits, address string, on func(string) (net.Listener, error)) (listener net.Listener, err error) {
-	err = netretry.Within(l.StartRetry, netretry.BackoffOf(l), netretry.IsMomentary, func() (err error) {
-		listener, err = on(address)
+// listen listens on an address. Errors that may pass in a moment, as a want of descriptors or an address that another
+// process is about to give up, are retried for a bounded time.
+func (p *Pooler) listen(address string, open func(string) (net.Listener, error)) (listener net.Listener, err error) {
+	err = netretry.Within(p.limits.StartRetry, netretry.BackoffOf(p.limits), netretry.IsMomentary, func() (err error) {
+		listener, err = open(address)
 		return err
 	})
 	return listener, err
--- a/internal/pooler/maintenance.go
+++ b/internal/pooler/maintenance.go
@@ -8,20 +8,35 @@
 	"capercove/internal/store"
 )
 
-// work lets the pooler take part in taking machines out.
-func (p *program) work() *agent.Agent {
-	cfg := p.config
-	fresh := time.Second // where no class says how old its data may be
-	for _, class := range cfg.Settings.Classes {
+// longestFreshness is how old data may be where no class says so.
+const longestFreshness = time.Second
+
+// startMaintenance starts the agent that takes machines out of service for planned maintenance. It has to run on the
+// event loop.
+func (p *Pooler) startMaintenance() {
+	fresh := longestFreshness
+	for _, class := range p.config.Settings.Classes {
 		if class.MaxAge > 0 {
 			fresh = min(fresh, class.MaxAge)
 		}
 	}
-	var from net.IP
-	if host, _, err := net.SplitHostPort(p.own.Fleet.Listen); err == nil {
-		from = net.ParseIP(host)
+	var localAddress net.IP
+	if host, _, err := net.SplitHostPort(p.operatorsFile.Membership.Listen); err == nil {
+		localAddress = net.ParseIP(host)
 	}
-	return agent.Start(p.own.Works, agent.Pooler{Name: cfg.Name, Core: p.core, Do: p.loop.Do, Store: p.store,
-		Client: store.NewClient(p.own.records(), p.limits.StoreWait, from), Fleet: p.fleet.State, Incarnation: p.fleet.Incarnation, Joined: p.fleet.Joined,
-		Zones: cfg.Facts.Zones, Fresh: fresh, Clock: p.core.Now, Log: p.log})
+	p.maintenance = agent.Start(p.operatorsFile.Maintenance, agent.Pooler{
+		Name:        p.config.Name,
+		Core:        p.core,
+		Do:          p.loop.Do,
+		Store:       p.store,
+		Client:      store.NewClient(p.operatorsFile.recordAddresses(), p.limits.StoreWait, localAddress),
+		Fleet:       p.membership.State,
+		Incarnation: p.membership.Incarnation,
+		Joined:      p.membership.Joined,
+		Zones:       p.config.Facts.Zones,
+		Fresh:       fresh,
+		Clock:       p.core.Now,
+		Log:         p.log,
+	})
+	p.onEnd(p.maintenance.Stop)
 }
--- a/internal/pooler/membership.go
+++ b/internal/pooler/membership.go
@@ -1,22 +1,42 @@
 package pooler
 
 import (
-	"time"
-
 	"capercove/internal/clock"
 	"capercove/internal/membership/gossip"
 	"capercove/internal/peers"
 )
 
-// join lets the pooler take part in the fleet.
-func (p *program) join() (err error) {
-	cfg, own := p.config, p.own.Fleet
+// versionLength is how many characters of the build's version other poolers are told.
+const versionLength = 12
+
+// startMembership joins the other poolers, if the operators' file lets it, to exchange observations with them.
+func (p *Pooler) startMembership() (err error) {
+	settings := p.operatorsFile.Membership
+	if !settings.Enabled {
+		return nil
+	}
 	p.core.Observe()
 	_, version, _ := Build()
-	self := peers.Self{Version: version[:min(len(version), 12)], Zone: own.Zone, Since: time.Now().UnixMilli(), Listen: cfg.Listen, Management: cfg.Management,
-		Settings: digest(cfg)}
-	p.peers = peers.New(cfg.Name, own.Uses, self, cfg.Settings.Routers, peers.Pooler{Core: p.core, Do: p.loop.Do, Keep: p.pool.Keep,
-		Connections: func() int { return p.front.Clients() + p.pool.Conns() }, Log: p.log})
-	p.fleet, err = gossip.Start(cfg.Name, own, own.Timing(), p.log, clock.Monotonic(), p.peers.Period)
-	return err
+	self := peers.Self{
+		Version:    version[:min(len(version), versionLength)],
+		Zone:       settings.Zone,
+		Since:      p.clock().Milliseconds(),
+		Listen:     p.config.Listen,
+		Management: p.config.Management,
+		Settings:   digest(p.config),
+	}
+	p.peers = peers.New(p.config.Name, settings.Uses, self, p.config.Settings.Routers, peers.Pooler{
+		Core:        p.core,
+		Do:          p.loop.Do,
+		Keep:        p.pool.Keep,
+		Connections: func() int { return p.front.Clients() + p.pool.Conns() },
+		Log:         p.log,
+	})
+	p.membership, err = gossip.Start(p.config.Name, settings, settings.Timing(), p.log, clock.Monotonic(),
+		p.peers.Period)
+	if err != nil {
+		return err
+	}
+	p.onEnd(func() { p.membership.Stop(p.limits.FleetLeave) })
+	return nil
 }
--- a/internal/pooler/operators.go
+++ b/internal/pooler/operators.go
@@ -8,57 +8,66 @@
 	"capercove/internal/statement"
 )
 
-// operator lets the management server at the program.
-type operator struct{ p *program }
+// operatorView is what the management server sees of the pooler. Its methods may be called from any goroutine.
+type operatorView struct{ pooler *Pooler }
 
-func (o operator) Figures() core.Figures { return o.p.core.Figures() }
+// Figures implements management.Pooler.
+func (o operatorView) Figures() core.Figures { return o.pooler.core.Figures() }
 
-func (o operator) Fleet() any {
-	if o.p.fleet == nil {
+// Fleet implements management.Pooler.
+func (o operatorView) Fleet() any {
+	if o.pooler.membership == nil {
 		return nil
 	}
-	s := o.p.fleet.State()
-	s.Use = o.p.peers.Status()
-	return s
+	state := o.pooler.membership.State()
+	state.Use = o.pooler.peers.Status()
+	return state
 }
 
-func (o operator) Works(bears float64) any {
-	found := make(chan *agent.Agent, 1)
-	o.p.loop.Do(func() { found <- o.p.works })
-	if d := <-found; d != nil {
-		return d.Overview(bears)
+// Works implements management.Pooler.
+func (o operatorView) Works(bears float64) any {
+	if maintenance := query(o.pooler, func() *agent.Agent { return o.pooler.maintenance }); maintenance != nil {
+		return maintenance.Overview(bears)
 	}
 	return nil
 }
 
-func (o operator) Statements() *management.Statements {
-	found := make(chan *management.Statements, 1)
-	o.p.loop.Do(func() {
-		r := o.p.intake.Readings()
-		if r == nil {
-			found <- nil
-			return
+// Statements implements management.Pooler.
+func (o operatorView) Statements() *management.Statements {
+	return query(o.pooler, func() *management.Statements {
+		intake, most := o.pooler.intake, o.pooler.limits.ShapesTold
+		readings := intake.Readings()
+		if readings == nil {
+			return nil
+		}
+		return &management.Statements{
+			Readings:       *readings,
+			ByCalls:        intake.Top(statement.ByCalls, most),
+			ByTime:         intake.Top(statement.ByTime, most),
+			ByDisagreement: intake.Top(statement.ByDisagreement, most),
 		}
-		most := o.p.limits.ShapesTold
-		found <- &management.Statements{Readings: *r, ByCalls: o.p.intake.Top(statement.ByCalls, most),
-			ByTime: o.p.intake.Top(statement.ByTime, most), ByDisagreement: o.p.intake.Top(statement.ByDisagreement, most)}
 	})
-	return <-found
 }
 
-func (o operator) BansUnsaved() int { return o.p.bans.Unsaved() }
+// BansUnsaved implements management.Pooler.
+func (o operatorView) BansUnsaved() int { return o.pooler.exclusions.Unsaved() }
 
-func (o operator) Ban(name string, banned bool) (known bool, err error) {
-	found := make(chan bool)
-	o.p.loop.Do(func() { found <- o.p.core.HasMember(discovery.ID(name)) })
-	if !<-found && !o.p.bans.Has(name) {
+// Ban implements management.Pooler.
+func (o operatorView) Ban(name string, banned bool) (known bool, err error) {
+	isMember := query(o.pooler, func() bool { return o.pooler.core.HasMember(discovery.ID(name)) })
+	if !isMember && !o.pooler.exclusions.Has(name) {
 		return false, nil
 	}
-	if err := o.p.bans.Change(name, banned); err != nil {
+	if err := o.pooler.exclusions.Change(name, banned); err != nil {
 		return true, err
 	}
-	holds := make(chan struct{})
-	o.p.loop.Do(func() { close(holds) }) // behind the change
-	<-holds
+	query(o.pooler, func() struct{} { return struct{}{} }) // returns when the event loop has taken in the change
 	return true, nil
 }
+
+// query returns what a function finds on the event loop.
+func query[T any](p *Pooler, read func() T) T {
+	found := make(chan T, 1)
+	p.loop.Do(func() { found <- read() })
+	return <-found
+}
--- /dev/null
+++ b/internal/pooler/parts.go
@@ -0,0 +1,222 @@
+package pooler
+
+import (
+	"fmt"
+	"os"
+	"time"
+
+	"capercove/internal/clock"
+	"capercove/internal/core"
+	"capercove/internal/discovery"
+	"capercove/internal/exclusion"
+	"capercove/internal/flight"
+	"capercove/internal/intake"
+	"capercove/internal/management"
+	"capercove/internal/pcap"
+	"capercove/internal/server"
+	"capercove/internal/store"
+	"capercove/routing"
+)
+
+// startParts starts all that can run before the event loop does. The order matters: each part uses those before it.
+func (p *Pooler) startParts() error {
+	for _, start := range []func() error{
+		p.startCore,
+		p.startAdmission,
+		p.startTrafficWriter,
+		p.startFront,
+		p.startDiscovery,
+		p.startFlight,
+		p.openExclusions,
+		p.startManagement,
+		p.startStore,
+		p.startMembership,
+	} {
+		if err := start(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// startServing starts, on the event loop, what has to be in place before the first request is sent. Signals that were
+// received before are handled from its end on: a reload changes the configuration that the parts are started with.
+func (p *Pooler) startServing(received signals) {
+	if p.operatorsFile.Statements.On() {
+		p.intake.Statements(p.operatorsFile.Statements, p.limits.Shapes, p.config.Seed, p.limits.LogEvery, p.log)
+	}
+	if p.operatorsFile.Maintenance.Enabled { // nothing is sent before it is known which machines are out
+		p.core.Block(p.operatorsFile.Maintenance.InitialBlocks(p.core.Now()))
+		p.startMaintenance()
+	}
+	p.core.LoadKnownMembers(members(p.config.Known, p.config.Facts.Zones))
+	p.exclusions.Refresh()
+	p.loop.Do(p.core.Start) // queued behind the exclusions: they hold before anything is sent
+	go p.exclusions.Watch(p.lifetime, p.limits.Bans)
+	if p.quota != nil {
+		go p.settleQuota()
+	}
+	if p.operatorsFile.Traffic.Read != "" { // after the known members: the replay asks for their groups
+		p.startReplay()
+	}
+	go p.handleSignals(received)
+}
+
+// startCore opens the clients' listener and makes the event loop, the core and the pool of server connections.
+func (p *Pooler) startCore() error {
+	listener, err := server.Listen(p.config.ListenFD, p.config.Listen, p.limits)
+	if err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	p.loop = server.New(p.limits, p.log, listener, nil)
+	p.clock = clock.Monotonic()
+	p.core = core.New(coreSettings(p.config), p.config.Seed, p.limits, p.log, p.clock,
+		func() { p.loop.Do(p.core.Flush) }, p.loop.Accept)
+	p.pool = server.NewPool(p.loop, p.limits, p.log, p.core)
+	p.intake = intake.New(p.core)
+	return nil
+}
+
+// startAdmission puts the admission controller before the core, if it is enabled.
+func (p *Pooler) startAdmission() error {
+	settings := p.operatorsFile.Admission
+	if !settings.Enabled {
+		return nil
+	}
+	rules, err := settings.TenantRules()
+	if err != nil {
+		return err
+	}
+	p.intake.ClassifyTenants(rules, intake.ClientKind(settings.Client))
+	p.core.EnableAdmission(settings, p.config.Seed)
+	return nil
+}
+
+// startTrafficWriter opens the file that clients' traffic is written to, if one is named.
+func (p *Pooler) startTrafficWriter() (err error) {
+	settings := p.operatorsFile.Traffic
+	if settings.Write == "" {
+		return nil
+	}
+	if p.trafficWriter, err = pcap.NewWriter(settings, p.limits, p.log, clock.Monotonic()); err != nil {
+		return fmt.Errorf("pcap: write: %w", err)
+	}
+	p.onEnd(p.trafficWriter.Close)
+	return nil
+}
+
+// startFront makes the PostgreSQL front and gives the event loop its parts.
+func (p *Pooler) startFront() error {
+	var tap server.Tap // a nil *pcap.Writer in it would not be nil
+	if p.trafficWriter != nil {
+		tap = p.trafficWriter
+	}
+	p.front = server.NewFront(p.limits, p.log, p.core, p.intake, p.pool, tap)
+	p.loop.Core, p.loop.Front, p.loop.Pool = p.core, p.front, p.pool
+	return nil
+}
+
+// startDiscovery starts the watch of the endpoint list. It calls nobody before the core subscribes.
+func (p *Pooler) startDiscovery() error {
+	zones := p.config.Facts.Zones
+	updated := func(list discovery.List) {
+		p.loop.Do(func() { p.core.UpdateMembers(members(list, zones), list.Complete) })
+	}
+	failed := func() { p.loop.Do(p.core.ListFailed) }
+	p.discovery = discovery.New(p.lifetime, p.config.Discovery, p.config.Known, p.limits, p.log, updated, failed)
+	return nil
+}
+
+// startFlight starts the Flight SQL front, if it has an address, and attaches all backends to the core.
+func (p *Pooler) startFlight() error {
+	watchers := []core.Watcher{p.pool}
+	settings := p.operatorsFile.Flight
+	if settings.Listen != "" {
+		backend := flight.NewBackend(settings, p.limits, p.log, p.core, p.loop.Do, nil)
+		watchers = append(watchers, backend)
+		front, err := flight.NewFront(p.limits, p.log, p.core, p.intake, p.loop.Do, backend)
+		if err != nil {
+			return err
+		}
+		listener, err := p.listen(settings.Listen, flight.Listen)
+		if err != nil {
+			return fmt.Errorf("flight.listen: %w", err)
+		}
+		p.flight = front
+		go func() {
+			if err := front.Serve(listener); err != nil {
+				p.log.Error().Err(err).Msg("flight: serve")
+			}
+		}()
+	}
+	p.core.Attach(p.discovery, p.pool, watchers...)
+	return nil
+}
+
+// openExclusions opens the file of the endpoints that operators exclude.
+func (p *Pooler) openExclusions() error {
+	p.exclusions = exclusion.Open(exclusion.Config{
+		Dir:    os.TempDir(),
+		Pooler: p.config.Name,
+		Files:  exclusion.System{},
+		Now:    p.clock,
+		Stamp:  clock.Now,
+		Wall:   clock.Wall,
+		Limits: p.limits,
+		Log:    p.log,
+		Changed: func(set exclusion.Set) {
+			excluded := map[routing.NodeID]time.Duration{}
+			for name, since := range set {
+				excluded[discovery.ID(name)] = since
+			}
+			p.loop.Do(func() { p.core.Exclude(excluded) })
+		},
+	})
+	return nil
+}
+
+// startManagement starts the operators' HTTP server, if it has an address. It answers until the process ends.
+func (p *Pooler) startManagement() error {
+	if p.config.Management == "" {
+		return nil
+	}
+	listener, err := p.listen(p.config.Management, listenTCP)
+	if err != nil {
+		return fmt.Errorf("management: %w", err)
+	}
+	go func() {
+		err := management.New(p.limits, p.log, operatorView{p}).Serve(listener)
+		p.log.Error().Err(err).Msg("management: serve")
+	}()
+	return nil
+}
+
+// startStore opens the replicated store, if it is enabled, and keeps this pooler's state in it.
+func (p *Pooler) startStore() (err error) {
+	if !p.operatorsFile.Store.Enabled {
+		return nil
+	}
+	if p.store, err = store.Open(p.operatorsFile.Store, p.config.Name, p.limits, p.log); err != nil {
+		return err
+	}
+	p.onEnd(p.store.Close)
+	name := p.config.Name
+	p.store.Put("config/"+name, p.config.Public())
+	go p.loop.Do(func() { p.storeState(name) })
+	return nil
+}
+
+// startReplay sends the requests of a capture file again.
+func (p *Pooler) startReplay() {
+	replay := &pcap.Replay{
+		Config:  p.operatorsFile.Traffic,
+		Limits:  p.limits,
+		Log:     p.log,
+		Core:    p.core,
+		Intake:  p.intake,
+		Backend: p.pool,
+		Do:      p.loop.Do,
+		Stop:    p.stopping,
+	}
+	go replay.Run()
+}
--- a/internal/pooler/quota.go
+++ b/internal/pooler/quota.go
@@ -1,7 +1,7 @@
 package pooler
 
 import (
-	"context"
+	"errors"
 	"os"
 	"time"
 
@@ -11,52 +11,58 @@
 	"capercove/internal/fdshare"
 )
 
-// besides gives a process its place among others of its pooler.
-func besides(c config.Config, log zerolog.Logger) *fdshare.Beside {
-	b, err := fdshare.Join(os.TempDir(), c.Name, c.Machine.Sockets)
+// joinQuota lets this process share the pooler's descriptors with the other processes of an upgrade. It returns nil,
+// and logs why, if that cannot be.
+func joinQuota(c config.Config, log zerolog.Logger) *fdshare.Beside {
+	quota, err := fdshare.Join(os.TempDir(), c.Name, c.Machine.Sockets)
 	if err != nil {
-		log.Error().Err(err).Msg("share: cannot be settled; half of the descriptors are used")
+		log.Error().Err(err).Msg("descriptor quota: cannot be settled; half of the descriptors are used")
 	}
-	return b
+	return quota
 }
 
-// descriptors is how many this process has open.
-func descriptors() int {
-	entries, _ := os.ReadDir("/proc/self/fd")
+// openDescriptors is how many descriptors this process has open.
+func openDescriptors() int {
+	entries, _ := os.ReadDir("/proc/self/fd") // what was read counts, also where the rest could not be
 	return len(entries)
 }
 
-// settle settles again and again what this process may have open beside others. It begins before clients are let in.
-func (p *program) settle(ctx context.Context) {
+// settleQuota settles periodically how many descriptors this process may have open while others of its pooler run.
+// It starts before clients are accepted, and ends with the pooler's lifetime.
+func (p *Pooler) settleQuota() {
 	tick := time.NewTicker(p.limits.Share)
 	defer tick.Stop()
-	failed, leaving := "", false
-	for ctx.Err() == nil {
-		err := p.beside.Settle(leaving, descriptors, func(room int) {
-			done := make(chan struct{})
-			p.loop.Do(func() {
-				defer close(done)
-				room = max(0, room-p.limits.Accepting) / 2 // Against a client and a database that both take the last one.
-				p.front.Limit(p.limits, room)
-				p.pool.Limit(p.limits, room)
-			})
-			select {
-			case <-done:
-			case <-ctx.Done():
-			}
-		})
-		if err != nil && err != fdshare.ErrBusy && err.Error() != failed {
-			failed = err.Error()
-			p.log.Error().Err(err).Int("takes", p.beside.Takes()).Msg("share: cannot be settled; the part is kept")
+	lastError, leaving := "", false
+	for p.lifetime.Err() == nil {
+		err := p.quota.Settle(leaving, openDescriptors, p.limitConnections)
+		if err != nil && !errors.Is(err, fdshare.ErrBusy) && err.Error() != lastError {
+			lastError = err.Error()
+			p.log.Error().Err(err).Int("takes", p.quota.Takes()).
+				Msg("descriptor quota: cannot be settled; the last one is kept")
 		}
 		select {
 		case <-tick.C:
-		case <-ctx.Done():
+		case <-p.lifetime.Done():
 		}
 		select {
-		case <-p.stops:
+		case <-p.stopping:
 			leaving = true
 		default:
 		}
 	}
 }
+
+// limitConnections lets no more than so many further descriptors be opened. It returns when that holds.
+func (p *Pooler) limitConnections(capacity int) {
+	done := make(chan struct{})
+	p.loop.Do(func() {
+		defer close(done)
+		half := max(0, capacity-p.limits.Accepting) / 2 // a client and a server connection may both take the last one
+		p.front.Limit(p.limits, half)
+		p.pool.Limit(p.limits, half)
+	})
+	select {
+	case <-done:
+	case <-p.lifetime.Done():
+	}
+}
--- a/internal/pooler/reload.go
+++ b/internal/pooler/reload.go
@@ -1,58 +1,76 @@
 package pooler
 
 import (
+	"maps"
 	"reflect"
 	"slices"
 
+	"capercove/internal/config"
 	"capercove/internal/intake"
 	"capercove/internal/tenant"
 )
 
-// reload takes in the configuration as it is now, without touching a request or a connection. A bad one changes
-// nothing. Discovery's address and the settings are followed; what else has changed counts from the next start on.
-func (p *program) reload() {
-	c, err := p.config.Reload()
-	var own file
-	if err == nil {
-		own, err = load()
-	}
-	var rules *tenant.Rules
-	if err == nil {
-		rules, err = own.Door.TenantRules()
-	}
+// reload applies the configuration as it is now, without touching a request or a connection. A wrong one changes
+// nothing. The address of discovery and the settings are followed; all other changes take effect at the next start.
+func (p *Pooler) reload() {
+	loaded, operators, rules, err := p.loadAgain()
 	if err != nil {
 		p.loop.Do(p.core.ReloadRejected)
 		p.log.Error().Err(err).Msg("reload: the configuration is kept")
 		return
 	}
-	for key, changed := range map[string]bool{"name": c.Name != p.config.Name, "listen": c.Listen != p.config.Listen,
-		"limits": c.Machine != p.config.Machine, "management": c.Management != p.config.Management,
-		"settings.zones": !slices.Equal(c.Facts.Zones, p.config.Facts.Zones),
-		"flight":         !reflect.DeepEqual(own.Flight, p.own.Flight), "store": !reflect.DeepEqual(own.Store, p.own.Store),
-		"fleet": !reflect.DeepEqual(own.Fleet, p.own.Fleet), "works": !reflect.DeepEqual(own.Works, p.own.Works),
-		"pcap": own.Pcap != p.own.Pcap, "door.enabled": own.Door.Enabled != p.own.Door.Enabled} {
-		if changed {
-			p.log.Warn().Str("key", key).Msg("reload: changed, but counts only from the next start on")
-		}
+	for _, key := range p.needRestart(loaded, operators) {
+		p.log.Warn().Str("key", key).Msg("reload: changed, but counts only from the next start on")
 	}
-	p.log.Info().Str("discovery", c.Discovery).Msg("reloaded")
+	p.log.Info().Str("discovery", loaded.Discovery).Msg("reloaded")
 	if p.peers != nil {
-		p.peers.Configured(digest(c), c.Settings.Routers)
+		p.peers.Configured(digest(loaded), loaded.Settings.Routers)
 	}
-	p.config = c
-	fair := p.own.Door.Enabled
-	p.own.Door = own.Door
-	p.own.Door.Enabled = fair
-	l := limitsOf(c, p.own)
+	p.config = loaded
+	admissionOn := p.operatorsFile.Admission.Enabled
+	p.operatorsFile.Admission = operators.Admission
+	p.operatorsFile.Admission.Enabled = admissionOn
+	bounds := limitsOf(loaded, p.operatorsFile)
 	p.loop.Do(func() {
-		p.core.Reconfigure(settings(c))
-		p.intake.Statements(own.Statements, l.Shapes, c.Seed, l.LogEvery, p.log)
-		if fair {
-			p.intake.ClassifyTenants(rules, intake.ClientKind(own.Door.Client))
-			p.core.ReconfigureAdmission(own.Door)
+		p.core.Reconfigure(coreSettings(loaded))
+		p.intake.Statements(operators.Statements, bounds.Shapes, loaded.Seed, bounds.LogEvery, p.log)
+		if admissionOn {
+			p.intake.ClassifyTenants(rules, intake.ClientKind(operators.Admission.Client))
+			p.core.ReconfigureAdmission(operators.Admission)
 		}
-		p.limits.Linger, p.limits.Stop = l.Linger, l.Stop
-		p.pool.Retune(l)
+		p.limits.Linger, p.limits.Stop = bounds.Linger, bounds.Stop
+		p.pool.Retune(bounds)
 	})
-	p.watch.Move(c.Discovery)
+	p.discovery.Move(loaded.Discovery)
+}
+
+// loadAgain reads both files and the tenants' rules of the second.
+func (p *Pooler) loadAgain() (loaded config.Config, operators operatorsFile, rules *tenant.Rules, err error) {
+	if loaded, err = p.config.Reload(); err != nil {
+		return loaded, operators, nil, err
+	}
+	if operators, err = loadOperatorsFile(); err != nil {
+		return loaded, operators, nil, err
+	}
+	rules, err = operators.Admission.TenantRules()
+	return loaded, operators, rules, err
+}
+
+// needRestart lists, sorted, the keys and tables that differ from the running ones and are not followed by a reload.
+func (p *Pooler) needRestart(loaded config.Config, operators operatorsFile) []string {
+	differs := map[string]bool{
+		"name":           loaded.Name != p.config.Name,
+		"listen":         loaded.Listen != p.config.Listen,
+		"limits":         loaded.Machine != p.config.Machine,
+		"management":     loaded.Management != p.config.Management,
+		"settings.zones": !slices.Equal(loaded.Facts.Zones, p.config.Facts.Zones),
+		"flight":         !reflect.DeepEqual(operators.Flight, p.operatorsFile.Flight),
+		"store":          !reflect.DeepEqual(operators.Store, p.operatorsFile.Store),
+		"fleet":          !reflect.DeepEqual(operators.Membership, p.operatorsFile.Membership),
+		"works":          !reflect.DeepEqual(operators.Maintenance, p.operatorsFile.Maintenance),
+		"pcap":           operators.Traffic != p.operatorsFile.Traffic,
+		"door.enabled":   operators.Admission.Enabled != p.operatorsFile.Admission.Enabled,
+	}
+	maps.DeleteFunc(differs, func(_ string, changed bool) bool { return !changed })
+	return slices.Sorted(maps.Keys(differs))
 }
--- a/internal/pooler/shutdown.go
+++ b/internal/pooler/shutdown.go
@@ -1,49 +1,92 @@
 package pooler
 
-import ()
-
-// stop ends the program. For a while it serves as ever: in a rolling restart the one before may not be back yet, and
-// clients sent away would find nobody. Then it finishes what was taken and closes each client between requests. When all is
-// answered, or the time is nearly up, it takes nothing more, fails what is open, and waits for the clients to read their answers, and
-// for the operators' bans to be on disk or left for the next process. The
-// times are those of the moment in which it was told to end, whatever is reloaded since.
-func (p *program) stop() {
+import "time"
+
+// shutdownCheckTicks is how often a shutdown looks whether it can go on, in ticks of the timer wheel.
+const shutdownCheckTicks = 4
+
+// shutdown is a graceful shutdown in progress, on the event loop. Its phases follow each other:
+//
+//  1. For the linger time all is served as ever: in a rolling restart the process before may not be back yet, and
+//     clients that are sent away would find nobody.
+//  2. While draining, requests that were taken are finished, and each client's connection is closed between requests.
+//  3. When all is answered, or the time is nearly up, the shutdown is ending: nothing more is taken, what is open
+//     fails, and clients get time to read their answers. Changes of the exclusions are written to disk or left for
+//     the next process.
+//
+// The times are those that held when it began, whatever is reloaded since.
+type shutdown struct {
+	pooler   *Pooler
+	drainAt  time.Duration // the linger time ends
+	deadline time.Duration // the program ends, whatever is open
+
+	draining, ending bool
+	refusing         bool // no further connection is accepted
+}
+
+// shutDown begins the graceful shutdown, which stops the event loop at its end.
+func (p *Pooler) shutDown() {
 	p.log.Info().Int("open", p.core.Open()).Msg("stopping")
-	close(p.stops)
+	close(p.stopping)
 	p.core.Stopping()
 	if p.peers != nil {
 		p.peers.Stopping()
 	}
-	begun, linger := p.core.Now(), p.limits.Linger
-	by := begun + p.limits.Stop
-	draining, ending, refusing := false, false, false
-	if p.shared { // Others accept: whom this process has not taken in is theirs, at once.
-		linger = p.limits.Stop
-		p.loop.Refuse(func() { linger, refusing = 0, true })
+	begun := p.core.Now()
+	s := &shutdown{pooler: p, drainAt: begun + p.limits.Linger, deadline: begun + p.limits.Stop}
+	if p.sharedListener { // other processes accept: clients that this one has not accepted are theirs, at once
+		s.drainAt = s.deadline
+		p.loop.Refuse(func() { s.drainAt, s.refusing = begun, true })
 	}
-	var check func()
-	check = func() {
-		now := p.core.Now()
-		if !draining && now >= begun+linger {
-			draining = true
-			p.front.Drain()
-			if p.flight != nil {
-				go p.flight.Stop()
-			}
-		}
-		flightDone := p.flight == nil || p.flight.Stopped()
-		if !ending && (now >= by-p.limits.StopLeaving || draining && p.core.Open() == 0 && p.front.Idle() && flightDone) {
-			ending = true
-			p.front.Stop(p.core.AnswerAll)
-			if !p.shared {
-				p.loop.Refuse(func() { refusing = true })
-			}
-		}
-		if now >= by || ending && refusing && flightDone && p.front.ClientsGone() && p.bans.Settled() {
-			p.loop.Stop()
-			return
-		}
-		p.core.Wheel.At(now+4*p.limits.Tick, check)
+	s.check()
+}
+
+// check goes on to the next phase when it is time, and comes again until the event loop is stopped.
+func (s *shutdown) check() {
+	p, now := s.pooler, s.pooler.core.Now()
+	if !s.draining && now >= s.drainAt {
+		s.drain()
+	}
+	if !s.ending && (now >= s.deadline-p.limits.StopLeaving || s.answered()) {
+		s.end()
+	}
+	if now >= s.deadline || s.finished() {
+		p.loop.Stop()
+		return
 	}
-	check()
+	p.core.Wheel.At(now+shutdownCheckTicks*p.limits.Tick, s.check)
+}
+
+// drain closes clients' connections between requests.
+func (s *shutdown) drain() {
+	s.draining = true
+	s.pooler.front.Drain()
+	if s.pooler.flight != nil {
+		go s.pooler.flight.Stop()
+	}
+}
+
+// end takes nothing more and fails what is open.
+func (s *shutdown) end() {
+	s.ending = true
+	s.pooler.front.Stop(s.pooler.core.AnswerAll)
+	if !s.pooler.sharedListener {
+		s.pooler.loop.Refuse(func() { s.refusing = true })
+	}
+}
+
+// answered tells whether all requests that were taken while draining are answered.
+func (s *shutdown) answered() bool {
+	p := s.pooler
+	return s.draining && p.core.Open() == 0 && p.front.Idle() && s.flightStopped()
+}
+
+// finished tells whether the program can end before its deadline.
+func (s *shutdown) finished() bool {
+	p := s.pooler
+	return s.ending && s.refusing && s.flightStopped() && p.front.ClientsGone() && p.exclusions.Settled()
+}
+
+func (s *shutdown) flightStopped() bool {
+	return s.pooler.flight == nil || s.pooler.flight.Stopped()
 }
--- a/internal/pooler/signals.go
+++ b/internal/pooler/signals.go
@@ -6,29 +6,37 @@
 	"syscall"
 )
 
-// signals are those that are waited for. Each kind has a place of its own: of several that have yet to be looked at one is enough,
-// and none takes the place of another.
-type signals struct{ end, reload, print chan os.Signal }
+// signals are the received signals that have yet to be handled. Each kind has a channel of its own with room for one:
+// of several that wait one is enough, and none takes the place of another kind.
+type signals struct {
+	stop, reload, logCounters chan os.Signal
+}
 
-func notify() signals {
-	s := signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
-	signal.Notify(s.end, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(s.reload, syscall.SIGHUP)
-	signal.Notify(s.print, syscall.SIGUSR1)
-	return s
+// subscribeSignals catches the signals from now on.
+func subscribeSignals() signals {
+	received := signals{
+		stop:        make(chan os.Signal, 1),
+		reload:      make(chan os.Signal, 1),
+		logCounters: make(chan os.Signal, 1),
+	}
+	signal.Notify(received.stop, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(received.reload, syscall.SIGHUP)
+	signal.Notify(received.logCounters, syscall.SIGUSR1)
+	return received
 }
 
-// follow does what the signals say. The end does not wait for a reload that is under way, and a second one changes nothing.
-func (p *program) follow(s signals) {
+// handleSignals does what the signals ask for. The shutdown does not wait for a reload in progress, and a second
+// signal to stop changes nothing.
+func (p *Pooler) handleSignals(received signals) {
 	go func() {
-		<-s.end
-		p.loop.Do(p.stop)
+		<-received.stop
+		p.loop.Do(p.shutDown)
 	}()
 	for {
 		select {
-		case <-s.print:
-			p.loop.Do(func() { p.counters("counters") })
-		case <-s.reload:
+		case <-received.logCounters:
+			p.loop.Do(func() { p.logCounters("counters") })
+		case <-received.reload:
 			p.reload()
 		}
 	}
