--- a/cmd/capercove/command.go
+++ b/cmd/capercove/command.go
@@ -1,89 +1,160 @@
 package main
 
 import (
-	"encoding/json"
-	"flag"
+	"errors"
 	"fmt"
 	"io"
 	"os"
-	"time"
+	"strings"
+
+	"github.com/spf13/cobra"
 
 	"capercove/internal/config/tables"
-	"capercove/internal/maintenance/agent"
-	"capercove/internal/membership/gossip"
 	"capercove/internal/pooler"
 )
 
-// command runs a sub-command, if there is one: with no argument the program serves. It returns the exit status.
-func command(args []string, out io.Writer) (status int, ran bool) {
-	if len(args) == 0 {
-		return 0, false
+// exitError ends the program with a status other than that of a wrong command line.
+type exitError struct {
+	status int
+	cause  error // printed on standard error; nil if the command has printed all there is to say
+}
+
+func (e exitError) Error() string {
+	if e.cause == nil {
+		return fmt.Sprintf("status %d", e.status)
 	}
-	switch {
-	case args[0] == "version" && len(args) == 1:
-		version, revision, changed := pooler.Build()
-		fmt.Fprintf(out, "capercove %s, revision %s%s\n", version, revision, changed)
-		return 0, true
-	case args[0] == "check" && len(args) <= 2:
-		if len(args) == 2 {
-			os.Setenv(tables.Variable, args[1])
-		}
-		if err := pooler.CheckConfiguration(); err != nil {
-			fmt.Fprintln(out, err)
-			return 1, true
-		}
-		fmt.Fprintln(out, "good")
-		return 0, true
-	case args[0] == "works":
-		if status, ok := agent.Command(args[1:], out); ok {
-			return status, true
-		}
-	case args[0] == "fleet":
-		if status, ok := showFleet(args[1:], out); ok {
-			return status, true
-		}
+	return e.cause.Error()
+}
+
+func (e exitError) Unwrap() error { return e.cause }
+
+// runCommand runs a sub-command and returns the exit status. Results and help go to stdout, errors to stderr.
+func runCommand(arguments []string, stdout, stderr io.Writer) (status int) {
+	root := newRootCommand()
+	root.SetArgs(longFlags(arguments))
+	root.SetOut(stdout)
+	root.SetErr(stderr)
+	command, err := root.ExecuteC()
+	if err == nil {
+		return statusGood
+	}
+	var exit exitError
+	if !errors.As(err, &exit) {
+		_, _ = fmt.Fprintf(stderr, "capercove: %v\nusage: %s\n", err, command.UseLine()) // the status tells it, too
+		return statusUsage
+	}
+	if exit.cause != nil {
+		_, _ = fmt.Fprintln(stderr, "capercove:", exit.cause) // the status tells it, too
 	}
-	fmt.Fprintln(out, "usage: capercove                 serve, as GW_CONFIG and the operators' file say\n"+
-		"       capercove check [FILE]    check the operators' file, and the platform's if GW_CONFIG is set\n"+
-		"       capercove fleet [--all] [--json] ADDR\n"+
-		"                                 the fleet as the pooler managed at ADDR sees it; with --all, whether all see the same\n"+
-		"       capercove works plan|start FILE ADDR | status [--json] [--watch] ADDR | history ADDR | pause|resume|abort ADDR |\n"+
-		"                       skip|begin|end MACHINE ADDR | forget POOLER ADDR\n"+
-		"                                 take machines out for work, by the pooler managed at ADDR\n"+
-		"       capercove version")
-	return 2, true
+	return exit.status
 }
 
-// showFleet prints a pooler's view of the fleet. It returns 0 where the views agree, 1 where they do not, 2 where none is to be had.
-func showFleet(args []string, out io.Writer) (status int, ok bool) {
-	flags := flag.NewFlagSet("fleet", flag.ContinueOnError)
-	flags.SetOutput(io.Discard)
-	all, asJSON := flags.Bool("all", false, ""), flags.Bool("json", false, "")
-	if flags.Parse(args) != nil || flags.NArg() != 1 {
-		return 0, false
+// newRootCommand returns the program's command line.
+func newRootCommand() *cobra.Command {
+	root := &cobra.Command{
+		Use:   "capercove COMMAND",
+		Short: "A pooler for PostgreSQL and Flight SQL",
+		Long: "A pooler for PostgreSQL and Flight SQL.\n\n" +
+			"With no argument it serves, as the file that GW_CONFIG names and the operators' file say.",
+		SilenceUsage:     true,
+		SilenceErrors:    true,
+		TraverseChildren: true, // flags belong to the command that they follow
+
+		DisableFlagsInUseLine: true,
+		Args:                  cobra.ArbitraryArgs,
+		RunE:                  requireCommand,
 	}
-	s, err := gossip.Query(flags.Arg(0))
-	if err != nil {
-		fmt.Fprintln(out, err)
-		return 2, true
+	root.AddCommand(newCheckCommand(), newFleetCommand(), newMaintenanceCommand(), newVersionCommand())
+	return root
+}
+
+// requireCommand is what a command does that only holds others: none of them is named.
+func requireCommand(command *cobra.Command, arguments []string) error {
+	if len(arguments) == 0 {
+		return errors.New("COMMAND is missing")
 	}
-	var shown any = s
-	agree, show := s.Agree, func() { s.Print(out, time.Now()) }
-	if *all {
-		everyone := gossip.QueryAll(s)
-		shown, agree, show = everyone, everyone.Agree(), func() { everyone.Print(out, time.Now()) }
+	return fmt.Errorf("unknown command %q for %q", arguments[0], command.CommandPath())
+}
+
+// newCheckCommand returns the command that checks the configuration.
+func newCheckCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "check [FILE]",
+		Short: "Check the operators' file, and the platform's if GW_CONFIG is set",
+		Long: "Check the operators' file, and the platform's if GW_CONFIG is set.\n\n" +
+			"FILE is the operators' file; without it the one is checked that a start would read.\n" +
+			"It prints \"good\" and ends with status 0, or prints the first fault and ends with status 1.",
+		DisableFlagsInUseLine: true,
+		Args:                  positional(0, "FILE"),
+		RunE: func(command *cobra.Command, arguments []string) error {
+			if len(arguments) > 0 {
+				if err := os.Setenv(tables.Variable, arguments[0]); err != nil {
+					return exitError{statusFault, err}
+				}
+			}
+			result := "good"
+			fault := pooler.CheckConfiguration()
+			if fault != nil {
+				result = fault.Error()
+			}
+			if err := printLine(command, result); err != nil {
+				return err
+			}
+			if fault != nil {
+				return exitError{status: statusFault}
+			}
+			return nil
+		},
+	}
+}
+
+// newVersionCommand returns the command that tells the build.
+func newVersionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:                   "version",
+		Short:                 "Print which build this is",
+		DisableFlagsInUseLine: true,
+		Args:                  positional(0),
+		RunE: func(command *cobra.Command, _ []string) error {
+			version, revision, changed := pooler.Build()
+			return printLine(command, fmt.Sprintf("capercove %s, revision %s%s", version, revision, changed))
+		},
+	}
+}
+
+// printLine prints a line of a command's result.
+func printLine(command *cobra.Command, line string) error {
+	if _, err := fmt.Fprintln(command.OutOrStdout(), line); err != nil {
+		return exitError{statusFault, err}
 	}
-	if *asJSON {
-		text, err := json.MarshalIndent(shown, "", " ")
-		if err != nil {
-			fmt.Fprintln(out, err)
-			return 2, true
+	return nil
+}
+
+// positional checks positional arguments: their names in order, of which so many have to be there. Its errors name the
+// first argument that lacks or is too many.
+func positional(required int, names ...string) cobra.PositionalArgs {
+	return func(_ *cobra.Command, arguments []string) error {
+		switch {
+		case len(arguments) < required:
+			return fmt.Errorf("%s is missing", names[len(arguments)])
+		case len(arguments) > len(names):
+			return fmt.Errorf("unexpected argument %q", arguments[len(names)])
 		}
-		show = func() { fmt.Fprintln(out, string(text)) }
+		return nil
 	}
-	show()
-	if !agree {
-		return 1, true
+}
+
+// longFlags lets flags of the fleet command be written with one dash as well as with two.
+func longFlags(arguments []string) []string {
+	if arguments[0] != fleetName {
+		return arguments
+	}
+	long := append([]string{}, arguments...)
+	for i, argument := range long[1:] {
+		name, _, _ := strings.Cut(argument, "=")
+		if name == "-"+flagAll || name == "-"+flagJSON {
+			long[i+1] = "-" + argument
+		}
 	}
-	return 0, true
+	return long
 }
--- a/cmd/capercove/main.go
+++ b/cmd/capercove/main.go
@@ -1,4 +1,8 @@
-// Command capercove is one real pooler: clients and databases on sockets round the decisions of package choice.
+// Command capercove is a pooler for PostgreSQL and Flight SQL. With no argument it serves, as the file that GW_CONFIG
+// names and the operators' file say; otherwise it runs a sub-command.
+//
+// Exit status: of the server 0 after a graceful shutdown and 1 on an error; of sub-commands 0 if all is well, 1 if
+// something is not, 2 if the command line is wrong or nobody answers.
 package main
 
 import (
@@ -10,13 +14,20 @@
 	"capercove/internal/pooler"
 )
 
+// Exit statuses.
+const (
+	statusGood  = 0
+	statusFault = 1
+	statusUsage = 2
+)
+
 func main() {
-	if status, ran := command(os.Args[1:], os.Stdout); ran {
-		os.Exit(status)
+	if arguments := os.Args[1:]; len(arguments) > 0 {
+		os.Exit(runCommand(arguments, os.Stdout, os.Stderr))
 	}
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	if err := pooler.Run(log); err != nil {
-		fmt.Fprintln(os.Stderr, "capercove:", err)
-		os.Exit(1)
+		_, _ = fmt.Fprintln(os.Stderr, "capercove:", err) // nobody is left to tell if this fails
+		os.Exit(statusFault)
 	}
 }
