--- a/internal/config/tables/tables.go
+++ b/internal/config/tables/tables.go
@@ -1,4 +1,5 @@
-// Package tables reads the operators' file: one TOML table for each subsystem, each checked by the package that it is for.
+// Package tables reads the operators' file: one TOML table for each subsystem, each checked by the package that it is
+// for. It also holds the error type of all configuration files.
 package tables
 
 import (
@@ -10,6 +11,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"strings"
 
 	"github.com/pelletier/go-toml/v2"
 	"github.com/pelletier/go-toml/v2/unstable"
@@ -26,30 +28,18 @@
 
 // Table is a subsystem's table of the operators' file.
 type Table interface {
-	// Check tells what is wrong with the values, with KeyError where one key is at fault.
+	// Check returns what is wrong with the values: a KeyError, with the key as in the table, where one key is at fault.
 	Check() error
 }
 
-// KeyError is a fault of the value under one key.
-type KeyError struct {
-	Key string // dotted; of arrays with the number from 0, such as "tenants[1].weight"
-	Why string
-}
-
-func (e KeyError) Error() string { return e.Key + ": " + e.Why }
-
-// Bad returns the error of a key.
-func Bad(key, format string, a ...any) error {
-	return KeyError{Key: key, Why: fmt.Sprintf(format, a...)}
-}
-
 // Load reads the operators' file into a struct whose fields are Tables, each under the name in its toml tag. What
 // the file lacks stays as it is. The file that CAPERCOVE_CONFIG names must be there; else it may be missing. An error
 // names the file, and the line and the key at fault.
 func Load(into any) error {
-	for variable, table := range retired { // Against settings that are left behind unseen.
+	for variable, table := range retired { // settings there would be ignored without a word
 		if os.Getenv(variable) != "" {
-			return fmt.Errorf("%s is set, but no longer read: its settings belong in table [%s] of %s", variable, table, Path)
+			return fmt.Errorf("%s is set, but no longer read: its settings belong in table [%s] of %s",
+				variable, table, Path)
 		}
 		if old := filepath.Join(filepath.Dir(Path), table+".toml"); exists(old) {
 			return fmt.Errorf("%s is no longer read: its settings belong in table [%s] of %s", old, table, Path)
@@ -64,7 +54,7 @@
 	if errors.Is(err, fs.ErrNotExist) && !named {
 		text = nil
 	} else if err != nil {
-		return fmt.Errorf("%s: %w", Variable, err)
+		return KeyError{Key: Variable, Cause: err}
 	}
 	return Parse(path, text, into)
 }
@@ -80,101 +70,92 @@
 	if err := decoder.Decode(into); err != nil {
 		return Located(path, err)
 	}
-	v := reflect.ValueOf(into).Elem()
-	for i := range v.NumField() {
-		name := v.Type().Field(i).Tag.Get("toml")
-		table, ok := v.Field(i).Addr().Interface().(Table)
+	structure := reflect.ValueOf(into).Elem()
+	for i := range structure.NumField() {
+		name := structure.Type().Field(i).Tag.Get("toml")
+		table, ok := structure.Field(i).Addr().Interface().(Table)
 		if !ok {
 			return fmt.Errorf("%s: table [%s] has no check", path, name) // a fault of this program
 		}
-		err := table.Check()
-		if err == nil {
-			continue
+		if err := table.Check(); err != nil {
+			return inTable(path, text, name, err)
 		}
-		var at KeyError
-		if !errors.As(err, &at) {
-			return fmt.Errorf("%s: %s: %w", path, name, err)
-		}
-		at.Key = name + "." + at.Key
-		if line := Lines(text)[at.Key]; line > 0 {
-			return fmt.Errorf("%s:%d: %w", path, line, at)
-		}
-		return fmt.Errorf("%s: %w", path, at) // the key is not in the file
 	}
 	return nil
 }
 
-// Located words a decoder's error with its line and key.
+// inTable returns the error of a table's check with the file, and with the line and the whole key if a key is at fault.
+func inTable(path string, text []byte, name string, err error) error {
+	var fault KeyError
+	if !errors.As(err, &fault) {
+		return KeyError{File: path, Key: name, Cause: err}
+	}
+	fault.File = path
+	fault.Key = name + "." + fault.Key
+	fault.Line = Lines(text)[fault.Key]
+	return fault
+}
+
+// Located returns a TOML decoder's error as a KeyError of a file, with the line and the key that it tells.
 func Located(path string, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
 		first := &unknown.Errors[0]
 		row, _ := first.Position()
-		return fmt.Errorf("%s:%d: unknown key %s", path, row, dotted(first.Key()))
+		return KeyError{File: path, Line: row, Key: strings.Join(first.Key(), "."), Cause: ErrUnknownKey}
 	}
 	var wrong *toml.DecodeError
 	if errors.As(err, &wrong) {
 		row, _ := wrong.Position()
-		if len(wrong.Key()) > 0 {
-			return fmt.Errorf("%s:%d: %s: %w", path, row, dotted(wrong.Key()), err)
-		}
-		return fmt.Errorf("%s:%d: %w", path, row, err)
-	}
-	return fmt.Errorf("%s: %w", path, err)
-}
-
-func dotted(key []string) (s string) {
-	for i, part := range key {
-		if i > 0 {
-			s += "."
-		}
-		s += part
+		return KeyError{File: path, Line: row, Key: strings.Join(wrong.Key(), "."), Cause: err}
 	}
-	return s
+	return KeyError{File: path, Cause: err}
 }
 
-// Lines are the line numbers, from 1, of all keys and tables of a text that has been parsed already.
+// Lines returns the line numbers, from 1, of all keys and tables of a TOML text that has been parsed already.
 func Lines(text []byte) map[string]int {
-	at := map[string]int{}
-	arrays := map[string]int{} // how many tables each array has had
+	lines := map[string]int{}
+	seen := map[string]int{} // how many tables each array has had
 	table := ""
-	var p unstable.Parser
-	p.Reset(text)
-	for p.NextExpression() {
-		e := p.Expression()
-		key, line := "", 0
-		for it := e.Key(); it.Next(); {
-			if line == 0 {
-				line = p.Shape(it.Node().Raw).Start.Line
-			}
-			if key != "" {
-				key += "."
-			}
-			key += string(it.Node().Data)
-		}
-		switch e.Kind {
+	var parser unstable.Parser
+	parser.Reset(text)
+	for parser.NextExpression() {
+		expression := parser.Expression()
+		key, line := keyOf(&parser, expression)
+		switch expression.Kind {
 		case unstable.Table:
 			table = key
+			lines[table] = line
 		case unstable.ArrayTable:
-			table = fmt.Sprintf("%s[%d]", key, arrays[key])
-			arrays[key]++
+			table = fmt.Sprintf("%s[%d]", key, seen[key])
+			seen[key]++
+			lines[table] = line
 		default:
-			key = table + "." + key
-			at[key] = line
-			continue
+			lines[table+"."+key] = line
+		}
+	}
+	return lines
+}
+
+// keyOf returns the dotted key of an expression and the line on which it begins.
+func keyOf(parser *unstable.Parser, expression *unstable.Node) (key string, line int) {
+	var parts []string
+	for part := expression.Key(); part.Next(); {
+		if line == 0 {
+			line = parser.Shape(part.Node().Raw).Start.Line
 		}
-		at[table] = line
+		parts = append(parts, string(part.Node().Data))
 	}
-	return at
+	return strings.Join(parts, "."), line
 }
 
 // Address checks the address under a key. An empty one is left to the caller.
-func Address(key, addr string) error {
-	if addr == "" {
+func Address(key, address string) error {
+	if address == "" {
 		return nil
 	}
-	if _, _, err := net.SplitHostPort(addr); err != nil {
-		return Bad(key, "%v", err)
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return KeyError{Key: key, Cause: err}
 	}
 	return nil
 }
