--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery keeps the list of databases coming from the platform's discovery service over HTTP. When to
-// ask again after a failure is the router's decision; each Subscribe is one call.
+// Package discovery watches the endpoint list of the platform's discovery service over HTTP. When to poll again after a
+// failure is the router's decision; each Subscribe is one attempt.
 package discovery
 
 import (
@@ -23,14 +23,14 @@
 	"capercove/routing"
 )
 
-// List is one object of discovery: the whole list or the entries that changed.
+// List is one object of the discovery service: the whole endpoint list, or a watch event with the entries that changed.
 type List struct {
 	Revision uint64  `json:"revision"`
 	Complete bool    `json:"complete"`
 	Members  []Entry `json:"members"`
 }
 
-// Entry is one database.
+// Entry is one endpoint of the list.
 type Entry struct {
 	ID       string `json:"id"`
 	Addr     string `json:"host_port"`
@@ -47,90 +47,111 @@
 
 // Parse reads one object and checks it. One without a revision has revision 0.
 func Parse(text []byte) (List, error) {
-	l, _, err := parse(text)
-	return l, err
+	list, _, err := parse(text)
+	return list, err
 }
 
 // parse is Parse, and tells whether there is a revision.
-func parse(text []byte) (l List, numbered bool, err error) {
-	o := struct {
+func parse(text []byte) (list List, numbered bool, err error) {
+	object := struct {
 		Revision *uint64 `json:"revision"`
 		*List
-	}{List: &l}
-	if err := json.Unmarshal(text, &o); err != nil {
-		return l, false, err
+	}{List: &list}
+	if err := json.Unmarshal(text, &object); err != nil {
+		return list, false, err
 	}
-	if numbered = o.Revision != nil; numbered {
-		l.Revision = *o.Revision
+	if numbered = object.Revision != nil; numbered {
+		list.Revision = *object.Revision
 	}
-	for i, e := range l.Members {
-		_, known := phases[e.Phase]
-		_, _, err := net.SplitHostPort(e.Addr)
-		if e.ID == "" || !known || err != nil && e.Phase != "DELETED" {
-			return l, numbered, fmt.Errorf("member %d: id %q, host_port %q, phase %q", i, e.ID, e.Addr, e.Phase)
+	for i, entry := range list.Members {
+		if !entry.valid() {
+			return list, numbered, fmt.Errorf("member %d: id %q, host_port %q, phase %q",
+				i, entry.ID, entry.Addr, entry.Phase)
 		}
 	}
-	return l, numbered, nil
+	return list, numbered, nil
 }
 
-// ID maps a database's name to the same number at every pooler.
+// valid tells whether an entry has a name, a known phase, and an address unless it is deleted.
+func (e Entry) valid() bool {
+	state, known := phases[e.Phase]
+	if e.ID == "" || !known {
+		return false
+	}
+	_, _, err := net.SplitHostPort(e.Addr)
+	return err == nil || state == routing.Gone
+}
+
+// ID maps an endpoint's name to the same number at every pooler.
 func ID(name string) routing.NodeID {
-	h := fnv.New64a()
-	h.Write([]byte(name))
-	return routing.NodeID(h.Sum64())
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(name)) // a hash takes all
+	return routing.NodeID(hash.Sum64())
 }
 
-// Node is the entry as the router takes it. Zones are numbered as in the settings.
+// Node returns the entry as the router takes it. Zones are numbered by their place in the settings' list.
 func (e Entry) Node(zones []string) routing.Node {
 	zone := slices.Index(zones, e.Locality)
 	if zone < 0 {
 		zone = len(zones) + int(uint32(ID(e.Locality))) // unknown to the settings, yet told apart
 	}
-	return routing.Node{ID: ID(e.ID), State: phases[e.Phase], Group: e.Cell, Zone: zone, Primary: e.Mode == "read-write",
-		Started: time.Duration(e.UpSince) * time.Millisecond}
+	return routing.Node{
+		ID: ID(e.ID), State: phases[e.Phase], Group: e.Cell, Zone: zone, Primary: e.Mode == "read-write",
+		Started: time.Duration(e.UpSince) * time.Millisecond,
+	}
 }
 
-// Watch asks discovery. It implements core.Lister.
+// Watch reads the endpoint list and its changes. It implements core.Lister.
 type Watch struct {
 	limits  limits.Limits
 	log     zerolog.Logger
 	changed func(List)
 	failed  func()
 	client  *http.Client
-	ctx     context.Context
-	calls   chan struct{}
+	calls   chan struct{} // holds the attempt that is asked for
 
 	mu       sync.Mutex // guards all below, which Move changes
 	addr     string
-	moved    bool // since the last call
-	listed   bool // some list is known, at revision; if not, the whole is asked for first
-	revision uint64
+	moved    bool   // since the last attempt began
+	listed   bool   // some list is known, at revision; if not, the whole list is fetched first
+	revision uint64 // of the list that is known
 	cancel   context.CancelFunc
 }
 
-// New returns a watch on a discovery service. It calls changed and failed from a goroutine of its own. A known list with databases
-// in it is not asked for again, whatever its revision: at a start of many that would be a second call of each.
-func New(ctx context.Context, addr string, known List, l limits.Limits, log zerolog.Logger, changed func(List),
-	failed func()) *Watch {
-	w := &Watch{addr: addr, limits: l, log: log, changed: changed, failed: failed, ctx: ctx,
-		calls: make(chan struct{}, 1), listed: len(known.Members) > 0, revision: known.Revision, cancel: func() {},
+// New returns a watch of a discovery service, which ends with the context. It calls changed and failed from a goroutine
+// of its own. A known list with endpoints in it is not fetched again, whatever its revision: when many poolers start,
+// that would be a second request of each.
+func New(ctx context.Context, addr string, known List, limits limits.Limits, log zerolog.Logger,
+	changed func(List), failed func(),
+) *Watch {
+	watch := &Watch{
+		limits:  limits,
+		log:     log,
+		changed: changed,
+		failed:  failed,
 		client: &http.Client{Transport: &http.Transport{
-			DialContext:       (&net.Dialer{Timeout: l.WatchAnswer}).DialContext,
-			DisableKeepAlives: true, // Against silent retries on a stale connection: each is a call.
-		}}}
-	go w.run()
-	return w
+			DialContext:       (&net.Dialer{Timeout: limits.WatchAnswer}).DialContext,
+			DisableKeepAlives: true, // it prevents hidden retries on a stale connection: each would be a request
+		}},
+		calls:    make(chan struct{}, 1),
+		addr:     addr,
+		listed:   len(known.Members) > 0,
+		revision: known.Revision,
+		cancel:   func() {},
+	}
+	go watch.run(ctx)
+	return watch
 }
 
-// Subscribe asks for what has changed, and for all further changes.
+// Subscribe asks for one attempt to read what has changed and all further changes. It does not block.
 func (w *Watch) Subscribe() {
 	select {
 	case w.calls <- struct{}{}:
-	default: // one is asked for already
+	default: // an attempt is asked for already
 	}
 }
 
-// Move asks another address from now on, beginning with the whole list: its versions may be numbered otherwise.
+// Move watches another address from now on, beginning with the whole list: its revisions may be numbered otherwise.
 func (w *Watch) Move(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -141,19 +162,20 @@
 	}
 }
 
-func (w *Watch) run() {
+// run makes attempts as they are asked for, until the context ends.
+func (w *Watch) run(ctx context.Context) {
 	var logged time.Time
 	for {
 		select {
-		case <-w.ctx.Done():
+		case <-ctx.Done():
 			return
 		case <-w.calls:
 		}
-		err := w.call()
+		err := w.call(ctx)
 		for w.again() {
-			err = w.call()
+			err = w.call(ctx)
 		}
-		if w.ctx.Err() != nil {
+		if ctx.Err() != nil {
 			return
 		}
 		if now := time.Now(); now.Sub(logged) >= w.limits.LogEvery {
@@ -164,8 +186,9 @@
 	}
 }
 
-// again tells whether discovery has moved since the last call began. If it has not, what was asked for meanwhile is answered by
-// that call: against two calls for one failure. Both in one step, or a move in between would wait for the next Subscribe.
+// again tells whether the service has moved since the last attempt began. If it has not, that attempt also answers what
+// was asked for meanwhile: one failure must not lead to two attempts. Both are one step under the lock, or a move in
+// between would wait for the next Subscribe.
 func (w *Watch) again() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -178,9 +201,9 @@
 	return w.moved
 }
 
-// call asks for what there is to know and reads changes until the watch breaks.
-func (w *Watch) call() error {
-	ctx, cancel := context.WithCancel(w.ctx)
+// call makes one attempt: it reads the whole list if none is known, and then watch events until the watch breaks.
+func (w *Watch) call(ctx context.Context) error {
+	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w.mu.Lock()
 	url, listed := "http://"+w.addr+"/catalog/members", w.listed
@@ -194,56 +217,41 @@
 	return w.get(ctx, url+"?watch=1&from="+strconv.FormatUint(w.version(), 10), false)
 }
 
+// version returns the revision that is known.
 func (w *Watch) version() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.revision
 }
 
-// get makes one call. Asked for the whole list, it returns nil once that has come: how the answer then ends, with its length or by
-// a reset, tells nothing. Otherwise it reads objects until the watch breaks.
+// get makes one request. For the whole list, it returns nil once that has come: how the response then ends, with its
+// length or by a reset, tells nothing. Otherwise it reads watch events until the watch breaks.
 func (w *Watch) get(ctx context.Context, url string, whole bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// Against a discovery that is cut off and never closes: no word in time ends the call.
+	// A service that is cut off and never closes ends the request by its silence.
 	silence := time.AfterFunc(w.limits.WatchAnswer, cancel)
 	defer silence.Stop()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
-	answer, err := w.client.Do(request)
+	response, err := w.client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
+	defer func() { _ = response.Body.Close() }() // nothing is read after it
 	heard := func() { silence.Reset(w.limits.WatchSilence) }
 	heard()
-	if answer.StatusCode != http.StatusOK {
-		return errors.New(answer.Status)
+	if response.StatusCode != http.StatusOK {
+		return errors.New(response.Status)
 	}
-	body := &reader{from: answer.Body, heard: heard}
+	body := &reader{from: response.Body, heard: heard}
 	objects := json.NewDecoder(body)
 	for first := true; ; first = false {
-		var text json.RawMessage
-		body.left = w.limits.ListBytes
-		if err := objects.Decode(&text); err != nil {
-			return err
-		}
-		heard()
-		body.open = !blank(objects.Buffered())
-		l, numbered, err := parse(text)
-		if err == nil && !numbered { // Against any other object, or none, passing for a change of nothing.
-			err = errors.New("revision: missing")
-		}
-		if err == nil && len(l.Members) > w.limits.Members {
-			err = fmt.Errorf("%d members", len(l.Members))
-		}
-		if err == nil && whole && !l.Complete {
-			err = errors.New("the list is not complete")
-		}
+		list, err := w.next(body, objects, whole)
 		if err == nil {
-			err = w.accept(ctx, l, first)
+			err = w.accept(ctx, list, first)
 		}
 		if err != nil || whole {
 			return err
@@ -251,15 +259,40 @@
 	}
 }
 
-// reader tells of what it reads between objects, the empty lines, and of the beginning of each object; and it bounds what one
-// object may take. Against an object that trickles on and never ends: its bytes are no sign of life, only its end is.
+// next reads the next object of a response and checks it.
+func (w *Watch) next(body *reader, objects *json.Decoder, whole bool) (list List, err error) {
+	var text json.RawMessage
+	body.left = w.limits.ListBytes
+	if err := objects.Decode(&text); err != nil {
+		return list, err
+	}
+	body.heard()
+	body.open = !blank(objects.Buffered())
+	list, numbered, err := parse(text)
+	switch {
+	case err != nil:
+		return list, err
+	case !numbered: // any other object, or none, must not pass for an event without changes
+		return list, errors.New("revision: missing")
+	case len(list.Members) > w.limits.Members:
+		return list, fmt.Errorf("%d members", len(list.Members))
+	case whole && !list.Complete:
+		return list, errors.New("the list is not complete")
+	}
+	return list, nil
+}
+
+// reader reads a response. It reports signs of life: empty lines between objects, and the beginning of each object. It
+// bounds the bytes of one object. The bytes inside an object are no sign of life, only its end is: an object that
+// trickles on and never ends must not keep the watch alive.
 type reader struct {
 	from  io.Reader
-	left  int
-	open  bool // an object has begun and is not whole
-	heard func()
+	left  int    // bytes that the object may still take
+	open  bool   // an object has begun and is not complete
+	heard func() // reports a sign of life
 }
 
+// Read implements io.Reader.
 func (r *reader) Read(p []byte) (int, error) {
 	if r.left <= 0 {
 		return 0, errors.New("an object of the list is too long")
@@ -275,28 +308,29 @@
 
 // blank tells whether there is nothing but white space.
 func blank(r io.Reader) bool {
-	text, _ := io.ReadAll(r)
+	text, _ := io.ReadAll(r) // it reads from memory
 	return len(bytes.TrimSpace(text)) == 0
 }
 
-// accept passes on what a call brought, unless discovery has moved since: its revision would mean nothing there. Behind a newer
-// revision an older one is spoilt; only a whole list that begins an answer may begin anew. Then, or when a whole list names
-// nothing, as none that serves does, the list that is known stays.
-func (w *Watch) accept(ctx context.Context, l List, first bool) error {
+// accept passes on a list, unless the service has moved since: its revision would mean nothing there. An older revision
+// after a newer one is an error; only a whole list that begins a response may be numbered anew. On that error, or when
+// a whole list names no endpoint, which no service in order sends, the list that is known stays.
+func (w *Watch) accept(ctx context.Context, list List, first bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if w.listed && l.Revision < w.revision && !(first && l.Complete) {
+	begins := first && list.Complete
+	if w.listed && list.Revision < w.revision && !begins {
 		known := w.revision
-		w.listed = false // the whole is asked for next
-		return fmt.Errorf("revision %d, older than %d", l.Revision, known)
+		w.listed = false // the whole list is fetched next
+		return fmt.Errorf("revision %d, older than %d", list.Revision, known)
 	}
-	if l.Complete && len(l.Members) == 0 {
+	if list.Complete && len(list.Members) == 0 {
 		return errors.New("the list names no database")
 	}
-	w.listed, w.revision = true, l.Revision
-	w.changed(l)
+	w.listed, w.revision = true, list.Revision
+	w.changed(list)
 	return nil
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -263,8 +263,12 @@
 	w.list()
 	c := s.next()
 	for _, spoilt := range []struct{ text, why string }{
-		{"null", "revision: missing"}, {"{}", "revision: missing"}, {"[]", "cannot unmarshal"}, {"x", "invalid character"},
-		{`{"revision":-1}`, "cannot unmarshal"}, {object(42, false, "a RESTING"), "RESTING"},
+		{"null", "revision: missing"},
+		{"{}", "revision: missing"},
+		{"[]", "cannot unmarshal"},
+		{"x", "invalid character"},
+		{`{"revision":-1}`, "cannot unmarshal"},
+		{object(42, false, "a RESTING"), "RESTING"},
 		{object(42, true), "names no database"},
 		{strings.Replace(object(42, false, "a SERVING"), ":5432", "", 1), "host_port"},
 	} {
