--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,119 +1,121 @@
-// Package limits holds every size, count and time that bounds the program. One Limits is filled at start and
-// handed down; no other package has bounds of its own.
+// Package limits holds every size, count and time that bounds the program. One Limits is filled at the start and handed
+// down to the parts; no other package has bounds of its own. Sizes are in bytes unless a comment says otherwise.
 package limits
 
 import "time"
 
-// Limits bounds what the program holds and how long it waits.
+// Limits bounds what the program holds and how long it waits. A comment that begins with "..." continues the one above.
 type Limits struct {
-	MemoryBytes   int64 // the collector is told to stay under this
-	Clients       int   // client connections; a further one is turned away
-	ClientsKept   int   // ... of them that may stay idle for as long as they like
-	ClientsCrowd  int   // ... with more than this that have started, idle ones are closed after ClientBrief
-	Starting      int   // ... of them that have yet to start; a further one closes the first of them
-	Leaving       int   // connections beyond them that are being turned away
-	Accepting     int   // connections that are being taken in
+	MemoryBytes   int64 // soft limit of the garbage collector
+	Clients       int   // client connections; a further one is rejected
+	ClientsKept   int   // ... of them that may stay idle without a limit of time
+	ClientsCrowd  int   // ... with more started ones than this, idle ones are closed after ClientBrief
+	Starting      int   // ... that have not finished their startup; a further one closes the oldest of them
+	Leaving       int   // connections beyond Clients that are being rejected
+	Accepting     int   // connections that are being accepted
 	Operators     int   // connections of operators
-	Servers       int   // connections to databases, dials included
-	IdleEach      int   // idle connections kept to one database
-	Requests      int   // requests open at once; a further one is refused
-	Held          int   // ... that wait and have been sent nowhere; the one that has waited longest is refused
-	Pipeline      int   // commands of one client connection that await their answers
-	MessageBytes  int   // longest message held whole, from a client or a database
-	AnswerWhole   int   // a database's value up to this is held whole, a longer one is passed on in pieces
-	AnswerBytes   int   // longest value taken from a database
-	SocketBytes   int   // what the system may hold for a client's connection, each way; left to itself it is megabytes
-	PieceBytes    int   // a long answer is read in pieces of this, and stops while its client has more unread
-	InputBytes    int   // bytes that a client may send ahead of its answers before it is closed
-	ClientBytes   int   // what all clients' connections may hold of both; beyond it the one that holds most is closed
-	OutputBytes   int   // answers that a client may leave unread before it is closed
-	Members       int   // entries of a list
-	Banned        int   // databases that operators may keep out
-	BansBytes     int   // one file of the bans
-	ListBytes     int   // one list, or one line of a watch
+	Servers       int   // connections to databases, those that are being dialed included
+	IdleEach      int   // idle connections to one database
+	Requests      int   // requests open at once; a further one is rejected
+	Held          int   // ... that wait and have been forwarded to nobody; the oldest is rejected
+	Pipeline      int   // commands of one client connection that wait for their answers
+	MessageBytes  int   // longest message that is buffered complete, from a client or a database
+	AnswerWhole   int   // a value of a database up to this is buffered complete, a longer one is streamed
+	AnswerBytes   int   // longest value accepted from a database
+	SocketBytes   int   // kernel buffer of a client's connection, each way; by default it is megabytes
+	PieceBytes    int   // a long answer is streamed in chunks of this, and stops while its client has more unread
+	InputBytes    int   // a client that sends more than this ahead of its answers is closed
+	ClientBytes   int   // input and output buffers of all clients; beyond it the largest connection is closed
+	OutputBytes   int   // a client that leaves more of its answers unread is closed
+	Members       int   // entries of an endpoint list
+	Banned        int   // endpoints that operators may exclude
+	BansBytes     int   // one file of exclusions
+	ListBytes     int   // one endpoint list, or one watch event
 	FlightMessage int   // longest message of a Flight stream
 	FlightClients int   // connections of Flight clients
-	FlightServers int   // connections to databases over Flight, each of which carries many calls
-	FlightCalls   int   // Flight calls at once, each of which may hold two messages
+	FlightServers int   // connections to databases over Flight, each with many calls
+	FlightCalls   int   // Flight calls at once, each of which may buffer two messages
 
-	DoorQueue    int           // requests that wait at the door, over all groups
-	DoorLanes    int           // primaries, and sets of replicas, that have queues of their own; further ones share
-	DoorPromises int           // remembered times to come back
-	DoorLeast    int           // requests that may be inside a lane, whatever the latency says
-	DoorMost     int           // ... and at the most
-	ShedWithin   time.Duration // a request that the router refuses so soon was shed for want of room
+	DoorQueue    int           // requests queued for admission, over all groups
+	DoorLanes    int           // primaries and replica sets with queues of their own; further ones share
+	DoorPromises int           // Retry-After times that are remembered
+	DoorLeast    int           // lower bound of a concurrency limit, whatever the latency is
+	DoorMost     int           // ... and its upper bound
+	ShedWithin   time.Duration // a request that the router rejects this soon was rejected for lack of capacity
 	DoorShown    int           // tenants that operators are shown
 
-	Shapes     int // bytes of what is remembered of statements
-	ShapesTold int // shapes that operators are shown in one order
+	Shapes     int // bytes of the cache of statement fingerprints
+	ShapesTold int // fingerprints that operators are shown in one order
 
 	StoreKeys   int // keys of the replicated store
 	StoreValue  int // bytes of one value
-	StoreWindow int // changes whose ids are remembered, so that a repeated one is applied once
-	Replay      int // requests of a pcap file that are open at once
-	ReplayFlows int // connections of a pcap file that are followed at once
-	Tap         int // chunks of clients' traffic that may wait to be written
+	StoreWindow int // changes whose ids are remembered, so that a retried one is applied once
+	Replay      int // requests of a capture file that are open at once
+	ReplayFlows int // connections of a capture file that are followed at once
+	Tap         int // chunks of clients' traffic queued to be written
 
 	Tick           time.Duration // of the timer wheel
 	Slots          int           // of the timer wheel
-	StoodStill     time.Duration // between two ticks: logged
-	StallLeast     time.Duration // a timer that comes later than this shows that the loop stood still
-	FlightSettle   time.Duration // before anything is begun for a Flight client, what it has sent is waited for so long
-	StallRead      time.Duration // what is read so soon after may have come while it did
-	Margin         time.Duration // taken off a client's deadline, for the way back
+	StoodStill     time.Duration // an event loop that stalls longer than this is logged
+	StallLeast     time.Duration // a timer that is late by more than this shows a stalled event loop
+	FlightSettle   time.Duration // a Flight call waits this long for what its client has already sent
+	StallRead      time.Duration // what is read this soon after a stall may have arrived during it
+	Margin         time.Duration // subtracted from a client's deadline, for the way back
 	Overdue        time.Duration // a request unanswered this long after its deadline is failed by the core
-	ConnectTimeout time.Duration // a database's connection is up by then, or counts as not to be had
-	ProbeTimeout   time.Duration
-	ServerIdle     time.Duration // connections to databases idle this long are closed
-	Startup        time.Duration // a client's connection has started by then
-	ClientIdle     time.Duration // a client's connection may be closed for others after this long without a request
+	ConnectTimeout time.Duration // for a connection to a database
+	ProbeTimeout   time.Duration // for a health check
+	ServerIdle     time.Duration // connections to databases that are idle this long are closed
+	Startup        time.Duration // for the startup of a client's connection
+	ClientIdle     time.Duration // a client without a request for this long may be closed in favour of others
 	ClientBrief    time.Duration // ... or this long in a crowd
 	ClientStarting time.Duration // ... or this long before it has started
-	ClientMessage  time.Duration // a client's message goes on after this long without a byte of it
-	ClientSlowest  time.Duration // ... and is whole this long after its first byte
-	ClientReads    time.Duration // a client that has bytes to read takes some within this
-	PieceWait      time.Duration // a database goes on with a long answer within this
-	AnswerLongest  time.Duration // a long answer is whole this long after its first bytes
-	ClientLeaving  time.Duration // one that is turned away has this long to read why
-	WatchAnswer    time.Duration // discovery's answer begins by then
-	WatchSilence   time.Duration // a watch that is silent this long, or does not end what it has begun, is broken
-	AcceptBlocks   time.Duration // an accept on a socket that others hold, too, waits in the system for so long
-	Linger         time.Duration // after SIGTERM all are served as ever for this long
+	ClientMessage  time.Duration // a client's message is aborted after this long without a byte of it
+	ClientSlowest  time.Duration // ... and this long after its first byte
+	ClientReads    time.Duration // a client with unread answers is closed after this long without reading
+	PieceWait      time.Duration // for the next chunk of a long answer
+	AnswerLongest  time.Duration // for the whole of a long answer, from its first bytes
+	ClientLeaving  time.Duration // for a rejected client to read why
+	WatchAnswer    time.Duration // for the beginning of discovery's response
+	WatchSilence   time.Duration // a watch that is silent this long, or does not end an event it has begun, is broken
+	AcceptBlocks   time.Duration // an accept on a socket that other processes share blocks in the system call this long
+	Linger         time.Duration // after SIGTERM all are served as before for this long
 	Stop           time.Duration // after SIGTERM the program ends by then: SIGKILL may come after the longest deadline
-	StopLeaving    time.Duration // ... and what is open so long before fails, for its answer to reach the client
-	ReadyWait      time.Duration // it is ready by then, also if no list has come or a primary is unknown
-	Figures        time.Duration // the operators' figures are this old at most
-	Bans           time.Duration // another process's change of the bans is seen by then
-	BansAnswer     time.Duration // a change of the bans is answered by then, also if it is not on disk yet
-	BansLock       time.Duration // the lock of the bans' file is waited for so long at a time
-	BansHandOver   time.Duration // a change that is not on disk by then is left for the other processes without the file
-	BansRetry      time.Duration // the first pause before a change of the bans is written again; each is twice the one before
+	StopLeaving    time.Duration // ... and what is open this long before fails, for its answer to reach the client
+	ReadyWait      time.Duration // it is ready by then, even without an endpoint list or with a primary unknown
+	Figures        time.Duration // greatest age of the operators' figures
+	Bans           time.Duration // another process's change of the exclusions is seen by then
+	BansAnswer     time.Duration // a change of the exclusions is answered by then, even if it is not on disk yet
+	BansLock       time.Duration // timeout of one attempt at the lock of the exclusions' file
+	BansHandOver   time.Duration // a change not on disk by then is left for the other processes without the file
+	BansRetry      time.Duration // first pause before a change of the exclusions is written again; it doubles
 	BansRetryMost  time.Duration // ... up to this
-	Share          time.Duration // what processes beside each other may have open is settled this often
-	OperatorHead   time.Duration // an operator's call has come by then
-	OperatorCall   time.Duration // and is answered by then
-	FleetLeave     time.Duration // the other poolers are told of the end by then
-	StoreEvery     time.Duration // the state is stored this often
+	Share          time.Duration // period of settling the descriptor quotas of the processes
+	OperatorHead   time.Duration // for an operator's request to arrive
+	OperatorCall   time.Duration // ... and to be answered
+	FleetLeave     time.Duration // for the other poolers to be notified of the end
+	StoreEvery     time.Duration // period of storing the state
 	StoreWait      time.Duration // for one change of the store
-	StoreWatch     time.Duration // a watch of the store waits no longer
-	StoreCatchUp   time.Duration // a new member of the store holds by then what the others hold
-	LogEvery       time.Duration // at most one line a kind of bad input in this time
-	RetryFirst     time.Duration // a network call that failed for a moment is made again after this
-	RetryMost      time.Duration // ... and after this, if it goes on failing
-	StartRetry     time.Duration // ... and at the start for no longer than this
+	StoreWatch     time.Duration // longest wait of one watch of the store
+	StoreCatchUp   time.Duration // for a new member of the store to hold what the others hold
+	LogEvery       time.Duration // least time between two log lines of one kind of bad input
+	RetryFirst     time.Duration // first backoff of a network call that failed for a moment
+	RetryMost      time.Duration // ... and the longest
+	StartRetry     time.Duration // ... and its end at the start
 }
 
-// Machine is what the platform grants.
+// Machine is what the platform grants a pooler.
 type Machine struct {
-	MemoryMB int
-	Sockets  int
-	Shared   bool // at an upgrade, with a second process of the program
-	Flight   bool // the Flight SQL front is on, and has its part of the sockets
+	MemoryMB int  // memory of the process, in MiB
+	Sockets  int  // descriptors of the process
+	Shared   bool // with a second process of the pooler, during an upgrade
+	Flight   bool // the Flight SQL front is on and has its share of the descriptors
 }
 
-// For returns the limits on a machine, for databases that take this long to connect and close connections that
-// are idle for keepalive, and for clients that wait no longer than this. A dial holds two descriptors for a moment,
-// hence the reserve.
+// For returns the limits of a machine. Connect is the timeout of connections to databases, keepalive the idle time
+// after which databases close them, and longest the longest deadline of a class. A dial holds two descriptors for a
+// moment, hence the reserve.
+//
+//nolint:funlen,lll,varnamelen // a table of one line a field, which belongs together
 func For(m Machine, connect, keepalive, longest time.Duration) Limits {
 	stop := min(longest, 3*time.Second) + 500*time.Millisecond
 	const leaving = 8
