--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -1,17 +1,15 @@
-// Package management is where operators call: HTTP on a listener of its own, off the event loop, so that a busy pooler
-// still answers them.
+// Package management is the operators' HTTP server. It has a listener and goroutines of its own, apart from the event
+// loop, so that a busy pooler still answers.
 package management
 
 import (
 	"cmp"
 	"encoding/json"
-	"fmt"
-	"maps"
+	"io"
+	"math"
 	"net"
 	"net/http"
-	"slices"
 	"strconv"
-	"strings"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -24,29 +22,34 @@
 	"capercove/internal/statement"
 )
 
-// Pooler is what operators look at and change. All its calls may wait.
+// Pooler is what operators see and change of a pooler. All its methods may block, and may be called from any goroutine.
 type Pooler interface {
+	// Figures returns the counters and gauges.
 	Figures() core.Figures
-	// Statements are what was read of them, nil if none are.
+	// Statements returns what was read of statements; nil if statements are not read.
 	Statements() *Statements
-	// Fleet is what is known of the other poolers, nil if nothing is.
+	// Fleet returns what is known of the other poolers, a value for JSON; nil if membership is off.
 	Fleet() any
-	// Works are the machines that are out, or may be, as this pooler sees them; each database is taken to bear so many requests a
-	// second. Nil if it takes no part.
+	// Works returns, as a value for JSON, the machines that are out for planned maintenance or may be taken out, where
+	// each database bears so many requests a second; nil if maintenance is off.
 	Works(bears float64) any
-	// Ban keeps a database out, or lets it back in. It returns when that holds; known is false if nobody has the name.
+	// Ban excludes an endpoint, or includes it again. It returns when that holds; known is false if no endpoint has
+	// the name.
 	Ban(name string, banned bool) (known bool, err error)
-	// BansUnsaved is how many changes of what is kept out hold and are not on disk yet.
+	// BansUnsaved returns how many changes of the exclusions hold and are not on disk yet.
 	BansUnsaved() int
 }
 
-// Statements are what operators are shown of the statements that were read, and of the shapes that matter most. No values
-// are in them.
+// Statements is what operators are shown of the statements that were read, and of the fingerprints that matter most.
+// It contains no values.
 type Statements struct {
 	intake.Readings
 	ByCalls, ByTime, ByDisagreement []statement.Fingerprint
 }
 
+// maxHeaderBytes bounds the head of an operator's request.
+const maxHeaderBytes = 8 << 10
+
 // Server answers operators.
 type Server struct {
 	http   *http.Server
@@ -55,150 +58,140 @@
 	pooler Pooler
 }
 
-func New(l limits.Limits, log zerolog.Logger, p Pooler) *Server {
-	s := &Server{limits: l, log: log, pooler: p}
+// New returns a server that serves nothing yet.
+func New(limits limits.Limits, log zerolog.Logger, pooler Pooler) *Server {
+	server := &Server{limits: limits, log: log, pooler: pooler}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/ready", s.ready)
-	mux.HandleFunc("GET /api/telemetry", s.telemetry)
-	mux.HandleFunc("GET /api/statements", s.statements)
-	mux.HandleFunc("GET /fleet", s.fleet)
-	mux.HandleFunc("GET /works", s.works)
-	mux.HandleFunc("PUT /api/exclude/{id}", s.ban(true))
-	mux.HandleFunc("PUT /api/include/{id}", s.ban(false))
-	s.http = &http.Server{Handler: mux, ReadTimeout: l.OperatorHead, WriteTimeout: l.OperatorHead + l.OperatorCall,
-		MaxHeaderBytes: 8 << 10}
-	s.http.SetKeepAlivesEnabled(false) // one call a connection
-	return s
+	mux.HandleFunc("GET /api/ready", server.ready)
+	mux.HandleFunc("GET /api/telemetry", server.telemetry)
+	mux.HandleFunc("GET /api/statements", server.statements)
+	mux.HandleFunc("GET /fleet", server.fleet)
+	mux.HandleFunc("GET /works", server.works)
+	mux.HandleFunc("PUT /api/exclude/{id}", server.exclude(true))
+	mux.HandleFunc("PUT /api/include/{id}", server.exclude(false))
+	server.http = &http.Server{
+		Handler:        mux,
+		ReadTimeout:    limits.OperatorHead,
+		WriteTimeout:   limits.OperatorHead + limits.OperatorCall,
+		MaxHeaderBytes: maxHeaderBytes,
+	}
+	server.http.SetKeepAlivesEnabled(false) // one request a connection
+	return server
 }
 
-// Serve answers calls on a listener until the program ends. An accept that fails does not end it.
-func (s *Server) Serve(l net.Listener) error {
+// Serve answers requests on a listener until the program ends. An accept that fails is retried.
+func (s *Server) Serve(listener net.Listener) error {
 	begun := time.Now()
 	clock := func() time.Duration { return time.Since(begun) }
-	accepts := netretry.NewFailures("management: accept", s.limits.LogEvery, s.log, clock)
-	l = netretry.NewListener(l, netretry.BackoffOf(s.limits), accepts)
-	// Against running out of descriptors: callers that finish no call give way to others in time.
-	return s.http.Serve(netutil.LimitListener(l, s.limits.Operators))
+	failures := netretry.NewFailures("management: accept", s.limits.LogEvery, s.log, clock)
+	listener = netretry.NewListener(listener, netretry.BackoffOf(s.limits), failures)
+	// The limit prevents clients that finish no request from taking all descriptors.
+	return s.http.Serve(netutil.LimitListener(listener, s.limits.Operators))
 }
 
-func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
+// ready answers whether the pooler serves.
+func (s *Server) ready(response http.ResponseWriter, _ *http.Request) {
 	if !s.pooler.Figures().Ready {
-		http.Error(w, "not ready", http.StatusServiceUnavailable)
+		http.Error(response, "not ready", http.StatusServiceUnavailable)
 		return
 	}
-	fmt.Fprintln(w, "ready")
+	writeText(response, "ready\n")
 }
 
-func (s *Server) telemetry(w http.ResponseWriter, _ *http.Request) {
-	f := s.pooler.Figures()
-	var b strings.Builder
-	for _, name := range slices.Sorted(maps.Keys(f.Classes)) {
-		a := f.Classes[name]
-		fmt.Fprintf(&b, "app.downstream_requests.%s.completed=%d\n", name, a.Served)
-		fmt.Fprintf(&b, "app.downstream_requests.%s.rejected=%d\n", name, a.Refused)
-		fmt.Fprintf(&b, "app.downstream_requests.%s.failed=%d\n", name, a.Failed)
-	}
-	fmt.Fprintf(&b, "app.upstream_requests=%d\napp.pending=%d\napp.members=%d\napp.members_unavailable=%d\n",
-		f.Written, f.Pending, f.Members, f.Unavailable)
-	fmt.Fprintf(&b, "app.config_reloads=%d\napp.config_reload_errors=%d\n", f.Reloads, f.ReloadErrors)
-	fmt.Fprintf(&b, "app.bans_unsaved=%d\n", s.pooler.BansUnsaved())
-	if f.Admission != nil {
-		doorLines(&b, f.Admission)
-	}
-	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	w.Write([]byte(b.String()))
+// telemetry answers with all figures, one line each.
+func (s *Server) telemetry(response http.ResponseWriter, _ *http.Request) {
+	response.Header().Set("Content-Type", "text/plain; charset=utf-8")
+	writeText(response, figureLines(s.pooler.Figures(), s.pooler.BansUnsaved()))
 }
 
-func (s *Server) fleet(w http.ResponseWriter, _ *http.Request) {
-	shown(w, s.pooler.Fleet(), "poolers do not talk: [fleet] is off")
+// fleet answers with what is known of the other poolers.
+func (s *Server) fleet(response http.ResponseWriter, _ *http.Request) {
+	writeJSON(response, s.pooler.Fleet(), "poolers do not talk: [fleet] is off")
 }
 
-func (s *Server) works(w http.ResponseWriter, r *http.Request) {
-	bears, err := strconv.ParseFloat(cmp.Or(r.FormValue("bears"), "0"), 64)
-	if err != nil || !(bears >= 0) {
-		http.Error(w, "bears is a number of requests a second", http.StatusBadRequest)
+// works answers with the state of planned maintenance.
+func (s *Server) works(response http.ResponseWriter, request *http.Request) {
+	bears, err := strconv.ParseFloat(cmp.Or(request.FormValue("bears"), "0"), 64)
+	if err != nil || math.IsNaN(bears) || bears < 0 {
+		http.Error(response, "bears is a number of requests a second", http.StatusBadRequest)
 		return
 	}
-	shown(w, s.pooler.Works(bears), "no machines are taken out: [works] is off")
+	writeJSON(response, s.pooler.Works(bears), "no machines are taken out: [works] is off")
 }
 
-// shown answers what there is to be seen.
-func shown(w http.ResponseWriter, v any, off string) {
-	if v == nil {
-		http.Error(w, off, http.StatusNotFound)
+// writeJSON answers with a value, or with status 404 and why there is none.
+func writeJSON(response http.ResponseWriter, value any, off string) {
+	if value == nil {
+		http.Error(response, off, http.StatusNotFound)
 		return
 	}
-	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(v)
+	response.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(response).Encode(value) // the client is gone
+}
+
+// writeText writes the body of an answer.
+func writeText(response http.ResponseWriter, text string) {
+	_, _ = io.WriteString(response, text) // on an error the client is gone
 }
 
-func (s *Server) statements(w http.ResponseWriter, _ *http.Request) {
+// statements answers with what was read of statements.
+func (s *Server) statements(response http.ResponseWriter, _ *http.Request) {
 	done := make(chan *Statements, 1)
 	go func() { done <- s.pooler.Statements() }()
+	var found *Statements
 	select {
-	case v := <-done:
-		if v == nil {
-			http.Error(w, "statements are not read: [statements] mode is off", http.StatusNotFound)
-			return
-		}
-		text, err := json.MarshalIndent(v, "", " ")
-		if err != nil {
-			http.Error(w, err.Error(), http.StatusInternalServerError)
-			return
-		}
-		w.Header().Set("Content-Type", "application/json")
-		w.Write(append(text, '\n'))
+	case found = <-done:
 	case <-time.After(s.limits.OperatorCall):
-		http.Error(w, "the pooler is busy", http.StatusServiceUnavailable)
-	}
-}
-
-func doorLines(b *strings.Builder, f *core.AdmissionFigures) {
-	c := &f.Count
-	for _, v := range []struct {
-		name  string
-		value int64
-	}{{"queued", int64(f.Queued)}, {"offered", c.Offered}, {"admitted", c.Admitted}, {"waited", c.Waited}, {"left", c.Left},
-		{"refused.late", c.TooLate + c.Overtook}, {"refused.full", c.NoRoom}, {"refused.ceiling", c.Capped},
-		{"refused.class_gone", c.Gone}, {"promises.made", c.Promised}, {"promises.none", c.Unpromised},
-		{"promises.early", c.Early}, {"promises.kept", c.Kept}, {"promises.broken", c.Broken}} {
-		fmt.Fprintf(b, "app.door.%s=%d\n", v.name, v.value)
+		http.Error(response, "the pooler is busy", http.StatusServiceUnavailable)
+		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(f.Sojourn)) {
-		fmt.Fprintf(b, "app.door.sojourn_ms.%s=%.3f\n", name, f.Sojourn[name])
+	if found == nil {
+		http.Error(response, "statements are not read: [statements] mode is off", http.StatusNotFound)
+		return
 	}
-	for _, t := range f.Tenants {
-		fmt.Fprintf(b, "app.door.tenants.%s.queued=%d\napp.door.tenants.%s.inside=%d\n", t.Name, t.Queued, t.Name, t.Inside)
-		fmt.Fprintf(b, "app.door.tenants.%s.admitted=%d\napp.door.tenants.%s.refused=%d\n", t.Name, t.Admitted, t.Name, t.Refused)
+	text, err := json.MarshalIndent(found, "", " ")
+	if err != nil {
+		http.Error(response, err.Error(), http.StatusInternalServerError)
+		return
 	}
+	response.Header().Set("Content-Type", "application/json")
+	writeText(response, string(text)+"\n")
 }
 
-func (s *Server) ban(banned bool) http.HandlerFunc {
-	return func(w http.ResponseWriter, r *http.Request) {
-		name := r.PathValue("id")
-		type result struct {
-			known bool
-			err   error
-		}
-		done := make(chan result, 1)
+// exclusionResult is what came of a change of the exclusions.
+type exclusionResult struct {
+	known bool // an endpoint has the name
+	err   error
+}
+
+// exclude returns the handler that excludes endpoints, or includes them again.
+func (s *Server) exclude(excluded bool) http.HandlerFunc {
+	return func(response http.ResponseWriter, request *http.Request) {
+		name := request.PathValue("id")
+		done := make(chan exclusionResult, 1)
 		go func() {
-			known, err := s.pooler.Ban(name, banned)
-			done <- result{known, err}
+			known, err := s.pooler.Ban(name, excluded)
+			done <- exclusionResult{known, err}
 		}()
 		select {
-		case v := <-done:
-			switch {
-			case v.err != nil:
-				s.log.Error().Err(v.err).Str("database", name).Bool("banned", banned).Msg("bans: not kept")
-				http.Error(w, "the ban cannot be kept", http.StatusInternalServerError)
-			case !v.known:
-				http.Error(w, "no database has this id", http.StatusNotFound)
-			default:
-				s.log.Info().Str("database", name).Bool("banned", banned).Msg("bans: changed")
-				fmt.Fprintln(w, "ok")
-			}
+		case result := <-done:
+			s.answerExclusion(response, name, excluded, result)
 		case <-time.After(s.limits.OperatorCall):
-			http.Error(w, "the pooler is busy; it may still be done", http.StatusServiceUnavailable)
+			http.Error(response, "the pooler is busy; it may still be done", http.StatusServiceUnavailable)
 		}
 	}
 }
+
+// answerExclusion answers, and logs, what came of a change of the exclusions.
+func (s *Server) answerExclusion(response http.ResponseWriter, name string, excluded bool, result exclusionResult) {
+	switch {
+	case result.err != nil:
+		s.log.Error().Err(result.err).Str("database", name).Bool("banned", excluded).Msg("exclusions: not saved")
+		http.Error(response, "the ban cannot be kept", http.StatusInternalServerError)
+	case !result.known:
+		http.Error(response, "no database has this id", http.StatusNotFound)
+	default:
+		s.log.Info().Str("database", name).Bool("banned", excluded).Msg("exclusions: changed")
+		writeText(response, "ok\n")
+	}
+}
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -40,9 +40,11 @@
 	b.Signal(syscall.SIGHUP)
 	b.Eventually(func() bool {
 		_, figures := b.Call("GET", "/api/telemetry")
-		for _, line := range []string{"downstream_requests.write.completed=5", "downstream_requests.write.failed=1",
+		for _, line := range []string{
+			"downstream_requests.write.completed=5", "downstream_requests.write.failed=1",
 			"downstream_requests.write.rejected=1", "downstream_requests.read.completed=0", "pending=1", "members=2",
-			"members_unavailable=0", "config_reloads=1", "config_reload_errors=1"} {
+			"members_unavailable=0", "config_reloads=1", "config_reload_errors=1",
+		} {
 			if !strings.Contains(figures, "app."+line+"\n") {
 				return false
 			}
@@ -55,9 +57,11 @@
 // A call that is none of ours, or about nobody, is a plain no.
 func TestNo(t *testing.T) {
 	b := testbed.Start(t)
-	for call, want := range map[string]int{"GET /api/ready": 200, "PUT /api/exclude/nobody": 404,
+	for call, want := range map[string]int{
+		"GET /api/ready": 200, "PUT /api/exclude/nobody": 404,
 		"PUT /api/include/nobody": 404, "GET /api/exclude/db-1": 405, "PUT /api/exclude/": 404, "GET /": 404,
-		"PUT /api/ready": 405, "PUT /api/include/db-1": 200} {
+		"PUT /api/ready": 405, "PUT /api/include/db-1": 200,
+	} {
 		method, path, _ := strings.Cut(call, " ")
 		code, body := b.CallAgain(method, path)
 		require.Equal(t, want, code, "%s: %s", call, body)
--- a/internal/management/serve_test.go
+++ b/internal/management/serve_test.go
@@ -39,8 +39,10 @@
 func TestServeGoesOn(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	failing := &failingListener{Listener: l, errs: []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
-		syscall.ENETDOWN, syscall.ECONNABORTED, syscall.EPERM, syscall.EMFILE}}
+	failing := &failingListener{Listener: l, errs: []error{
+		syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
+		syscall.ENETDOWN, syscall.ECONNABORTED, syscall.EPERM, syscall.EMFILE,
+	}}
 	s := management.New(limits.Limits{Operators: 1, OperatorHead: second, OperatorCall: second}, zerolog.Nop(), ready{})
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve(failing) }()
