--- /dev/null
+++ b/internal/pooler/listen.go
@@ -0,0 +1,24 @@
+package pooler
+
+import (
+	"context"
+	"net"
+
+	"capercove/internal/netretry"
+)
+
+// listenTCP listens on a TCP address.
+func listenTCP(address string) (net.Listener, error) {
+	var config net.ListenConfig
+	return config.Listen(context.Background(), "tcp", address)
+}
+
+// listen listens on an address. Errors that may pass in a moment, as a want of descriptors or an address that another
+// process is about to give up, are retried for a bounded time.
+func (p *Pooler) listen(address string, open func(string) (net.Listener, error)) (listener net.Listener, err error) {
+	err = netretry.Within(p.limits.StartRetry, netretry.BackoffOf(p.limits), netretry.IsMomentary, func() (err error) {
+		listener, err = open(address)
+		return err
+	})
+	return listener, err
+}
