--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -240,11 +240,11 @@
 	}
 }
 
-// quiet passes gnet's log on.
+// quiet passes gnet's log on. None of its lines ends the process: only the start may do that, by an error that it returns.
 type quiet struct{ log zerolog.Logger }
 
 func (q quiet) Debugf(string, ...any)          {}
 func (q quiet) Infof(format string, a ...any)  { q.log.Debug().Msgf(format, a...) }
 func (q quiet) Warnf(format string, a ...any)  { q.log.Warn().Msgf(format, a...) }
 func (q quiet) Errorf(format string, a ...any) { q.log.Error().Msgf(format, a...) }
-func (q quiet) Fatalf(format string, a ...any) { q.log.Fatal().Msgf(format, a...) }
+func (q quiet) Fatalf(format string, a ...any) { q.log.Error().Msgf(format, a...) }
