--- a/internal/flight/serve_test.go
+++ b/internal/flight/serve_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"net"
-	"os"
 	"syscall"
 	"testing"
 	"time"
@@ -13,6 +12,7 @@
 	"capercove/internal/clock"
 	"capercove/internal/core"
 	"capercove/internal/limits"
+	"capercove/internal/testbed/failing"
 )
 
 const patience = 20 * time.Second
@@ -27,10 +27,10 @@
 	require.NoError(t, err)
 	listener, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
-	errs := []error{syscall.ENOBUFS, syscall.EPROTO, syscall.ENETDOWN, syscall.EPERM}
-	failing := &failingListener{Listener: listener, errs: errs}
+	errs := []syscall.Errno{syscall.ENOBUFS, syscall.EPROTO, syscall.ENETDOWN, syscall.EPERM}
+	listening := &failing.Listener{Listener: listener, Errors: errs}
 	ended := make(chan error, 1)
-	go func() { ended <- f.Serve(failing) }()
+	go func() { ended <- f.Serve(listening) }()
 	conn, err := net.DialTimeout("tcp", listener.Addr().String(), patience)
 	require.NoError(t, err)
 	defer conn.Close()
@@ -43,18 +43,3 @@
 	f.server.Stop()
 	require.NoError(t, <-ended)
 }
-
-// failingListener fails the first accepts.
-type failingListener struct {
-	net.Listener
-	errs []error
-}
-
-func (l *failingListener) Accept() (net.Conn, error) {
-	if len(l.errs) == 0 {
-		return l.Listener.Accept()
-	}
-	err := l.errs[0]
-	l.errs = l.errs[1:]
-	return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
-}
--- a/internal/management/serve_test.go
+++ b/internal/management/serve_test.go
@@ -3,7 +3,6 @@
 import (
 	"net"
 	"net/http"
-	"os"
 	"syscall"
 	"testing"
 
@@ -13,23 +12,9 @@
 	"capercove/internal/core"
 	"capercove/internal/limits"
 	"capercove/internal/management"
+	"capercove/internal/testbed/failing"
 )
 
-// failingListener fails the first accepts.
-type failingListener struct {
-	net.Listener
-	errs []error
-}
-
-func (l *failingListener) Accept() (net.Conn, error) {
-	if len(l.errs) == 0 {
-		return l.Listener.Accept()
-	}
-	err := l.errs[0]
-	l.errs = l.errs[1:]
-	return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
-}
-
 // ready is a pooler that is ready; nothing else of it is asked for.
 type ready struct{ management.Pooler }
 
@@ -39,13 +24,13 @@
 func TestServeGoesOn(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	failing := &failingListener{Listener: l, errs: []error{
+	listening := &failing.Listener{Listener: l, Errors: []syscall.Errno{
 		syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 		syscall.ENETDOWN, syscall.ECONNABORTED, syscall.EPERM, syscall.EMFILE,
 	}}
 	s := management.New(limits.Limits{Operators: 1, OperatorHead: second, OperatorCall: second}, zerolog.Nop(), ready{})
 	ended := make(chan error, 1)
-	go func() { ended <- s.Serve(failing) }()
+	go func() { ended <- s.Serve(listening) }()
 	answer, err := http.Get("http://" + l.Addr().String() + "/api/ready")
 	require.NoError(t, err)
 	answer.Body.Close()
