--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -8,27 +8,27 @@
 	"capercove/routing"
 )
 
-// admissionControl is the admission controller, in whose queues requests wait for their turn before the router sees
-// them, with the events that are on their way to it.
+// admissionControl has the admission controller, which queues requests before the router sees them, and the events
+// for its next Step.
 type admissionControl struct {
 	controller *admission.Controller
 	config     admission.Config
 	limits     limits.Admission
-	events     []admission.Event  // for its next Step
-	spare      []admission.Event  // the array of the last batch, to be reused
-	actions    []admission.Action // the array of the last Step's actions, to be reused
+	events     []admission.Event  // collected for the next Step
+	spare      []admission.Event  // the slice of the last batch, to be reused
+	actions    []admission.Action // the result of the last Step; the slice is reused
 }
 
-// admissionState is where a request is, as the admission controller sees it.
+// admissionState is the state of a request in admission control.
 type admissionState uint8
 
 const (
-	notInAdmission admissionState = iota // there is no controller, or it is done with the request
+	notInAdmission admissionState = iota // admission control is off, or no longer tracks the request
 	queuedForAdmission
-	admitted // and holds a place under a concurrency limit
+	admitted // and counted against a concurrency limit
 )
 
-// EnableAdmission puts an admission controller before the router. It must be called before the first request.
+// EnableAdmission puts an admission controller before the router. It must be called before the first Submit.
 func (c *Core) EnableAdmission(config admission.Config, bounds limits.Admission, seed uint64) {
 	c.admission = &admissionControl{
 		config:     config,
@@ -37,7 +37,8 @@
 	}
 }
 
-// ReconfigureAdmission takes in other tenants, weights and limits, all at once. What is queued stays.
+// ReconfigureAdmission replaces the tenants, weights and limits in one step. Queued requests stay queued. It does
+// nothing if admission control is off.
 func (c *Core) ReconfigureAdmission(config admission.Config) {
 	if c.admission == nil {
 		return
@@ -47,7 +48,7 @@
 	c.pushAdmission(admission.Event{Kind: admission.Retuned, Settings: &settings})
 }
 
-// admissionSettings joins the operators' settings with the router's classes and this process's bounds.
+// admissionSettings combines the operators' settings with the router's classes and this process's bounds.
 func (c *Core) admissionSettings(config admission.Config, bounds limits.Admission) admission.Settings {
 	routed := c.routerSettings()
 	names := c.settings.Names
@@ -77,7 +78,7 @@
 	c.requestFlush()
 }
 
-// offerForAdmission brings a request to the admission controller.
+// offerForAdmission queues a request for admission.
 func (c *Core) offerForAdmission(request *Request, timeLeft time.Duration) {
 	request.admission = queuedForAdmission
 	c.pushAdmission(admission.Event{Kind: admission.Offered, Request: uint64(request.id), Offer: admission.Offer{
@@ -90,7 +91,7 @@
 	}})
 }
 
-// leaveAdmission notifies the admission controller that a request is over, or that it occupies no database any more.
+// leaveAdmission notifies the admission controller that a request is over or no longer occupies a database.
 func (c *Core) leaveAdmission(request *Request) {
 	event := admission.Event{Request: uint64(request.id)}
 	switch request.admission {
@@ -105,8 +106,8 @@
 	request.admission = notInAdmission
 }
 
-// noteAttemptEnded notes how an attempt ended, for the admission controller and for the request's CostObserver.
-func (c *Core) noteAttemptEnded(attempt *Attempt, status routing.Status, took time.Duration) {
+// recordAttemptEnd reports the end of an attempt to the admission controller and to the request's CostObserver.
+func (c *Core) recordAttemptEnd(attempt *Attempt, status routing.Status, took time.Duration) {
 	request := attempt.Request
 	if request.CostObserver != nil {
 		c.observeCost(attempt, status, took)
@@ -123,9 +124,9 @@
 	request.mayHaveRun = request.mayHaveRun || !status.NeverRan()
 }
 
-// noteShedByRouter notifies the admission controller that the router has rejected a request as soon as it was admitted:
-// the databases had no capacity for it.
-func (c *Core) noteShedByRouter(request *Request) {
+// reportNoCapacity notifies the admission controller that the databases had no capacity for a request, if the request
+// is given up within ShedWindow after its admission and was never sent.
+func (c *Core) reportNoCapacity(request *Request) {
 	neverSent := len(request.attempts) == 0
 	if request.admission != admitted || !neverSent {
 		return
@@ -136,17 +137,17 @@
 	}
 }
 
-// retryAfter returns after how long the client of a request that the router rejects should retry: at least what the
-// router says, and later if the admission controller expects to admit it only then.
-func (c *Core) retryAfter(request *Request, least time.Duration) time.Duration {
+// retryAfter returns the Retry-After time for a request that the router rejects. It is at least minimum, and longer if
+// the admission controller expects to admit the request only later.
+func (c *Core) retryAfter(request *Request, minimum time.Duration) time.Duration {
 	if c.admission == nil || request.admission != admitted {
-		return least
+		return minimum
 	}
-	return c.admission.controller.RetryAfter(c.clock(), uint64(request.id), least)
+	return c.admission.controller.RetryAfter(c.clock(), uint64(request.id), minimum)
 }
 
-// stepAdmission hands the admission controller the events that have come in, and performs what it decides. The router
-// gets the admitted requests in the same Flush.
+// stepAdmission passes the collected events to the admission controller and performs its actions. The router receives
+// the admitted requests in the same Flush.
 func (c *Core) stepAdmission() {
 	control := c.admission
 	if len(control.events) == 0 {
@@ -156,14 +157,14 @@
 	control.events = control.spare[:0]
 	now := c.clock()
 	control.actions = control.controller.Step(now, events, control.actions[:0])
-	clear(events) // so that settings they point to can be freed
+	clear(events) // releases the settings that they point to
 	control.spare = events
 	for _, action := range control.actions {
 		c.performAdmission(action, now)
 	}
 }
 
-// performAdmission carries out one action that the admission controller decided on at some time.
+// performAdmission performs one action of the admission controller. now is the time of its Step.
 func (c *Core) performAdmission(action admission.Action, now time.Duration) {
 	if action.Kind == admission.Wake {
 		c.Wheel.At(now+action.After, func() { c.pushAdmission(admission.Event{Kind: admission.Woken}) })
@@ -171,7 +172,7 @@
 	}
 	request := c.requests[routing.RequestID(action.Request)]
 	if request == nil || request.admission != queuedForAdmission {
-		return // its client left in the same batch
+		return // the client left in the same batch
 	}
 	if action.Kind == admission.Admit {
 		request.admission = admitted
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -7,15 +7,15 @@
 	"capercove/routing"
 )
 
-// Statement is what a request has a database execute, in the form of its wire, and the backend that carries it.
+// Statement is the statement of a request in the encoding of its wire protocol, bound to the backend that sends it.
 type Statement interface {
-	// Send carries an attempt to its database. The backend reports its end with Core.Done, unless it is cancelled.
+	// Send begins an attempt. The backend reports its end with Core.Done or Core.DoneUnusable, unless it is cancelled.
 	Send(*Attempt) Transmission
 }
 
-// Transmission is an attempt on its way to a database and back.
+// Transmission is an attempt that a backend has begun.
 type Transmission interface {
-	// Cancel ends the attempt. The backend does not report it any more.
+	// Cancel ends the attempt. The backend reports nothing about it afterwards.
 	Cancel()
 }
 
@@ -23,21 +23,21 @@
 type Attempt struct {
 	Request  *Request
 	Member   *Member
-	Deadline time.Duration // on the core's clock: the attempt is cancelled then
-	WriteBy  time.Duration // on the core's clock: it must not be written later than this; 0: at any time; see MaySend
+	Deadline time.Duration // on the core's clock; the attempt is cancelled at this time
+	WriteBy  time.Duration // on the core's clock; it must not be written later; 0: no limit; see MaySend
 
-	number         int               // among the request's attempts, from 0
+	number         int               // index among the request's attempts
 	sentAt         time.Duration     // when the router decided on it, on the core's clock
-	firstPieceAt   time.Duration     // when its answer began to stream, on the core's clock; 0: it has not
-	transmission   Transmission      // nil: it ended before it was sent
-	timeout        *timerwheel.Timer // cancels it
-	othersInFlight int               // attempts in flight at its database when it was sent; see CostObserver
-	done           bool              // its outcome has been reported to the router
-	written        bool              // the backend has handed its last byte to the operating system
+	firstPieceAt   time.Duration     // when the first piece of its answer arrived, on the core's clock; 0: none has
+	transmission   Transmission      // nil if it ended before it was sent
+	timeout        *timerwheel.Timer // cancels the attempt
+	othersInFlight int               // other attempts at its database when it was sent; see CostObserver
+	done           bool              // it has ended, see Done
+	written        bool              // its last byte has been handed to the operating system
 }
 
-// send begins an attempt. If the request has been answered meanwhile, or nothing may be begun at the database, it
-// ends at once as not sent.
+// send begins an attempt. The attempt ends at once with NotSent if the request is over or being answered, or if its
+// database accepts no attempts.
 func (c *Core) send(request *Request, action routing.Action) {
 	now := c.clock()
 	attempt := &Attempt{
@@ -57,7 +57,7 @@
 	if request.CostObserver != nil {
 		c.beginCostObservation(attempt)
 	}
-	if request.done || request.answering != nil || !c.mayBegin(attempt.Member) {
+	if request.done || request.answering != nil || !c.acceptsAttempts(attempt.Member) {
 		c.Done(attempt, routing.NotSent, routing.Evidence{}, nil)
 		return
 	}
@@ -65,14 +65,15 @@
 	if c.blocks.UnverifiedAfterExpiry[action.Node] && c.blocksExpired() {
 		c.counters.Blind++
 	}
-	// The timeout ends attempts at databases that are cut off and never close.
+	// The timeout also ends attempts at unreachable databases, whose connections are never closed.
 	attempt.timeout = c.Wheel.At(attempt.Deadline, func() { c.cancel(attempt, routing.TimedOut) })
 	attempt.transmission = request.Statement.Send(attempt)
 }
 
-// MaySend reports whether an attempt that waited for its connection may still be written; a backend calls it directly
-// before the statement goes out. It holds back attempts for a client that has left where attempts cannot be
-// cancelled, reads whose proof of freshness has expired, and attempts at a database that has begun to drain.
+// MaySend reports whether an attempt may still be written. A backend must call it directly before it writes the
+// statement, since the attempt may have waited for a connection. It refuses an attempt whose client has left (also if
+// attempts cannot be cancelled), whose deadline has passed, whose proof of freshness has expired, or whose database is
+// blocked or has been draining for too long.
 func (c *Core) MaySend(attempt *Attempt) bool {
 	c.detectClientGone(attempt.Request)
 	now := c.clock()
@@ -80,10 +81,10 @@
 		return false
 	}
 	inTime := attempt.WriteBy == 0 || now <= attempt.WriteBy
-	return inTime && c.mayBegin(attempt.Member)
+	return inTime && c.acceptsAttempts(attempt.Member)
 }
 
-// Written reports that the last byte of an attempt has been handed over for its database.
+// Written reports that the last byte of an attempt has been handed to the operating system.
 func (c *Core) Written(attempt *Attempt) {
 	if !attempt.written {
 		attempt.written = true
@@ -91,9 +92,9 @@
 	}
 }
 
-// AnswerStarted reports that the answer of an attempt starts to reach the client: from now on no other attempt can
-// answer the request, and a hedged one is cancelled, so that it neither ends the answer nor mixes into it. It returns
-// false if the request is over and nothing may be passed on.
+// AnswerStarted reports that the answer of an attempt starts to reach the client. From now on only this attempt can
+// answer the request. Its other attempts are cancelled: they must neither end the answer nor add to it. AnswerStarted
+// returns false if the request is over or another attempt answers it; nothing may be passed on then.
 func (c *Core) AnswerStarted(attempt *Attempt) bool {
 	request := attempt.Request
 	if attempt.done || request.done {
@@ -111,10 +112,10 @@
 	return true
 }
 
-// AnswerPiece passes on a piece of a long answer, as StreamingClient.Piece does; ready is false if more is called once
-// the client can take more, ok is false if nothing may be passed on. With the first piece the request is bound to this
-// attempt, and from then on only progress is timed: cut off at the deadline, what the database still sends would be
-// lost.
+// AnswerPiece passes a piece of a long answer to the client; see StreamingClient.Piece. ready is false if more will be
+// called once the client accepts another piece. ok is false if nothing may be passed on. The first piece binds the
+// request to this attempt and lifts its deadline, since a cut at the deadline would lose the rest of the answer. From
+// then on ChunkTimeout limits the wait for each piece, and StreamTimeout the whole answer.
 func (c *Core) AnswerPiece(attempt *Attempt, data []byte, more func()) (ready, ok bool) {
 	request := attempt.Request
 	bound := request.answering == attempt || c.AnswerStarted(attempt)
@@ -143,7 +144,8 @@
 	return false, true
 }
 
-// startStreaming notes the first piece of an answer. What follows is the client's time, not the databases'.
+// startStreaming records the first piece of an answer. The client's speed, not the database's, determines the time of
+// the rest; the request therefore no longer counts against a concurrency limit.
 func (c *Core) startStreaming(attempt *Attempt) {
 	request := attempt.Request
 	now := c.clock()
@@ -159,25 +161,26 @@
 	c.leaveAdmission(request)
 }
 
-// awaitPiece sets the timeout for the next piece of an answer: a database that stops halfway is given up.
+// awaitPiece sets the timeout for the next piece of an answer. It ends an attempt whose database stops halfway.
 func (c *Core) awaitPiece(attempt *Attempt) {
 	c.resetTimeout(attempt, min(c.clock()+c.limits.ChunkTimeout, attempt.firstPieceAt+c.limits.StreamTimeout))
 }
 
-// awaitClient leaves only the bound of the whole stream as the timeout of an answer whose client's buffers are full:
-// the front times the client's progress.
+// awaitClient limits only the whole answer while the client's buffers are full. The front limits how long the client
+// may make no progress.
 func (c *Core) awaitClient(attempt *Attempt) {
 	c.resetTimeout(attempt, attempt.firstPieceAt+c.limits.StreamTimeout)
 }
 
-// resetTimeout replaces the time at which an attempt is cancelled.
+// resetTimeout changes the time at which an attempt is cancelled.
 func (c *Core) resetTimeout(attempt *Attempt, at time.Duration) {
 	attempt.timeout.Stop()
 	attempt.timeout = c.Wheel.At(at, func() { c.cancel(attempt, routing.TimedOut) })
 }
 
-// Done ends an attempt. With OK the answer goes to the client, if the request is not over; it is in the form of the
-// wire that both the front and the backend of the request speak, and nil where all of it was streamed.
+// Done ends an attempt and reports its outcome to the router. With status OK, the answer goes to the client unless the
+// request is over or another attempt answers it. The answer is in the encoding of the request's wire protocol, and nil
+// if all of it was streamed. Done does nothing if the attempt has already ended.
 func (c *Core) Done(attempt *Attempt, status routing.Status, evidence routing.Evidence, answer []byte) {
 	if attempt.done {
 		return
@@ -188,7 +191,7 @@
 	request.inFlight--
 	*c.counters.outcome(status)++
 	took := attempt.duration(c.clock())
-	c.noteAttemptEnded(attempt, status, took)
+	c.recordAttemptEnd(attempt, status, took)
 	c.sampleAnswer(attempt, status, evidence)
 	if !request.done {
 		c.answerWith(attempt, status, answer)
@@ -204,8 +207,8 @@
 	c.release(request)
 }
 
-// duration is how long the database took for an attempt that ends now. Of a streamed answer only the time until its
-// first piece counts: how fast the rest comes is the client's doing.
+// duration returns how long the database took for an attempt that ends now. A streamed answer counts only until its
+// first piece: the client's speed determines the time of the rest.
 func (attempt *Attempt) duration(now time.Duration) time.Duration {
 	if attempt.firstPieceAt > 0 {
 		return attempt.firstPieceAt - attempt.sentAt
@@ -213,14 +216,14 @@
 	return now - attempt.sentAt
 }
 
-// mayAnswer reports whether the request's answer may come from this attempt: no other one's is on its way already.
+// mayAnswer reports whether the attempt may answer its request: no other attempt's answer has begun to stream.
 func (attempt *Attempt) mayAnswer() bool {
 	answering := attempt.Request.answering
 	return answering == nil || answering == attempt
 }
 
-// answerWith ends the open request of an attempt that has ended, if the attempt decides it. An answer that was cut
-// halfway is neither sent again nor shown as complete: the request fails.
+// answerWith ends the open request of an attempt that has ended, if the outcome decides it. After an answer that breaks
+// off halfway the request fails: it is neither retried nor reported as served.
 func (c *Core) answerWith(attempt *Attempt, status routing.Status, answer []byte) {
 	request := attempt.Request
 	if !attempt.mayAnswer() {
@@ -237,8 +240,8 @@
 	}
 }
 
-// DoneUnusable ends an attempt whose statement the database cannot use, and the request with it: a bad client's
-// request is not sent again and again, each time counted against another database.
+// DoneUnusable ends an attempt whose statement the database cannot use, and fails the request. Retries would count the
+// fault of the client against one database after another.
 func (c *Core) DoneUnusable(attempt *Attempt, evidence routing.Evidence) {
 	request := attempt.Request
 	if !attempt.done && !request.done && attempt.mayAnswer() {
@@ -247,7 +250,7 @@
 	c.Done(attempt, routing.NodeRejected, evidence, nil)
 }
 
-// cancel ends the wait for an attempt: its connection is closed before anything else is sent for the request.
+// cancel ends an attempt before its answer. Its connection is closed before anything else is sent for the request.
 func (c *Core) cancel(attempt *Attempt, status routing.Status) {
 	if attempt.done {
 		return
@@ -256,7 +259,8 @@
 	c.Done(attempt, status, routing.Evidence{}, nil)
 }
 
-// AttemptsInFlight returns how many attempts are in flight at each of some databases; databases with none are left out.
+// AttemptsInFlight returns the number of attempts in flight at each of the given databases. Databases with none are
+// left out.
 func (c *Core) AttemptsInFlight(databases map[routing.NodeID]bool) map[routing.NodeID]int {
 	inFlight := map[routing.NodeID]int{}
 	for _, request := range c.requests {
--- a/internal/core/blocks.go
+++ b/internal/core/blocks.go
@@ -7,27 +7,28 @@
 	"capercove/routing"
 )
 
-// Blocklist lists the databases that this pooler sends nothing to while machines are in maintenance, as far as it knows
-// the replicated record of it. What it knows holds for the time of a lease. The zero value blocks nothing.
+// Blocklist names the databases to which this pooler sends nothing because their machines may be in maintenance. It
+// is derived from the replicated record of maintenance and valid for the time of a lease. The zero value blocks no
+// database.
 type Blocklist struct {
-	All       bool                    // all databases: the record has not been read yet
-	Databases map[routing.NodeID]bool // nothing new is sent there
+	All       bool                    // block all databases: the record has not been read yet
+	Databases map[routing.NodeID]bool // no new attempts are sent to these
 
-	// SlowStart has databases that have been in maintenance. Once they are admitted again they may have been restarted,
-	// and get a slow start.
+	// SlowStart has the databases that have been in maintenance. They may have been restarted, and get a slow start
+	// when their block ends.
 	SlowStart map[routing.NodeID]bool
 
-	// Expiry is when All and Databases expire; from then on AfterExpiry holds in their place. 0: never.
+	// Expiry is when All and Databases expire, on the core's clock. AfterExpiry replaces them from then on. 0: never.
 	Expiry      time.Duration
 	AfterExpiry map[routing.NodeID]bool
 
-	// UnverifiedAfterExpiry has databases that could be in maintenance after the expiry, but nothing else of their
-	// group is left. They are used, and the attempts there are counted as Blind.
+	// UnverifiedAfterExpiry has the databases that may be in maintenance after the expiry, but are the last ones of
+	// their group. They are used all the same, and Counters.Blind counts the attempts.
 	UnverifiedAfterExpiry map[routing.NodeID]bool
 }
 
-// Block replaces the list of blocked databases. It takes effect before it returns, as an exclusion does. Other than
-// after an exclusion, writes to a blocked primary stop at once.
+// Block replaces the blocklist. Like an exclusion, it takes effect before it returns. Unlike after an exclusion, writes
+// to a blocked primary stop at once.
 func (c *Core) Block(blocks Blocklist) {
 	c.blocks = blocks
 	c.blocksExpiry.Stop()
@@ -37,8 +38,8 @@
 	c.applyBlocks()
 }
 
-// Exclude takes in which databases the operators exclude, each with the time since when. It holds when this returns:
-// attempts that were decided on before and are not on their way yet are taken back by the backends.
+// Exclude replaces the databases that the operators exclude, each with the start of its exclusion on the core's clock.
+// It takes effect before it returns: the backends abort attempts that were decided on before but are not written yet.
 func (c *Core) Exclude(since map[routing.NodeID]time.Duration) {
 	c.excludedByOperators = since
 	c.applyExclusions()
@@ -59,14 +60,14 @@
 	return all
 }
 
-// applyBlocks hands the router what is blocked now.
+// applyBlocks passes the databases that are blocked now to the router, as exclusions.
 func (c *Core) applyBlocks() {
 	now := c.clock()
 	blocked := c.blocked()
-	// The router would take databases that were blocked for a while and never worked on for restarted, and let them
-	// warm up. It is therefore notified, before they are admitted in the same step, that they have been excluded since
-	// this moment only.
-	warm := maps.Clone(c.excluded)
+	// After a long exclusion the router assumes that the database was restarted, and gives it a slow start. A database
+	// that was blocked but not in maintenance was not restarted. The router is therefore first notified that its
+	// exclusion began now. The next event of the same step ends the exclusion.
+	shortened := maps.Clone(c.excluded)
 	lifted := false
 	for id := range c.blockedSince {
 		if blocked[id] {
@@ -74,21 +75,22 @@
 		}
 		delete(c.blockedSince, id)
 		if _, excluded := c.excludedByOperators[id]; !excluded && !c.blocks.SlowStart[id] {
-			warm[id], lifted = now, true
+			shortened[id], lifted = now, true
 		}
 	}
 	for id := range blocked {
 		if _, already := c.blockedSince[id]; !already {
-			c.blockedSince[id] = now - c.settings.DrainGrace // so that no primary's writes go on
+			c.blockedSince[id] = now - c.settings.DrainGrace // past the drain grace: a primary receives no writes
 		}
 	}
 	if lifted {
-		c.pushEvent(routing.Event{Kind: routing.ExclusionsChanged, Exclusions: warm})
+		c.pushEvent(routing.Event{Kind: routing.ExclusionsChanged, Exclusions: shortened})
 	}
 	c.applyExclusions()
 }
 
-// applyExclusions hands the router what operators exclude and what is blocked, and lets both hold at once.
+// applyExclusions puts the operators' exclusions and the blocks into force at the router, the members and the watchers
+// before it returns.
 func (c *Core) applyExclusions() {
 	all := c.excludedByOperators
 	if len(c.blockedSince) > 0 {
@@ -111,10 +113,11 @@
 
 func (c *Core) blocksExpired() bool { return c.blocks.Expiry > 0 && c.clock() >= c.blocks.Expiry }
 
-// mayBegin reports whether anything may be begun at a database now. It does not rely on timers: a process that was not
-// scheduled for a while goes on where it was, before its timers fire, though the database may be blocked by now. One
-// that is draining takes what was decided on before, or what only it can take, for half of the grace.
-func (c *Core) mayBegin(member *Member) bool {
+// acceptsAttempts reports whether attempts may be sent to a database now. It does not rely on timers: a process that
+// was not scheduled for a while resumes before its timers fire, and the database may be blocked by then. For half of
+// the drain grace, a draining database still receives attempts that were decided on before and those that only it can
+// serve. Attempts that a block prevents are counted.
+func (c *Core) acceptsAttempts(member *Member) bool {
 	if member.DrainingSince > 0 && c.clock()-member.DrainingSince >= c.settings.DrainGrace/2 {
 		return false
 	}
--- a/internal/core/clockoffset.go
+++ b/internal/core/clockoffset.go
@@ -7,11 +7,11 @@
 	"capercove/routing"
 )
 
-// The core's clock counts from the wall clock at the start of the process, which may have been wrong. Replication
-// positions are times on the databases' clock: those in answers and load reports show how far the two clocks are apart.
+// The core's clock starts from the wall clock at the start of the process, which may have been wrong. Replication
+// positions are times on the databases' clock: those in answers and load reports show the offset of the two clocks.
 
-// sampleAnswer takes in the replication position that came with an answer. The deduplicated retry of a write may be
-// answered with the commit of the first attempt; its sample therefore begins when the first attempt was sent.
+// sampleAnswer adds a sample for the replication position of an answer. A deduplicated retry of a write may be answered
+// with the commit of the first attempt; the sample therefore begins when the first attempt was sent.
 func (c *Core) sampleAnswer(attempt *Attempt, status routing.Status, evidence routing.Evidence) {
 	request := attempt.Request
 	sample := clockoffset.Sample{
@@ -29,14 +29,14 @@
 	c.addClockSample(sample)
 }
 
-// sampleReport takes in the replication position of the load report that answered a health check, which took so long.
+// sampleReport adds a sample for the replication position of a load report. took is the duration of the health check.
 func (c *Core) sampleReport(took time.Duration, report routing.Evidence) {
 	now := c.clock()
 	c.addClockSample(clockoffset.Sample{Position: report.Position, Sent: now - took, Received: now})
 }
 
-// addClockSample takes in a sample, and hands the router the estimate of the offset if that has changed. Callers add
-// the sample before they push the outcome that it came with: the router judges the outcome by the new estimate.
+// addClockSample adds a sample, and passes the estimate of the offset to the router if it has changed. Callers must add
+// the sample before they push the outcome that it came with: the router evaluates the outcome with the new estimate.
 func (c *Core) addClockSample(sample clockoffset.Sample) {
 	changed := c.offset.Add(sample)
 	c.counters.ClockDissent = c.offset.Dissent()
@@ -51,7 +51,7 @@
 	c.pushEvent(routing.Event{Kind: routing.ClockOffset, Clock: bounds})
 }
 
-// logOffset logs the estimate, or that there is none, at most once per LogInterval.
+// logOffset logs the estimate, or that it is unknown, at most once per LogInterval.
 func (c *Core) logOffset(bounds clockoffset.Bounds) {
 	if !c.offsetLog.allow(c.clock(), c.limits.LogInterval) {
 		return
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,8 +1,8 @@
-// Package core runs the routing decisions for requests of any wire protocol. It knows no socket and no protocol:
-// fronts submit requests and get one final answer each; backends carry attempts and report how they ended.
+// Package core executes the routing decisions for requests of every wire protocol. It has no socket or protocol code:
+// fronts submit requests and receive one final answer for each; backends send attempts and report their outcomes.
 //
-// One goroutine owns a Core and calls everything in it, but for Core.Figures. What comes in is collected as events;
-// Flush hands them to the router (package routing) in one batch and performs the actions that the router decides on.
+// One goroutine owns a Core and makes all calls to it, except to Core.Figures. A Core collects events. Flush passes
+// them to the router (package routing) in one batch and performs the actions that the router returns.
 package core
 
 import (
@@ -27,62 +27,63 @@
 	limits         limits.Request
 	log            zerolog.Logger
 	clock          func() time.Duration // monotonic; the time since the Unix epoch
-	notifyOwner    func()               // has the owner call Flush soon
-	flushRequested bool                 // notifyOwner was called, and Flush has not been since
-	closed         bool                 // AnswerAll was called: no request is accepted any more
+	notifyOwner    func()               // requests that the owner call Flush soon
+	flushRequested bool                 // notifyOwner has been called since the last Flush
+	closed         bool                 // AnswerAll was called: further requests are rejected
 
 	router  *routing.Router
-	events  []routing.Event // for the next Step of the router
+	events  []routing.Event // collected for the next Step of the router
 	actions []routing.Action
-	stall   stall // the last one; zero before the first
+	stall   stall // the most recent one; zero if there was none
 
 	// Settings, in settings.go.
 	settings         *Settings
-	statementRouting bool // the router knows each class as a write and as a read too
-	routerCount      int  // poolers that share the databases, as membership counts them; 0: as in the settings
+	statementRouting bool // the router also has each class as a write and as a read
+	routerCount      int  // poolers that share the databases, by membership; 0: Settings.Routers applies
 
 	// Requests, in request.go.
 	requests    map[routing.RequestID]*Request
-	openNames   map[string]struct{}              // the clients' names of the open requests
-	lastRequest routing.RequestID                // the ID that was given out last
-	pending     pending.Queue[routing.RequestID] // with the router, and sent nowhere yet
-	admission   *admissionControl                // nil: all requests are forwarded at once
+	openNames   map[string]struct{}              // Request.Name of the open requests
+	lastRequest routing.RequestID                // the most recently assigned ID
+	pending     pending.Queue[routing.RequestID] // at the router, and not sent to a database yet
+	admission   *admissionControl                // nil: admission control is off
 
-	// costObserved counts the attempts in flight by database, of requests with a CostObserver.
+	// costObserved counts the attempts in flight by database, for requests with a CostObserver only.
 	costObserved map[routing.NodeID]int
 
 	// The endpoint list, in members.go, and health checks.
 	lister        EndpointLister
 	watchers      []Watcher
 	members       map[routing.NodeID]*Member
-	listReceived  bool        // a list has come from discovery
-	listChanged   bool        // a list has come since members were last forgotten
-	unlistedLog   logThrottle // of entries that were left out
+	listReceived  bool        // discovery has sent a list
+	listChanged   bool        // a list has arrived since the last forgetGone
+	unlistedLog   logThrottle // of list entries that were left out
 	healthChecker HealthChecker
-	hintedProbes  map[routing.NodeID]bool // probes in flight caused by another pooler's hint
+	hintedProbes  map[routing.NodeID]bool // databases with a probe in flight that another pooler's hint caused
 
-	// Exclusions and blocks, in blocks.go: each database with the time since when it is excluded.
-	excluded            map[routing.NodeID]time.Duration // all, as last passed to the router
+	// Exclusions and blocks, in blocks.go: the excluded databases with the start of each exclusion on the core's clock.
+	excluded            map[routing.NodeID]time.Duration // by operators or blocked, as last passed to the router
 	excludedByOperators map[routing.NodeID]time.Duration
 	blocks              Blocklist
-	blockedSince        map[routing.NodeID]time.Duration // of the blocked databases, as if they had been excluded
+	blockedSince        map[routing.NodeID]time.Duration // blocked databases; the start is set back by the drain grace
 	blocksExpiry        *timerwheel.Timer
 
 	// The clock offset, in clockoffset.go.
 	offset    clockoffset.Estimator
-	offsetLog logThrottle // of changes of its estimate
+	offsetLog logThrottle // of changes of the estimate
 
 	// Readiness and figures, in figures.go.
-	ready           func()        // called once; nil from then on
-	readyBy         time.Duration // when ready is called at the latest, on the core's clock
-	stopping        bool          // Stopping was called: the process is about to end
-	observing       bool          // the figures tell what the router sees
+	ready           func()        // nil once it has been called
+	readyBy         time.Duration // latest time at which ready is called, on the core's clock
+	stopping        bool          // Stopping was called: the process is about to exit
+	observing       bool          // Observe was called
 	requestsByGroup map[int]int64 // only while observing
 	figures         atomic.Pointer[Figures]
 }
 
-// New returns a core that calls ready once it is able to serve. The clock must be monotonic; it counts from the Unix
-// epoch, as replication positions do. The core calls notifyOwner when it has something for the next Flush.
+// New returns a core that calls ready once it can serve, or ReadyTimeout after Start at the latest. The clock must be
+// monotonic and return the time since the Unix epoch, as in replication positions. The core calls notifyOwner when the
+// owner has to call Flush.
 func New(
 	settings Settings, seed uint64, bounds limits.Request, log zerolog.Logger,
 	clock func() time.Duration, notifyOwner, ready func(),
@@ -105,8 +106,8 @@
 	}
 }
 
-// Attach names who lists the endpoints, who checks their health and who is notified of members. It must be called
-// before the first event.
+// Attach sets the endpoint lister, the health checker and the watchers of members. It must be called before the first
+// event.
 func (c *Core) Attach(lister EndpointLister, healthChecker HealthChecker, watchers ...Watcher) {
 	c.lister, c.healthChecker, c.watchers = lister, healthChecker, watchers
 }
@@ -114,7 +115,7 @@
 // Now returns the time on the core's clock, as a span since the Unix epoch.
 func (c *Core) Now() time.Duration { return c.clock() }
 
-// Start gives the router its first turn; from then on its own timers drive it.
+// Start triggers the router's first Step, which sets timers for the further ones, and starts publishing figures.
 func (c *Core) Start() {
 	c.pushEvent(routing.Event{Kind: routing.TimerFired})
 	c.readyBy = c.clock() + c.limits.ReadyTimeout
@@ -138,7 +139,7 @@
 	c.requestFlush()
 }
 
-// requestFlush notifies the owner, once until the next Flush.
+// requestFlush notifies the owner, at most once per Flush.
 func (c *Core) requestFlush() {
 	if !c.flushRequested {
 		c.flushRequested = true
@@ -146,7 +147,7 @@
 	}
 }
 
-// Flush hands the router the events that have come in, in one batch, and performs what it decides.
+// Flush passes the collected events to the router in one batch and performs the actions that it returns.
 func (c *Core) Flush() {
 	c.flushRequested = false
 	if c.admission != nil {
@@ -170,8 +171,8 @@
 	c.shedOldest()
 }
 
-// perform carries out one action of the router. Actions for a request that is over, with no attempt in flight, are
-// void.
+// perform performs one action of the router. It ignores actions for a request that is over and has no attempt in
+// flight.
 func (c *Core) perform(action routing.Action) {
 	switch action.Kind {
 	case routing.Subscribe:
@@ -199,12 +200,13 @@
 	}
 }
 
-// giveUp answers a request that the router places no more. One whose answer is on its way to the client can only fail.
+// giveUp ends a request for which the router sends no further attempts. A request whose answer has begun to reach the
+// client can only fail.
 func (c *Core) giveUp(request *Request, action routing.Action) {
 	if request.done {
 		return
 	}
-	c.noteShedByRouter(request)
+	c.reportNoCapacity(request)
 	retryAfter := c.retryAfter(request, action.Delay)
 	if action.Kind == routing.Reject && request.answering == nil {
 		c.reject(request, retryAfter)
--- a/internal/core/costobserver.go
+++ b/internal/core/costobserver.go
@@ -6,22 +6,22 @@
 	"capercove/routing"
 )
 
-// CostObserver is notified of what the attempts of a request took.
+// CostObserver receives the duration of each answered attempt of a request.
 type CostObserver interface {
-	// ObserveCost reports what one attempt that was answered took, and how many others were in flight at its database
-	// when it was sent. Only attempts of requests that have a CostObserver are counted among the others.
+	// ObserveCost reports the duration of an answered attempt, and how many other attempts were in flight at its
+	// database when it was sent. The others include only attempts of requests with a CostObserver.
 	ObserveCost(took time.Duration, others int)
 }
 
-// beginCostObservation counts an attempt of a request with a CostObserver as in flight at its database. Its end is
-// counted by observeCost.
+// beginCostObservation counts an attempt of a request with a CostObserver as in flight at its database, until
+// observeCost is called for it.
 func (c *Core) beginCostObservation(attempt *Attempt) {
 	database := attempt.Member.ID
 	attempt.othersInFlight = c.costObserved[database]
 	c.costObserved[database]++
 }
 
-// observeCost counts an attempt as no longer in flight, and notifies the request's observer of what it took if it was
+// observeCost counts an attempt as no longer in flight, and reports its duration to the request's observer if it was
 // answered.
 func (c *Core) observeCost(attempt *Attempt, status routing.Status, took time.Duration) {
 	database := attempt.Member.ID
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -2,16 +2,16 @@
 
 import "capercove/routing"
 
-// Answers count the requests of one front and class and how they ended.
+// Answers count the requests of one front and class by outcome.
 type Answers struct {
 	Taken   int64 // submitted
 	Served  int64 // answered by a database
-	Refused int64 // rejected: they never ran
-	Failed  int64 // they may have run
-	Gone    int64 // the client left first
+	Refused int64 // rejected: never ran
+	Failed  int64 // failed: may have run
+	Gone    int64 // the client left before the answer
 }
 
-// add returns the sums of both.
+// add returns the sums of a and b.
 func (a Answers) add(b Answers) Answers {
 	return Answers{
 		Taken:   a.Taken + b.Taken,
@@ -22,17 +22,17 @@
 	}
 }
 
-// Counters count what the core took in, sent and answered. Logs and stored state have them under the names of the
-// fields, which keep older words for that reason.
+// Counters count requests, attempts, health checks and further events of the core. Logs and stored state contain the
+// names of the fields; some fields therefore have names that are no longer used elsewhere.
 type Counters struct {
 	Fronts                map[string]map[string]*Answers // by front and class
-	Written               int64                          // attempts written to databases, to the last byte
-	Reloads, ReloadErrors int64                          // configurations taken in; rejected
-	Relieved              int64                          // requests rejected as too many were pending
-	Overdue               int64                          // requests that only the core ended: a fault in this program
-	Attempts              int64                          // handed to a backend
+	Written               int64                          // attempts whose last byte was written to a database
+	Reloads, ReloadErrors int64                          // configurations applied; rejected
+	Relieved              int64                          // requests rejected because too many were pending
+	Overdue               int64                          // failed by failOverdue: a fault in this program
+	Attempts              int64                          // attempts passed to a backend
 
-	// How attempts ended, each by one routing.Status; see outcome.
+	// Ended attempts, by routing.Status; see outcome.
 	Cancelled int64
 	Served    int64 // OK
 	Errors    int64 // NodeError
@@ -44,24 +44,24 @@
 	NotSent   int64
 	Turned    int64 // NodeRejected
 
-	Probes, ProbesFailed int64 // health checks; of them, those that did not end with OK
-	Asked                int64 // probes caused by another pooler's hint
-	KeptOff              int64 // attempts not sent, as their database could be in maintenance
-	Blind                int64 // attempts sent all the same, as nothing else of the group is left; see Blocklist
-	Routers              int   // poolers that share the databases, this one among them
+	Probes, ProbesFailed int64 // health checks; those that did not end with OK
+	Asked                int64 // health checks caused by another pooler's hint
+	KeptOff              int64 // attempts not sent because their database may be in maintenance
+	Blind                int64 // attempts sent to databases that may be in maintenance; see Blocklist
+	Routers              int   // poolers that share the databases, including this one
 
-	Lists, ListsFailed int64 // endpoint lists that came; polls and watches for them that failed
-	Batches, Events    int64 // steps of the router; events that it was handed in them
+	Lists, ListsFailed int64 // endpoint lists received; failed polls and watches
+	Batches, Events    int64 // steps of the router; events passed to it
 
-	ClockAhead   int64   // ms that the databases' clock is at least ahead of this process's; 0: they agree
-	ClockUnknown bool    // it is ahead by an unknown time
-	ClockDissent int     // of the last replication positions, those that do not fit clocks that agree
-	ClockMoves   int64   // changes of the estimate
-	Unlisted     int64   // entries of lists that were left out, as there are too many databases
-	Size         float64 // of the databases, as the router takes them; 1 where none reports it
+	ClockAhead   int64   // ms by which the databases' clock is at least ahead of the core's; 0: they agree
+	ClockUnknown bool    // no upper bound of that offset is known
+	ClockDissent int     // recent replication positions that contradict agreement of the clocks
+	ClockMoves   int64   // changes of the estimated offset
+	Unlisted     int64   // list entries left out because there are too many databases
+	Size         float64 // of the databases, as the router estimates it; 1 if none reports its queue; see Router.Size
 }
 
-// outcome returns the counter of the attempts that ended with a status.
+// outcome returns the counter of attempts that ended with status.
 func (c *Counters) outcome(status routing.Status) *int64 {
 	return [...]*int64{
 		routing.OK:               &c.Served,
@@ -77,7 +77,7 @@
 	}[status]
 }
 
-// Counters returns a snapshot of the counters, which later requests do not change.
+// Counters returns a snapshot of the counters, which later changes do not affect.
 func (c *Core) Counters() Counters {
 	snapshot := c.counters
 	snapshot.Fronts = make(map[string]map[string]*Answers, len(c.counters.Fronts))
@@ -91,7 +91,7 @@
 	return snapshot
 }
 
-// answersOf returns the counters of a front and class.
+// answersOf returns the counters of a front and class. It creates them if there are none yet.
 func (c *Core) answersOf(front, class string) *Answers {
 	classes := c.counters.Fronts[front]
 	if classes == nil {
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -8,43 +8,44 @@
 	"capercove/routing"
 )
 
-// Figures are the operators' view. A published one never changes.
+// Figures are the state and the counters that operators see. Published figures are never modified.
 type Figures struct {
 	Ready                 bool
-	Classes               map[string]Answers // over all fronts
-	Written               int64              // attempts that were written to databases, to the last byte
-	Pending               int                // requests that await their answer
-	Members, Unavailable  int                // databases of the list; of them, those that the router does not use
-	Reloads, ReloadErrors int64              // configurations taken in; rejected
-	Admission             *AdmissionFigures  // nil: there is no admission control
+	Classes               map[string]Answers // by class, summed over all fronts
+	Written               int64              // attempts whose last byte was written to a database
+	Pending               int                // requests without a final answer
+	Members, Unavailable  int                // listed databases; those that the router does not use
+	Reloads, ReloadErrors int64              // configurations applied; rejected
+	Admission             *AdmissionFigures  // nil: admission control is off
 	Databases             []DatabaseStatus   // nil unless Observe was called
 	Asks                  map[int]int64      // requests by group; nil unless Observe was called
 	Blind                 int64              // attempts sent to databases that may be in maintenance; see Blocklist
 }
 
-// AdmissionFigures are the operators' view of admission control.
+// AdmissionFigures are the state and the counters of admission control that operators see. Logs contain the names of
+// the fields.
 type AdmissionFigures struct {
 	Count   admission.Counters
 	Queued  int
-	Sojourn map[string]float64 // quantiles in milliseconds of the requests that waited and were admitted
+	Sojourn map[string]float64 // percentiles of the queuing time of admitted requests, in milliseconds, by name
 	Tenants []admission.TenantFigures
 	Lanes   []admission.QueueFigures
 }
 
-// sojournQuantiles are the percentiles under the names that AdmissionFigures.Sojourn has them.
-var sojournQuantiles = map[string]float64{"p50": 50, "p99": 99, "max": 100}
+// sojournPercentiles maps the keys of AdmissionFigures.Sojourn to percentiles.
+var sojournPercentiles = map[string]float64{"p50": 50, "p99": 99, "max": 100}
 
 const microsecondsPerMillisecond = 1000
 
-// DatabaseStatus is what the router knows of a database by its own evidence.
+// DatabaseStatus is the router's view of a database, from its own attempts and probes.
 type DatabaseStatus struct {
 	routing.NodeStatus
 	Name        string
 	Group, Zone int
-	MayAsk      bool // a probe may be sent there
+	MayAsk      bool // another pooler's hint may cause a probe of it; see Core.ProbeByName
 }
 
-// Figures returns the figures as they were last published. Any goroutine may call it.
+// Figures returns the figures that were published last. It is safe for concurrent use.
 func (c *Core) Figures() Figures {
 	if published := c.figures.Load(); published != nil {
 		return *published
@@ -52,16 +53,16 @@
 	return Figures{}
 }
 
-// Observe adds what the router knows of databases, and the requests by group, to the figures.
+// Observe adds the router's view of each database and the requests by group to the figures.
 func (c *Core) Observe() {
 	c.observing = true
 	c.requestsByGroup = map[int]int64{}
 }
 
-// Stopping takes in that this process is about to end: it is ready no more.
+// Stopping marks this process as about to exit: from now on it is not ready.
 func (c *Core) Stopping() { c.stopping = true }
 
-// publish replaces the figures, now and from then on at an interval, and looks whether the core has become ready.
+// publish replaces the figures, checks readiness, and schedules its next call after FiguresInterval.
 func (c *Core) publish() {
 	figures := c.collectFigures()
 	now := c.clock()
@@ -71,7 +72,7 @@
 	c.Wheel.At(now+c.limits.FiguresInterval, c.publish)
 }
 
-// checkReady calls ready, once, if the core can serve or has waited for that long enough.
+// checkReady calls ready, once, if the core can serve or ReadyTimeout has passed.
 func (c *Core) checkReady(now time.Duration, members int) {
 	if c.ready == nil || c.stopping {
 		return
@@ -83,7 +84,7 @@
 	}
 }
 
-// collectFigures returns the figures as of now, but for Ready.
+// collectFigures returns the current figures, without Ready.
 func (c *Core) collectFigures() Figures {
 	return Figures{
 		Classes:      c.answersByClass(),
@@ -100,8 +101,8 @@
 	}
 }
 
-// answersByClass sums up the answers of all fronts. Each class of the settings is named, also if nothing has come in
-// it.
+// answersByClass sums up the answers of all fronts. It has an entry for each class of the settings, even without
+// requests.
 func (c *Core) answersByClass() map[string]Answers {
 	sums := map[string]Answers{}
 	for _, name := range c.settings.Names {
@@ -115,7 +116,7 @@
 	return sums
 }
 
-// databaseStatuses returns what the router knows of databases now, nil unless Observe was called.
+// databaseStatuses returns the router's view of each member. It is nil unless Observe was called.
 func (c *Core) databaseStatuses() []DatabaseStatus {
 	if !c.observing {
 		return nil
@@ -138,7 +139,7 @@
 	return statuses
 }
 
-// AdmissionFigures returns the figures of admission control, nil if there is none.
+// AdmissionFigures returns the current figures of admission control. They are nil if it is off.
 func (c *Core) AdmissionFigures() *AdmissionFigures {
 	if c.admission == nil {
 		return nil
@@ -152,8 +153,8 @@
 		Tenants: tenants[:min(len(tenants), c.admission.limits.MaxListedTenants)],
 		Lanes:   controller.Queues(),
 	}
-	for name, quantile := range sojournQuantiles {
-		figures.Sojourn[name] = float64(controller.Sojourn.ValueAtQuantile(quantile)) / microsecondsPerMillisecond
+	for name, percentile := range sojournPercentiles {
+		figures.Sojourn[name] = float64(controller.Sojourn.ValueAtQuantile(percentile)) / microsecondsPerMillisecond
 	}
 	return figures
 }
--- a/internal/core/healthcheck.go
+++ b/internal/core/healthcheck.go
@@ -6,12 +6,12 @@
 	"capercove/routing"
 )
 
-// HealthChecker requests a database's load report; each call ends with Core.Probed.
+// HealthChecker requests a database's load report. Each call of Probe must end with a call of Core.Probed.
 type HealthChecker interface{ Probe(*Member) }
 
-// ProbeByName probes a database of which another pooler has observed something, and reports whether it did. What comes
-// back is evidence like any other. Nothing is sent to a database that is gone, draining or excluded, or that such a
-// probe is in flight to already.
+// ProbeByName probes a database about which another pooler has published an observation, and reports whether it did.
+// The result is evidence like that of any other probe. A database is not probed if it is gone, draining or excluded, or
+// if it already has such a probe in flight.
 func (c *Core) ProbeByName(name string) (probed bool) {
 	for id, member := range c.members {
 		alreadyProbed := c.hintedProbes[id]
@@ -35,7 +35,7 @@
 	return c.settings.CanProbe && member.State == routing.Ready && !member.Excluded
 }
 
-// Probed reports the end of a probe, and how long it took. The report is valid with status OK.
+// Probed reports the result of a probe and how long it took. The load report is valid only with status OK.
 func (c *Core) Probed(member *Member, status routing.Status, took time.Duration, report routing.Evidence) {
 	if status != routing.OK {
 		c.counters.ProbesFailed++
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -8,11 +8,12 @@
 	"capercove/routing"
 )
 
-// EndpointLister keeps the endpoint list coming: each call ends with Core.UpdateMembers or Core.ListFailed.
+// EndpointLister fetches the endpoint list and its changes. A call of Subscribe leads to calls of Core.ReplaceMembers
+// and Core.UpdateMembers, and to one of Core.ListFailed if the fetch fails.
 type EndpointLister interface{ Subscribe() }
 
-// Watcher is notified of every change of a member before anything is sent under it, and once it is forgotten: if the
-// database comes back, it is another Member.
+// Watcher is notified of members. Changed is called for each change of a member, before anything is sent to the changed
+// member. Forgotten is called once a member is dropped; a database that is listed again later is a new Member.
 type Watcher interface {
 	Changed(*Member)
 	Forgotten(*Member)
@@ -22,8 +23,8 @@
 type Member struct {
 	routing.Node
 	Name, Addr    string
-	Excluded      bool          // by operators, or blocked; a primary's writes may go on for part of the grace
-	DrainingSince time.Duration // when the list first said that it is draining, or gone for good; 0: it is neither
+	Excluded      bool          // by operators, or blocked; a primary may receive writes for a part of the drain grace
+	DrainingSince time.Duration // when it was first listed as draining or permanently gone; 0: neither
 }
 
 // Members returns the names of the databases that are not gone, sorted.
@@ -37,7 +38,7 @@
 	return names
 }
 
-// HasGroup reports whether a member belongs to the group. While there is no member, any group may exist.
+// HasGroup reports whether a member belongs to the group. Without any members it is true, since any group may exist.
 func (c *Core) HasGroup(group int) bool {
 	for _, member := range c.members {
 		if member.Group == group {
@@ -47,31 +48,32 @@
 	return len(c.members) == 0
 }
 
-// HasMember reports whether the database is a member, also one that is gone and not forgotten yet.
+// HasMember reports whether the database is a member, including one that is gone but not forgotten yet.
 func (c *Core) HasMember(id routing.NodeID) bool { return c.members[id] != nil }
 
-// LoadKnownMembers takes in the complete list as it was known before the start.
+// LoadKnownMembers applies the complete list that was stored before the start. It does not count as received from
+// discovery.
 func (c *Core) LoadKnownMembers(entries []Member) {
 	c.ReplaceMembers(entries)
 	c.listReceived = false
 }
 
-// ReplaceMembers takes in the complete list: members that it does not name are gone. New entries beyond the bound are
-// left out.
+// ReplaceMembers applies the complete list: members that it does not contain are gone. New entries beyond MaxMembers
+// are left out.
 func (c *Core) ReplaceMembers(entries []Member) {
-	nodes := c.updateListed(entries)
+	nodes := c.applyEntries(entries)
 	c.markUnlistedGone(nodes)
 	c.pushList(routing.ListComplete, nodes)
 }
 
-// UpdateMembers takes in the entries of the list that changed. New entries beyond the bound are left out.
+// UpdateMembers applies the changed entries of the list. New entries beyond MaxMembers are left out.
 func (c *Core) UpdateMembers(entries []Member) {
-	nodes := c.updateListed(entries)
+	nodes := c.applyEntries(entries)
 	c.pushList(routing.ListUpdated, nodes)
 }
 
-// updateListed takes in the entries of a list, and returns the nodes of those that were not left out.
-func (c *Core) updateListed(entries []Member) []routing.Node {
+// applyEntries applies the entries of a list, and returns the nodes of all that were not left out.
+func (c *Core) applyEntries(entries []Member) []routing.Node {
 	c.listReceived = true
 	c.listChanged = true
 	c.counters.Lists++
@@ -87,7 +89,7 @@
 	return nodes
 }
 
-// pushList hands the router a list, and blocks the members that it has added if all are blocked.
+// pushList passes a list to the router. If all databases are blocked, it also blocks the members that the list added.
 func (c *Core) pushList(kind routing.EventKind, nodes []routing.Node) {
 	c.pushEvent(routing.Event{Kind: kind, Nodes: nodes})
 	if c.blocks.All {
@@ -95,7 +97,7 @@
 	}
 }
 
-// skipEntry counts an entry that is left out, and logs one at most once per LogInterval.
+// skipEntry counts an entry that is left out. It logs at most one per LogInterval.
 func (c *Core) skipEntry(entry Member) {
 	c.counters.Unlisted++
 	if !c.unlistedLog.allow(c.clock(), c.limits.LogInterval) {
@@ -105,7 +107,7 @@
 		Msg("endpoint list: too many databases")
 }
 
-// markUnlistedGone marks the members that a complete list does not name.
+// markUnlistedGone marks the members that a complete list does not contain as gone.
 func (c *Core) markUnlistedGone(nodes []routing.Node) {
 	listed := make(map[routing.NodeID]bool, len(nodes))
 	for _, node := range nodes {
@@ -120,7 +122,7 @@
 	}
 }
 
-// updateMember takes in an entry of the list. The entry's Excluded and DrainingSince are ignored: the core keeps these
+// updateMember applies an entry of the list. It ignores the entry's Excluded and DrainingSince, which the core sets
 // itself.
 func (c *Core) updateMember(entry Member) {
 	member := c.members[entry.ID]
@@ -128,12 +130,12 @@
 		member = &Member{}
 		c.members[entry.ID] = member
 	}
-	drainingSince := member.DrainingSince // by earlier lists
+	drainingSince := member.DrainingSince // from earlier lists
 	*member = entry
 	_, member.Excluded = c.excluded[member.ID]
 	member.DrainingSince = 0
-	goneForGood := entry.State == routing.Gone && (drainingSince > 0 || !c.settings.OnlyDrainingBinds)
-	if entry.State == routing.Draining || goneForGood {
+	permanentlyGone := entry.State == routing.Gone && (drainingSince > 0 || !c.settings.OnlyDrainingBinds)
+	if entry.State == routing.Draining || permanentlyGone {
 		member.DrainingSince = cmp.Or(drainingSince, c.clock())
 	}
 	c.notifyChanged(member)
@@ -146,8 +148,8 @@
 	}
 }
 
-// forgetGone drops the gone members that the router has forgotten too. It runs after the router's Step, which was
-// notified of the list.
+// forgetGone drops the gone members that the router has dropped too. It must run after the router's Step that processed
+// the list.
 func (c *Core) forgetGone() {
 	c.listChanged = false
 	for id, member := range c.members {
@@ -161,7 +163,7 @@
 	}
 }
 
-// ListFailed reports that a poll for the list failed or that the watch broke.
+// ListFailed reports that a poll for the list failed or that its watch broke.
 func (c *Core) ListFailed() {
 	c.counters.ListsFailed++
 	c.pushEvent(routing.Event{Kind: routing.ListFailed})
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -7,74 +7,74 @@
 	"capercove/routing"
 )
 
-// Client gets the one final answer of a request: one of its methods is called, once, on the core's goroutine. None is
-// called after Core.ClientGone.
+// Client receives the final answer of a request: exactly one of its methods is called, once, on the core's goroutine.
+// None is called after Core.ClientGone.
 type Client interface {
-	// Served gets the answer as the backend reported it with the attempt, nil where all of it was streamed.
+	// Served delivers the answer as the backend passed it to Core.Done. It is nil if all of it was streamed.
 	Served(answer []byte)
-	// Rejected reports that the request never ran. The client may retry it after this long.
+	// Rejected reports that the request never ran. The client may retry it after retryAfter.
 	Rejected(retryAfter time.Duration)
-	// Failed reports that the request failed for good. It may have run, unless it is Unusable.
+	// Failed reports that the request failed permanently. It may have run, unless why is Unusable.
 	Failed(why Failure)
 }
 
-// StreamingClient is a Client that can take a long answer in pieces. Served or Failed follows the last one.
+// StreamingClient is a Client that accepts a long answer in pieces. Served or Failed follows the last piece.
 type StreamingClient interface {
-	// Piece passes bytes on; they are the callee's only until it returns. If the client's buffers are full, it returns
-	// false and calls more once, later, when they are not.
+	// Piece passes on bytes, which the callee must not use after it returns. If the client's buffers are full, it
+	// returns false, and calls more once as soon as they have room.
 	Piece(data []byte, more func()) bool
 }
 
-// DepartureDetector is a Client that can look for itself whether its user has closed the connection or cancelled the
-// request, before the front has read that.
+// DepartureDetector is a Client that can check its connection. HasLeft reports whether the user has closed the
+// connection or cancelled the request, even if the front has not read that yet.
 type DepartureDetector interface{ HasLeft() bool }
 
-// Failure is why a request failed.
+// Failure is the reason for which a request failed.
 type Failure uint8
 
 // The reasons for which requests fail.
 const (
 	ConnectionBroke  Failure = iota // it may have run
 	DeadlineExceeded                // no answer in time; it may have run
-	Unusable                        // the databases cannot use it
+	Unusable                        // the databases cannot use the statement
 )
 
-// Request is one request of a client. The front fills in the exported fields.
+// Request is one request of a client. The front sets the exported fields before Submit.
 type Request struct {
-	Front        string        // the front's name, for the counters
-	Name         string        // the client's name for it; only one of a name may be open
-	Class        int           // number of its class, as Core.Class returns it
+	Front        string        // name of the front, for the counters
+	Name         string        // the client's name for it, unique among the open requests
+	Class        int           // number of its class; see Core.Class
 	Group        int           // number of the group of databases
-	Session      uint64        // hash of the session's key; 0: none
-	TimeLeft     time.Duration // from now until the client quits; under 0: it has quit waiting
-	LastWrite    time.Duration // when the session last committed, by the databases' clock; 0: never
+	Session      uint64        // hash of the session key; 0: none
+	TimeLeft     time.Duration // until the client stops waiting; negative: it has stopped
+	LastWrite    time.Duration // when the session last committed, on the databases' clock; 0: never
 	Statement    Statement     // what the database executes
-	Client       Client        // who gets the answer
-	Route        Route         // how it is routed, if not as its class says
-	ExpectedWork time.Duration // how long a database is expected to take; 0: unknown
-	CostObserver CostObserver  // is notified of what its attempts took; nil: nobody is
-	Tenant       int           // whose it is, for admission control
-	Caller       uint64        // which client of that tenant sent it
+	Client       Client        // receives the answer
+	Route        Route         // how it is routed, if not as its class specifies
+	ExpectedWork time.Duration // expected execution time at a database; 0: unknown
+	CostObserver CostObserver  // receives the durations of its attempts; may be nil
+	Tenant       int           // number of its tenant, for admission control
+	Caller       uint64        // number of its client within the tenant
 
 	id               routing.RequestID
 	deadline         time.Duration     // on the core's clock
-	latencyObjective time.Duration     // of its class, by the settings under which it was submitted
-	routerClass      int               // its class as the router numbers it; see Core.routerClass
-	isWrite          bool              // by its class, or by its route
-	attempts         []*Attempt        // all of them, in the order in which they were sent
-	inFlight         int               // how many of its attempts have not ended
-	answering        *Attempt          // the attempt whose answer is already on its way to the client
+	latencyObjective time.Duration     // of its class, from the settings when it was submitted
+	routerClass      int               // the router's number for its class; see Core.routerClass
+	isWrite          bool              // by its class or its route
+	attempts         []*Attempt        // in the order in which they were sent, including those that have ended
+	inFlight         int               // number of attempts that have not ended
+	answering        *Attempt          // the attempt whose answer has begun to reach the client; nil: none
 	done             bool              // it has its final answer, or needs none
-	overdue          *timerwheel.Timer // fails it some time after its deadline; see failOverdue
+	overdue          *timerwheel.Timer // calls failOverdue some time after its deadline
 	counters         *Answers          // of its front and class
 
 	admission    admissionState
 	admittedAt   time.Duration // on the core's clock
 	mayHaveRun   bool          // one of its attempts may have run
-	lastDuration time.Duration // of the last attempt that was answered, or not in time
+	lastDuration time.Duration // of the last attempt that was answered or timed out
 }
 
-// Open is how many requests await their answer.
+// Open returns the number of requests without a final answer.
 func (c *Core) Open() (n int) {
 	for _, request := range c.requests {
 		if !request.done {
@@ -84,14 +84,14 @@
 	return n
 }
 
-// IsOpen reports whether a request of this name is open.
+// IsOpen reports whether a request with this name is open.
 func (c *Core) IsOpen(name string) bool {
 	_, open := c.openNames[name]
 	return open
 }
 
-// Submit takes a request. It is rejected before Submit returns if too many are open, which bounds the table, or after
-// AnswerAll, since it would be lost when the process ends. All other answers come later.
+// Submit accepts a request. The request is rejected before Submit returns if too many are open, which bounds the table,
+// or after AnswerAll, since the request would be lost when the process exits. All other answers follow later.
 func (c *Core) Submit(request *Request) {
 	request.counters = c.answersOf(request.Front, c.settings.Names[request.Class])
 	request.counters.Taken++
@@ -114,7 +114,7 @@
 	c.requestFlush()
 }
 
-// register enters a request in the table, with what the core has to remember of it.
+// register adds a request to the table of open requests, and sets the fields that the core derives for it.
 func (c *Core) register(request *Request, timeLeft time.Duration) {
 	c.lastRequest++
 	request.id = c.lastRequest
@@ -127,8 +127,8 @@
 	request.overdue = c.Wheel.At(request.deadline+c.limits.OverdueTimeout, func() { c.failOverdue(request) })
 }
 
-// failOverdue ends a request that has no answer some time after its deadline. It guarantees that every request is
-// answered, even if the router or a backend has a fault.
+// failOverdue fails a request that has no answer by OverdueTimeout after its deadline. It guarantees that every request
+// is answered, even if the router or a backend has a fault.
 func (c *Core) failOverdue(request *Request) {
 	if request.done {
 		return
@@ -139,7 +139,7 @@
 	c.pushEvent(routing.Event{Kind: routing.ClientGone, Request: request.id})
 }
 
-// forwardToRouter hands a request to the router with the next batch. The caller requests the Flush.
+// forwardToRouter queues a request for the router's next Step. The caller must request the Flush.
 func (c *Core) forwardToRouter(request *Request, timeLeft time.Duration) {
 	c.pending.Enter(request.id)
 	arrival := routing.Arrival{
@@ -153,7 +153,8 @@
 	c.events = append(c.events, routing.Event{Kind: routing.RequestArrived, Request: request.id, Arrival: arrival})
 }
 
-// ClientGone reports that the client has gone. It needs no answer any more; attempts in flight are cancelled.
+// ClientGone reports that the client has left. The request needs no answer, and the router cancels its attempts in
+// flight if attempts can be cancelled.
 func (c *Core) ClientGone(request *Request) {
 	if request.done {
 		return
@@ -163,9 +164,9 @@
 	c.pushEvent(routing.Event{Kind: routing.ClientGone, Request: request.id})
 }
 
-// detectClientGone ends a request whose client has gone, before its front has heard of that. It prevents an attempt
-// for a client whose close lies unread: behind its requests that are read first, or because the process was not
-// scheduled.
+// detectClientGone ends a request whose client has left before its front has noticed. It prevents an attempt for a
+// client whose close has not been read yet, because earlier requests precede it in the input or because the process was
+// not scheduled.
 func (c *Core) detectClientGone(request *Request) {
 	if request.done {
 		return
@@ -175,8 +176,8 @@
 	}
 }
 
-// AnswerAll answers all open requests, as the program is about to end and they would be lost with it, and rejects
-// what is submitted from then on. A request that was never sent is rejected, since another pooler may take it.
+// AnswerAll answers all open requests, which would be lost when the program exits, and rejects requests that are
+// submitted later. A request that was never sent is rejected, since another pooler may serve it; the others fail.
 func (c *Core) AnswerAll() {
 	c.closed = true
 	for _, request := range c.requests {
@@ -195,8 +196,7 @@
 	}
 }
 
-// shedOldest rejects the pending requests beyond the bound, those that have waited longest first. None of them was
-// sent anywhere.
+// shedOldest rejects the pending requests beyond MaxPending, the oldest first. None of them was sent to a database.
 func (c *Core) shedOldest() {
 	for {
 		id, over := c.pending.Over(c.limits.MaxPending)
@@ -206,12 +206,12 @@
 		request := c.requests[id]
 		c.counters.Relieved++
 		c.pushEvent(routing.Event{Kind: routing.ClientGone, Request: id})
-		c.noteShedByRouter(request)
+		c.reportNoCapacity(request)
 		c.reject(request, c.retryAfter(request, min(request.latencyObjective, c.settings.MaxRetryAfter)))
 	}
 }
 
-// serve ends a request with its answer.
+// serve ends a request with the answer of a database.
 func (c *Core) serve(request *Request, answer []byte) {
 	c.finish(request)
 	request.counters.Served++
@@ -225,14 +225,14 @@
 	request.Client.Rejected(retryAfter)
 }
 
-// fail ends a request that may have run, or never can.
+// fail ends a request that may have run or that the databases cannot use.
 func (c *Core) fail(request *Request, why Failure) {
 	c.finish(request)
 	request.counters.Failed++
 	request.Client.Failed(why)
 }
 
-// failure returns why the router gave up a request that may have run.
+// failure returns the reason for failing a request that may have run and that the router gives up at now.
 func (request *Request) failure(now time.Duration) Failure {
 	if now >= request.deadline {
 		return DeadlineExceeded
@@ -240,7 +240,7 @@
 	return ConnectionBroke
 }
 
-// finish marks a request as over. It stays in the table while attempts are in flight.
+// finish marks a request as over. The request stays in the table while it has attempts in flight.
 func (c *Core) finish(request *Request) {
 	request.done = true
 	request.overdue.Stop()
@@ -250,7 +250,7 @@
 	c.release(request)
 }
 
-// release takes a request out of the table if it is over and nothing is in flight for it.
+// release removes a request from the table if it is over and has no attempts in flight.
 func (c *Core) release(request *Request) {
 	if request.done && request.inFlight == 0 {
 		delete(c.requests, request.id)
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -2,26 +2,26 @@
 
 import "capercove/routing"
 
-// Route is how a request is routed if its statement is not what its class says, such as a write that is labelled with
-// a class of reads. The class's latency objective, deadline and weight hold all the same, and the request is counted
+// Route determines how a request is routed if its statement does not match its class, such as a write that is labelled
+// with a class of reads. The class's latency objective, deadline and weight still apply, and the request is counted
 // under that class.
 type Route uint8
 
 // The routes of requests.
 const (
-	AsLabelled Route = iota // as its class says
-	AsWrite                 // to the primary only, and never retried once it may have run
-	AsRead                  // to any database that has all that was committed before it came, and retried if need be
+	AsLabelled Route = iota // as its class specifies
+	AsWrite                 // to the primary only; never retried once it may have run
+	AsRead                  // to any database with all commits made before the request arrived; may be retried
 	routeCount
 )
 
 // String returns the name of the route.
 func (r Route) String() string { return [routeCount]string{"as labelled", "as write", "as read"}[r] }
 
-// classSuffix is what admission control appends to the name of a class for its requests on this route.
+// classSuffix returns the suffix that admission control appends to the class name for requests on this route.
 func (r Route) classSuffix() string { return [routeCount]string{"", " as a write", " as a read"}[r] }
 
-// apply returns a class as it is routed on this route.
+// apply returns the settings of a class for requests on this route.
 func (r Route) apply(class routing.Class) routing.Class {
 	switch r {
 	case AsWrite:
@@ -32,8 +32,8 @@
 	return class
 }
 
-// EnableStatementRouting lets requests be routed otherwise than their classes say. While it is off, the router knows
-// the classes alone.
+// EnableStatementRouting sets whether Request.Route applies. While it is off, requests are routed as their classes
+// specify, and the router has only the classes of the settings.
 func (c *Core) EnableStatementRouting(on bool) {
 	if on == c.statementRouting {
 		return
@@ -42,7 +42,7 @@
 	c.pushSettings()
 }
 
-// routerClass is the router's number for the class of a request, on its route.
+// routerClass returns the router's number for the class of a request on its route.
 func (c *Core) routerClass(request *Request) int {
 	if !c.statementRouting {
 		return request.Class
@@ -50,7 +50,7 @@
 	return request.Class + int(request.Route)*len(c.settings.Classes)
 }
 
-// routesAsWrite reports whether a request goes to the primary alone, for what it may change there.
+// routesAsWrite reports whether a request is routed as a write, to the primary only.
 func (c *Core) routesAsWrite(request *Request) bool {
 	if c.statementRouting && request.Route != AsLabelled {
 		return request.Route == AsWrite
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -6,13 +6,13 @@
 	"capercove/routing"
 )
 
-// Settings are the router's, with the names of its classes. They are never changed, only replaced as a whole.
+// Settings are the router's settings, with the names of its classes. They are never modified, only replaced as a whole.
 type Settings struct {
 	routing.Settings
 	Names []string // of the classes, in the order of routing.Settings.Classes
 }
 
-// Class returns the number and the settings of a request's class. A class has its number until the next Reconfigure.
+// Class returns the number and the settings of a class. The number is valid until the next Reconfigure.
 func (c *Core) Class(name string) (number int, class *routing.Class, known bool) {
 	number = slices.Index(c.settings.Names, name)
 	if number < 0 {
@@ -21,18 +21,18 @@
 	return number, &c.settings.Classes[number], true
 }
 
-// Reconfigure takes in new settings. What was submitted before keeps its class.
+// Reconfigure replaces the settings. Requests that were submitted before stay in their class.
 func (c *Core) Reconfigure(settings Settings) {
 	c.counters.Reloads++
 	c.settings = &settings
 	c.pushSettings()
 }
 
-// ReloadRejected counts a configuration that was rejected, and therefore not passed to Reconfigure.
+// ReloadRejected counts a configuration that was rejected and therefore not passed to Reconfigure.
 func (c *Core) ReloadRejected() { c.counters.ReloadErrors++ }
 
-// SetRouters takes in how many poolers share the databases, in place of the number in the settings; 0 returns to
-// that.
+// SetRouters sets the number of poolers that share the databases, in place of Settings.Routers. 0 restores
+// Settings.Routers.
 func (c *Core) SetRouters(routers int) {
 	if routers != c.routerCount {
 		c.routerCount = routers
@@ -40,8 +40,9 @@
 	}
 }
 
-// routerSettings are the settings as the router has them: with the number of poolers that is known, and, if
-// statements are routed, with each class as it is, then each as a write, then each as a read. See routerClass.
+// routerSettings returns the settings for the router, with the number of poolers by membership if that is known. With
+// statement routing, the classes appear once per Route: each as it is, then each as a write, then each as a read. See
+// routerClass.
 func (c *Core) routerSettings() routing.Settings {
 	settings := c.settings.Settings
 	if c.routerCount > 0 {
@@ -60,7 +61,7 @@
 	return settings
 }
 
-// pushSettings hands the settings as they are to the router and to the admission controller.
+// pushSettings passes the current settings to the router and to the admission controller.
 func (c *Core) pushSettings() {
 	settings := c.routerSettings()
 	c.counters.Routers = settings.Routers
