--- a/internal/core/attempt_test.go
+++ b/internal/core/attempt_test.go
@@ -10,14 +10,15 @@
 	"capercove/routing"
 )
 
-// hedgedRequest is a request of which two attempts are in flight, at two databases.
+// hedgedRequest is a request with two attempts in flight, at two databases.
 type hedgedRequest struct {
 	*harness
 	client           *client
 	streaming, other *core.Attempt
 }
 
-// newHedgedRequest starts a request whose first attempt is hedged; the answer of the first or of the second streams.
+// newHedgedRequest submits a request whose first attempt is hedged. secondStreams selects the attempt whose answer
+// streams.
 func newHedgedRequest(t *testing.T, secondStreams bool) *hedgedRequest {
 	t.Helper()
 	hedged := &hedgedRequest{harness: newHarness(), client: &client{}}
@@ -32,16 +33,16 @@
 	return hedged
 }
 
-// stream passes a piece of the answer that streams.
+// stream passes on a piece of the streaming answer.
 func (h *hedgedRequest) stream(t *testing.T, piece string) {
 	t.Helper()
 	_, ok := h.core.AnswerPiece(h.streaming, []byte(piece), func() {})
 	require.True(t, ok, piece)
 }
 
-// Once the answer of one attempt streams, it is the request's answer: the other attempt is cancelled, and whatever
-// still comes of it changes nothing. It must neither end the answer nor be mixed into it.
-func TestHedgedAttemptChangesNothingOnceAnAnswerStreams(t *testing.T) {
+// Once the answer of one attempt streams, it is the request's answer. The other attempt is cancelled, and its later
+// events have no effect: they must neither end the answer nor mix data into it.
+func TestHedgedAttemptHasNoEffectOnceAnAnswerStreams(t *testing.T) {
 	for name, later := range map[string]func(t *testing.T, hedged *hedgedRequest){
 		"is answered": func(_ *testing.T, hedged *hedgedRequest) {
 			hedged.core.Done(hedged.other, routing.OK, routing.Evidence{}, []byte("whole"))
@@ -72,7 +73,7 @@
 				hedged.core.Flush()
 				require.Equal(t, []*core.Attempt{hedged.other}, hedged.cancelled)
 				hedged.stream(t, "two ")
-				hedged.pass(6 * time.Second) // past the deadline, which no longer binds
+				hedged.pass(6 * time.Second) // past the deadline, which no longer applies
 				hedged.stream(t, "three")
 				evidence := routing.Evidence{Role: routing.Replica, Position: hedged.now}
 				hedged.core.Done(hedged.streaming, routing.OK, evidence, nil)
@@ -85,7 +86,7 @@
 	}
 }
 
-// newSentRequest is a request with one attempt that may be sent.
+// newSentRequest submits a request, and returns it and its first attempt, which may be sent.
 func newSentRequest(t *testing.T) (*harness, *core.Request, *core.Attempt) {
 	t.Helper()
 	harness := newHarness()
@@ -95,17 +96,17 @@
 	return harness, request, attempt
 }
 
-// list has the endpoint list give the attempt's database a state.
+// list applies an endpoint list in which the attempt's database has a state.
 func (h *harness) list(attempt *core.Attempt, state routing.NodeState) {
 	member := *attempt.Member
 	member.State = state
 	h.core.UpdateMembers([]core.Member{member})
 }
 
-// An attempt that waits for its connection may be written only while it still makes sense: not for a client that has
-// disconnected, even where attempts are not cancelled, not once its deadline has passed, and to a database that drains
-// for half of the grace only, as long as the list does not have it ready again.
-func TestMaySendOnlyWhileTheAttemptIsWanted(t *testing.T) {
+// An attempt that waited for its connection must not be written if its client has disconnected, even if the attempt has
+// not been cancelled, or if its deadline has passed. It may be written to a draining database for half of the drain
+// grace only, unless the database is listed as ready again.
+func TestMaySendRejectsObsoleteAttempts(t *testing.T) {
 	t.Run("client disconnected", func(t *testing.T) {
 		harness, request, attempt := newSentRequest(t)
 		harness.core.ClientGone(request)
@@ -121,23 +122,23 @@
 			harness, _, attempt := newSentRequest(t)
 			harness.list(attempt, state)
 			harness.now += drainGrace/2 - time.Millisecond
-			require.True(t, harness.core.MaySend(attempt), "within half of the grace")
-			harness.list(attempt, state) // listed again: the grace counts from the first time
+			require.True(t, harness.core.MaySend(attempt), "within half of the drain grace")
+			harness.list(attempt, state) // listed again: the drain grace counts from the first list
 			harness.now += time.Millisecond
-			require.False(t, harness.core.MaySend(attempt), "half of the grace is over")
+			require.False(t, harness.core.MaySend(attempt), "half of the drain grace is over")
 			harness.list(attempt, routing.Ready)
-			require.True(t, harness.core.MaySend(attempt), "it is ready again")
+			require.True(t, harness.core.MaySend(attempt), "the database is ready again")
 		})
 	}
 }
 
-// costObserver records how many others each attempt was reported with.
+// costObserver records the number of other attempts that each report contains.
 type costObserver struct{ others []int }
 
 func (o *costObserver) ObserveCost(_ time.Duration, others int) { o.others = append(o.others, others) }
 
-// An attempt that is stopped at the last moment does not lower the count of those in flight at its database.
-func TestAttemptStoppedAtTheLastMomentLeavesOthersInFlight(t *testing.T) {
+// An attempt that a block stops before it is sent must not lower the count of attempts in flight at its database.
+func TestUnsentAttemptLeavesInFlightCountUnchanged(t *testing.T) {
 	harness, observer := newHarness(), &costObserver{}
 	harness.core.ReplaceMembers([]core.Member{newMember(1, routing.Ready)})
 	submit := func(name string) *core.Request {
@@ -151,7 +152,7 @@
 	harness.core.Block(core.Blocklist{
 		Expiry: harness.now + time.Millisecond, AfterExpiry: map[routing.NodeID]bool{1: true},
 	})
-	harness.now += 2 * time.Millisecond // the blocks have expired, and no timer has fired yet
+	harness.now += 2 * time.Millisecond // the blocklist has expired, and no timer has fired yet
 	harness.core.ClientGone(submit("is stopped"))
 	require.Len(t, harness.sent, 1)
 	harness.core.Block(core.Blocklist{})
@@ -161,7 +162,7 @@
 	require.Equal(t, []int{1}, observer.others)
 }
 
-// departingClient is a client that can look whether its user has disconnected.
+// departingClient is a client that can check whether its user has disconnected.
 type departingClient struct {
 	client
 	left bool
@@ -169,9 +170,9 @@
 
 func (d *departingClient) HasLeft() bool { return d.left }
 
-// A client has disconnected and its front has yet to notice: nothing more is sent for it, and it is counted as gone
-// once.
-func TestClientFoundGoneIsSentNothingMore(t *testing.T) {
+// A client has disconnected, and its front has not noticed yet. The core detects it, lets no attempt be written or sent
+// for the client, and counts the request as gone once.
+func TestSendsNothingForClientDetectedAsGone(t *testing.T) {
 	harness, departing := newHarness(), &departingClient{}
 	request := harness.request("x", departing)
 	attempt := harness.submitFirst(t, request)
@@ -181,7 +182,7 @@
 	harness.core.Done(attempt, routing.NotSent, routing.Evidence{}, nil)
 	harness.core.ClientGone(request) // the front notices
 	harness.pass(time.Second)
-	require.Len(t, harness.sent, 1, "it is not sent again")
+	require.Len(t, harness.sent, 1, "the request is not sent again")
 	require.Empty(t, departing.answers)
 	require.Zero(t, harness.core.Open())
 	require.EqualValues(t, 1, harness.core.Counters().Fronts["test"]["read"].Gone)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -10,7 +10,7 @@
 	"capercove/routing"
 )
 
-// A program that is stopped before it is ready never begins to accept clients.
+// A program that is stopped before it is ready must not start to accept clients.
 func TestNeverReadyOnceStopping(t *testing.T) {
 	for name, stopping := range map[string]bool{"running": false, "stopping": true} {
 		t.Run(name, func(t *testing.T) {
@@ -27,9 +27,9 @@
 	}
 }
 
-// At the end what was never sent is rejected, so that its client may go elsewhere, and what may have run has failed.
-// Each gets one answer.
-func TestAnswerAllRejectsWhatWasNeverSent(t *testing.T) {
+// When the program exits, requests that were never sent are rejected, since another pooler may serve them. Requests
+// that may have run fail. Each gets one answer.
+func TestAnswerAllRejectsRequestsNeverSent(t *testing.T) {
 	harness := newHarness()
 	sent, waiting := &client{}, &client{}
 	harness.submitFirst(t, harness.request("a", sent))
@@ -38,15 +38,15 @@
 	harness.core.Flush()
 	require.Equal(t, []string{"failed"}, sent.answers)
 	require.Equal(t, []string{"rejected"}, waiting.answers)
-	late := &client{} // such as a call that had been accepted and reaches the core only now
+	late := &client{} // for example a call that was accepted earlier and reaches the core only now
 	harness.core.Submit(harness.request("c", late))
 	require.Equal(t, []string{"rejected"}, late.answers)
 	harness.core.Flush()
-	require.Len(t, harness.sent, 1, "nothing is sent any more")
+	require.Len(t, harness.sent, 1, "nothing is sent after AnswerAll")
 	require.Zero(t, harness.core.Open())
 }
 
-// knownMembers is how many members of IDs below 20,000 the core has.
+// knownMembers returns the number of members with IDs below 20,000.
 func (h *harness) knownMembers() (known int) {
 	for id := routing.NodeID(1); id < 20_000; id++ {
 		if h.core.HasMember(id) {
@@ -56,8 +56,8 @@
 	return known
 }
 
-// Databases that are gone for long are evicted, and watchers are notified; one that comes back is used again. And a
-// list adds no more members than the bound; those left out are counted.
+// Databases that have been gone for a long time are evicted, and watchers are notified; an evicted database that is
+// listed again is used again. A list adds members only up to the bound; the entries left out are counted.
 func TestGoneMembersAreEvictedAndMembersAreBounded(t *testing.T) {
 	harness := newHarness()
 	for id := routing.NodeID(10); id < 200; id++ {
@@ -67,7 +67,7 @@
 	}
 	known := harness.knownMembers()
 	require.LessOrEqual(t, known, 3+1+11)
-	require.Equal(t, 3+191, known+len(harness.forgotten), "each of those listed is known or was evicted")
+	require.Equal(t, 3+191, known+len(harness.forgotten), "each listed database is known or was evicted")
 	harness.core.ReplaceMembers([]core.Member{newMember(10, routing.Ready)})
 	harness.core.Flush()
 	attempt := harness.submitFirst(t, harness.request("x", &client{}))
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -12,10 +12,10 @@
 	"capercove/routing"
 )
 
-// drainGrace is that of the harness's settings.
+// drainGrace is the DrainGrace of the harness's settings.
 const drainGrace = time.Second
 
-// harness drives a core by hand: its clock, and databases that do as the test requires.
+// harness drives a core: it sets the clock, and takes the place of the statements, the databases and the discovery.
 type harness struct {
 	now       time.Duration
 	core      *core.Core
@@ -24,7 +24,7 @@
 	forgotten []*core.Member
 }
 
-// Send implements core.Statement: the harness stands for the statement of each request.
+// Send implements core.Statement: the harness is the statement of each request.
 func (h *harness) Send(attempt *core.Attempt) core.Transmission {
 	h.sent = append(h.sent, attempt)
 	return &transmission{h, attempt}
@@ -45,7 +45,7 @@
 	sent.harness.cancelled = append(sent.harness.cancelled, sent.attempt)
 }
 
-// Probe is answered at once: all databases keep up, and the first is the primary.
+// Probe reports at once that the database has no lag. Database 1 is the primary.
 func (h *harness) Probe(member *core.Member) {
 	role := routing.Replica
 	if member.ID == 1 {
@@ -61,7 +61,8 @@
 	return harness
 }
 
-// newStartingHarness starts a core with three databases and lets no time pass; it calls ready once it is ready.
+// newStartingHarness starts a core with three databases, without letting time pass. The core calls ready once it is
+// ready.
 func newStartingHarness(ready func()) *harness {
 	harness := &harness{now: 1_800_000_000 * time.Second}
 	settings := routing.Settings{
@@ -88,12 +89,12 @@
 	return harness
 }
 
-// newMember is an entry of the endpoint list.
+// newMember returns an entry of the endpoint list.
 func newMember(id routing.NodeID, state routing.NodeState) core.Member {
 	return core.Member{Node: routing.Node{ID: id, State: state, Group: 1}}
 }
 
-// request is one for group 1 that has 5 s left.
+// request returns a request for group 1 with 5 s left until its deadline.
 func (h *harness) request(name string, client core.Client) *core.Request {
 	return &core.Request{
 		Front: "test", Name: name, Group: 1, TimeLeft: 5 * time.Second, Statement: h, Client: client,
@@ -114,7 +115,7 @@
 	return h.sent[0]
 }
 
-// pass lets time pass.
+// pass advances the clock in steps of 5 ms, and ticks and flushes the core after each.
 func (h *harness) pass(duration time.Duration) {
 	for end := h.now + duration; h.now < end; {
 		h.now += 5 * time.Millisecond
--- a/internal/core/logthrottle_test.go
+++ b/internal/core/logthrottle_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The first line is allowed, and then one each interval, counted from the last that was allowed.
-func TestLogThrottleAllowsOneLineEachInterval(t *testing.T) {
+// The first line is allowed, then one line per interval, counted from the last allowed line.
+func TestLogThrottleAllowsOneLinePerInterval(t *testing.T) {
 	const start, interval = 1_800_000_000 * time.Second, time.Minute
 	var throttle logThrottle
 	require.True(t, throttle.allow(start, interval))
