--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -11,12 +11,12 @@
 // admissionControl has the admission controller, which queues requests before the router sees them, and the events
 // for its next Step.
 type admissionControl struct {
-	controller *admission.Controller
-	config     admission.Config
-	limits     limits.Admission
-	events     []admission.Event  // collected for the next Step
-	spare      []admission.Event  // the slice of the last batch, to be reused
-	actions    []admission.Action // the result of the last Step; the slice is reused
+	controller  *admission.Controller
+	config      admission.Config
+	limits      limits.Admission
+	events      []admission.Event  // collected for the next Step
+	spareEvents []admission.Event  // the slice of the last batch, to be reused
+	actions     []admission.Action // the result of the last Step; the slice is reused
 }
 
 // admissionState is the state of a request in admission control.
@@ -154,11 +154,11 @@
 		return
 	}
 	events := control.events
-	control.events = control.spare[:0]
+	control.events = control.spareEvents[:0]
 	now := c.clock()
 	control.actions = control.controller.Step(now, events, control.actions[:0])
 	clear(events) // releases the settings that they point to
-	control.spare = events
+	control.spareEvents = events
 	for _, action := range control.actions {
 		c.performAdmission(action, now)
 	}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -150,7 +150,7 @@
 	request := attempt.Request
 	now := c.clock()
 	attempt.firstPieceAt = now
-	request.overdue.Stop()
+	request.overdueTimer.Stop()
 	c.pushEvent(routing.Event{
 		Kind:    routing.AnswerStarted,
 		Request: request.id,
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -6,7 +6,7 @@
 type Answers struct {
 	Taken   int64 // submitted
 	Served  int64 // answered by a database
-	Refused int64 // rejected: never ran
+	Refused int64 // rejected: never ran, or a retry is harmless
 	Failed  int64 // failed: may have run
 	Gone    int64 // the client left before the answer
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -12,7 +12,8 @@
 type Client interface {
 	// Served delivers the answer as the backend passed it to Core.Done. It is nil if all of it was streamed.
 	Served(answer []byte)
-	// Rejected reports that the request never ran. The client may retry it after retryAfter.
+	// Rejected reports that the request never ran or that a retry is harmless. The client may retry it after
+	// retryAfter.
 	Rejected(retryAfter time.Duration)
 	// Failed reports that the request failed permanently. It may have run, unless why is Unusable.
 	Failed(why Failure)
@@ -65,7 +66,7 @@
 	inFlight         int               // number of attempts that have not ended
 	answering        *Attempt          // the attempt whose answer has begun to reach the client; nil: none
 	done             bool              // it has its final answer, or needs none
-	overdue          *timerwheel.Timer // calls failOverdue some time after its deadline
+	overdueTimer     *timerwheel.Timer // calls failOverdue some time after its deadline
 	counters         *Answers          // of its front and class
 
 	admission    admissionState
@@ -124,7 +125,7 @@
 	request.isWrite = c.routesAsWrite(request)
 	c.requests[request.id] = request
 	c.openNames[request.Name] = struct{}{}
-	request.overdue = c.Wheel.At(request.deadline+c.limits.OverdueTimeout, func() { c.failOverdue(request) })
+	request.overdueTimer = c.Wheel.At(request.deadline+c.limits.OverdueTimeout, func() { c.failOverdue(request) })
 }
 
 // failOverdue fails a request that has no answer by OverdueTimeout after its deadline. It guarantees that every request
@@ -218,7 +219,7 @@
 	request.Client.Served(answer)
 }
 
-// reject ends a request that never ran.
+// reject ends a request that never ran or whose retry is harmless.
 func (c *Core) reject(request *Request, retryAfter time.Duration) {
 	c.finish(request)
 	request.counters.Refused++
@@ -243,7 +244,7 @@
 // finish marks a request as over. The request stays in the table while it has attempts in flight.
 func (c *Core) finish(request *Request) {
 	request.done = true
-	request.overdue.Stop()
+	request.overdueTimer.Stop()
 	c.pending.Leave(request.id)
 	c.leaveAdmission(request)
 	delete(c.openNames, request.Name)
