--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,4 +1,5 @@
-// Package capacity estimates what databases can take, from what they answer and report. It is pure: no clock, no I/O.
+// Package capacity estimates how much work databases can do, from their answers and load reports. It is pure: callers
+// pass in the time, and it does no I/O.
 package capacity
 
 import (
@@ -6,34 +7,35 @@
 	"time"
 )
 
-// UnitConcurrency is how many requests a database of size 1 works on at once. Databases that report nothing are assumed
-// to have that size. It is measured with databases of three cores.
+// UnitConcurrency is how many requests a database of Size 1, such as one with three cores, executes concurrently.
+// Databases that send no load reports are assumed to have that size.
 const UnitConcurrency = 3.0
 
 const (
-	// sizeGain is the change of the size with each report. It is measured: doubling or halving it changes the
-	// benchmark's score at a second site by under 0.02, while 0.01 and more lowers it.
+	// sizeGain is the relative growth of the size per load report. Doubling or halving it changes the benchmark's
+	// score by less than 0.02; a gain of 0.01 or more lowers the score.
 	sizeGain = 0.002
-	// lossMultiple is how much faster the size falls than it grows: overload is worse than rejections.
+	// lossMultiple is how many times faster the size shrinks than it grows: overload is worse than rejections.
 	lossMultiple = 2
-	// minSize stands for one request at once, maxSize is a guard.
+	// minSize corresponds to one request at a time; maxSize is a safety limit.
 	minSize = 1 / UnitConcurrency
 	maxSize = 64.0
-	// budgetSafety is the share of the budget of a database that is warming up which is used.
+	// budgetSafety is the share of its budget that a warming database is sent.
 	budgetSafety = 0.5
 )
 
-// Size is how much databases work on at once, as a multiple of UnitConcurrency.
+// Size is how many requests a database executes concurrently, as a multiple of UnitConcurrency.
 type Size float64
 
-// AfterReport returns the size after the report of a warm database at which so many requests wait, and so many are in
-// flight for each unit of the size. If as many are in flight as it was assumed to work on, and none wait, it is larger;
-// if as many wait as are worked on, it takes twice as long to answer and is smaller. In between the size is unchanged.
-// No way to derive the size from the latency alone has been found: with few requests at each database the effect cannot
-// be distinguished from chance.
-func (s Size) AfterReport(inFlight, waiting float64) Size {
+// AfterReport returns the size as updated by the load report of a warm database. inFlightPerUnit is the number of
+// requests in flight at it, divided by the size; waiting is the length of the queue that it reports. The size grows if
+// no request waits although the database has as many in flight as it is assumed to execute concurrently. The size
+// shrinks if more requests wait than are executed, since answers then take twice as long. Otherwise it is unchanged.
+// The latency alone does not show the size: with few requests at each database, its effect cannot be distinguished from
+// chance.
+func (s Size) AfterReport(inFlightPerUnit, waiting float64) Size {
 	switch {
-	case waiting <= 0 && inFlight >= UnitConcurrency:
+	case waiting <= 0 && inFlightPerUnit >= UnitConcurrency:
 		s *= 1 + sizeGain
 	case waiting > UnitConcurrency*float64(s):
 		s *= 1 - lossMultiple*sizeGain
@@ -41,21 +43,22 @@
 	return min(maxSize, max(minSize, s))
 }
 
-// SlowStart keeps count of the work that one database was sent and has answered, in requests of mean work, for the
-// time when it is warming up. A start may become known late, so what is sent counts before it too.
+// SlowStart limits what one sender sends to one database that is warming up. It counts the work that was sent and
+// answered, in requests of mean work. Sends to a warm database count too, since its restart may be detected late. The
+// zero value is ready to use.
 type SlowStart struct {
-	sends   []workRecord // of the last window
-	answers []workRecord // of the last window
+	sends   []workRecord // within the last window
+	answers []workRecord // within the last window
 }
 
-// workRecord is the work of one request, and when it was sent or answered.
+// workRecord is the work of one request and the time at which it was sent or answered.
 type workRecord struct {
 	at   time.Duration
 	work float64
 }
 
-// Sent counts a request that was sent. Those before the window are dropped, so that the memory is bounded by what is
-// sent within one.
+// Sent counts a request that was sent. Before it grows its buffer, it drops the sends before the window: the memory is
+// bounded by the number of sends within one window.
 func (s *SlowStart) Sent(now, window time.Duration, work float64) {
 	if len(s.sends) == cap(s.sends) {
 		s.sends = dropBefore(s.sends, now-window)
@@ -68,26 +71,28 @@
 	s.answers = append(s.answers, workRecord{at: now, work: work})
 }
 
-// ForgetAnswers drops the answers of a warm database: they say nothing about what a process that starts later can do.
+// ForgetAnswers drops the answers of a warm database: they do not show what a process that starts later can do.
 func (s *SlowStart) ForgetAnswers() { s.answers = s.answers[:0] }
 
-// Remaining is how much more work may be sent now. It may be less than one request, or negative.
+// Remaining returns how much more work this sender may send now, in requests of mean work. It may be less than one
+// request, or negative.
 //
-// The database is overloaded if all senders together send it more than the multiple of what it can do within the
-// window. Its capacity in a window is taken to be what is believed, or what it answered in the last one since it
-// started, if more: it can surely do that, however little load there is elsewhere, and as each sender counts its own
-// answers, all together keep the budget. At least so much as granted may always be sent in a window.
-func (s *SlowStart) Remaining(now, started, window time.Duration, multiple, believed, granted float64) float64 {
+// A database is overloaded if all senders together send it, within a window, more than multiple times the work that it
+// can do in a window. This capacity is taken to be the estimate or, if more, the work that the database has answered in
+// the last window since it started. Answered work proves the capacity even where the estimate is low for lack of load
+// at other databases. Each sender counts only its own answers, therefore all senders together stay within the budget.
+// The budget of a window is never less than minBudget.
+func (s *SlowStart) Remaining(now, started, window time.Duration, multiple, estimate, minBudget float64) float64 {
 	windowStart := now - window
 	s.sends = dropBefore(s.sends, windowStart)
 	s.answers = dropBefore(s.answers, max(started, windowStart))
-	budget := budgetSafety * multiple * max(believed, totalWork(s.answers))
-	return max(granted, budget) - totalWork(s.sends)
+	budget := budgetSafety * multiple * max(estimate, totalWork(s.answers))
+	return max(minBudget, budget) - totalWork(s.sends)
 }
 
-// dropBefore drops the records from before a time.
-func dropBefore(records []workRecord, from time.Duration) []workRecord {
-	return slices.DeleteFunc(records, func(record workRecord) bool { return record.at < from })
+// dropBefore drops the records from before start, in place.
+func dropBefore(records []workRecord, start time.Duration) []workRecord {
+	return slices.DeleteFunc(records, func(record workRecord) bool { return record.at < start })
 }
 
 func totalWork(records []workRecord) (work float64) {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -10,27 +10,27 @@
 	"capercove/internal/capacity"
 )
 
-// A database that works on so many requests at once, sent as many as its size allows: the size settles so that about as
-// many wait as are worked on, whatever the size it began with.
-func TestSizeSettles(t *testing.T) {
+// A database that executes one request per core always has as many requests in flight as its size allows. The size
+// converges from any initial size: the database is fully used, and no more requests wait than are executed.
+func TestSizeConverges(t *testing.T) {
 	for _, cores := range []float64{1, 3, 8, 40} {
-		for _, begin := range []capacity.Size{0.5, 1, 30} {
-			t.Run(fmt.Sprintf("%v at once, from size %v", cores, begin), func(t *testing.T) {
-				size := begin
+		for _, initial := range []capacity.Size{0.5, 1, 30} {
+			t.Run(fmt.Sprintf("%v cores, initial size %v", cores, initial), func(t *testing.T) {
+				size := initial
 				for range 10000 {
-					inFlight := 4 * float64(size) // sent up to the bound of a database of that size
+					inFlight := 4 * float64(size) // the bound of a database of that size
 					size = size.AfterReport(inFlight/float64(size), max(0, inFlight-cores))
 				}
 				inFlight := 4 * float64(size)
-				require.GreaterOrEqual(t, inFlight, cores*0.99, "it idles")
+				require.GreaterOrEqual(t, inFlight, cores*0.99, "not fully used")
 				waiting := inFlight - cores
-				require.LessOrEqual(t, waiting, capacity.UnitConcurrency*float64(size)*1.01, "it is overloaded")
+				require.LessOrEqual(t, waiting, capacity.UnitConcurrency*float64(size)*1.01, "overloaded")
 			})
 		}
 	}
 }
 
-// Databases with little in flight are no evidence of their size, and neither are short queues.
+// Few requests in flight or a short queue do not show the size of a database.
 func TestSizeIsUnchangedWithoutEvidence(t *testing.T) {
 	size := capacity.Size(2)
 	require.Equal(t, size, size.AfterReport(capacity.UnitConcurrency-0.1, 0))
@@ -38,13 +38,14 @@
 	require.Equal(t, size, size.AfterReport(0, capacity.UnitConcurrency*2))
 }
 
-// slowStartDatabase works through a queue, that many requests a second, for senders that each have a budget.
+// slowStartDatabase is a warming database that executes the requests of several senders in order. Each sender has its
+// own budget.
 type slowStartDatabase struct {
-	senders [7]capacity.SlowStart
-	queue   []int           // senders of the requests
-	sent    []time.Duration // in the last window
-	most    int             // sent in a window
-	done    int
+	senders     [7]capacity.SlowStart
+	queue       []int           // for each waiting request, the index of its sender
+	sent        []time.Duration // times of the sends in the last window
+	maxInWindow int             // the largest number of sends in a window
+	done        int             // requests that were answered
 }
 
 const (
@@ -52,13 +53,13 @@
 	slowStartMultiple = 3.0
 )
 
-// send has each sender send a request if its budget allows it. More is wanted than the database can do: a second pass
-// would overload it.
+// send makes each sender whose budget allows it send one request. The demand exceeds the capacity: without budgets the
+// database would be overloaded.
 func (d *slowStartDatabase) send(now time.Duration) {
-	share := 3.0 / float64(len(d.senders))
+	minBudget := 3.0 / float64(len(d.senders))
 	for i := range d.senders {
 		sender := &d.senders[i]
-		if len(d.queue) < 60 && sender.Remaining(now, 0, slowStartWindow, slowStartMultiple, 0, share) >= 0.4 {
+		if len(d.queue) < 60 && sender.Remaining(now, 0, slowStartWindow, slowStartMultiple, 0, minBudget) >= 0.4 {
 			sender.Sent(now, slowStartWindow, 1)
 			d.sent = append(d.sent, now)
 			d.queue = append(d.queue, i)
@@ -66,7 +67,7 @@
 	}
 }
 
-// answer ends the first request.
+// answer answers the first request of the queue.
 func (d *slowStartDatabase) answer(now time.Duration) {
 	if len(d.queue) > 0 {
 		d.senders[d.queue[0]].Answered(now, 1)
@@ -75,39 +76,39 @@
 	}
 }
 
-// measure records how many were sent in the window.
-func (d *slowStartDatabase) measure(now time.Duration) {
+// recordWindow updates maxInWindow with the number of sends in the window that ends now.
+func (d *slowStartDatabase) recordWindow(now time.Duration) {
 	for len(d.sent) > 0 && now-d.sent[0] > slowStartWindow {
 		d.sent = d.sent[1:]
 	}
-	d.most = max(d.most, len(d.sent))
+	d.maxInWindow = max(d.maxInWindow, len(d.sent))
 }
 
-// Many senders that each count their own answers keep to the budget of a database together, and use it up to what the
-// database can do, though each begins with next to nothing and estimates that it can do nothing.
-func TestSlowStartOfManySenders(t *testing.T) {
+// Each sender counts only its own answers. Together the senders stay within the budget of the database and use most of
+// its capacity, although each starts with the minimum budget and an estimated capacity of zero.
+func TestSlowStartSendersShareTheBudget(t *testing.T) {
 	const step = time.Millisecond
-	for _, perSecond := range []int{40, 300} { // what the database does
-		t.Run(fmt.Sprintf("%d a second", perSecond), func(t *testing.T) {
+	for _, perSecond := range []int{40, 300} { // capacity of the database
+		t.Run(fmt.Sprintf("%d requests per second", perSecond), func(t *testing.T) {
 			var database slowStartDatabase
 			for now := step; now < 20*time.Second; now += step {
 				database.send(now)
 				if int(now/step)*perSecond/1000 > int((now-step)/step)*perSecond/1000 {
 					database.answer(now)
 				}
-				database.measure(now)
+				database.recordWindow(now)
 			}
 			budget := slowStartMultiple * float64(perSecond) * slowStartWindow.Seconds()
-			require.LessOrEqual(t, float64(database.most), budget)
-			require.Greater(t, float64(database.done), 0.9*18*float64(perSecond), "what it could do is not used")
+			require.LessOrEqual(t, float64(database.maxInWindow), budget)
+			require.Greater(t, float64(database.done), 0.9*18*float64(perSecond), "capacity is not used")
 		})
 	}
 }
 
-// Answers of an earlier process are no evidence of what the one that has started can do; what was sent while the start
-// was not known counts.
-func TestSlowStartAfterARestart(t *testing.T) {
-	const part = 2.0
+// After a restart, answers of the previous process do not raise the budget. Sends from before the restart was known
+// still count against it.
+func TestSlowStartAfterRestartCountsSendsButNoOldAnswers(t *testing.T) {
+	const minBudget = 2.0
 	var budget capacity.SlowStart
 	for now := time.Second; now < 2*time.Second; now += 100 * time.Millisecond {
 		budget.Sent(now, slowStartWindow, 0.1)
@@ -115,16 +116,16 @@
 	}
 	now, started := 2*time.Second, 1950*time.Millisecond
 	remaining := func(at time.Duration) float64 {
-		return budget.Remaining(at, started, slowStartWindow, slowStartMultiple, 0, part)
+		return budget.Remaining(at, started, slowStartWindow, slowStartMultiple, 0, minBudget)
 	}
-	require.InDelta(t, part-1, remaining(now), 1e-9)
+	require.InDelta(t, minBudget-1, remaining(now), 1e-9)
 	budget.Answered(now, 4)
 	require.InDelta(t, 0.5*slowStartMultiple*4-1, remaining(now), 1e-9)
-	require.InDelta(t, part, remaining(now+2*slowStartWindow), 1e-9)
+	require.InDelta(t, minBudget, remaining(now+2*slowStartWindow), 1e-9)
 }
 
-// What a database is sent while it is warm takes no more memory than a window of it.
-func TestWarmSendsExpire(t *testing.T) {
+// Sends to a warm database take no more memory than those of one window.
+func TestMemoryOfSendsIsBounded(t *testing.T) {
 	var budget capacity.SlowStart
 	const interval = time.Millisecond
 	now := time.Second
--- a/internal/capacity/work.go
+++ b/internal/capacity/work.go
@@ -6,27 +6,29 @@
 )
 
 const (
-	// meanSamples is the number of requests and of answers that the means are of: older ones fade. It is a guard.
+	// meanSamples bounds the counts of requests and of answers. Counts above it are halved: older samples weigh less.
 	meanSamples = 2000.0
-	// priorWeight is the number of answers that the prior of a class weighs as much as.
+	// priorWeight is the weight of a class's prior, as a number of answers.
 	priorWeight = 3.0
 )
 
-// Work estimates how much work the requests of each class are, from how long warm databases take to answer them.
-// Until a class is answered, it is taken to need as much of its latency objective as the others do of theirs.
+// Work estimates how much work a request of each class is, from how long warm databases take to answer it. A class
+// without answers is assumed to take the same share of its latency objective as the other classes take of theirs. The
+// zero value has no classes.
 type Work struct {
 	classes []classWork
 }
 
-// classWork is what is known of one class.
+// classWork is the statistics of one class.
 type classWork struct {
 	objective float64 // the latency objective, in ns
 	arrivals  float64
 	answers   float64
-	shareSum  float64 // sum over the answers of the share of the objective that each took
+	shareSum  float64 // sum over the answers of time taken / objective
 }
 
-// SetObjectives takes in the latency objectives of the classes. What was learned stays if they are as before.
+// SetObjectives sets the latency objectives of all classes, indexed by class. It resets the statistics unless the
+// objectives are unchanged.
 func (w *Work) SetObjectives(objectives []time.Duration) {
 	same := func(class classWork, objective time.Duration) bool { return class.objective == float64(objective) }
 	if slices.EqualFunc(w.classes, objectives, same) {
@@ -38,7 +40,7 @@
 	}
 }
 
-// Arrived counts a request.
+// Arrived counts a request of a class.
 func (w *Work) Arrived(class int) {
 	if class >= len(w.classes) {
 		return
@@ -52,21 +54,22 @@
 	}
 }
 
-// Answered takes in how long a warm database took.
+// Answered records how long a warm database took to answer a request of a class.
 func (w *Work) Answered(class int, took time.Duration) {
 	if class >= len(w.classes) || w.classes[class].objective <= 0 {
 		return
 	}
-	known := &w.classes[class]
-	known.shareSum += float64(took) / known.objective
-	known.answers++
-	if known.answers > meanSamples {
-		known.answers /= 2
-		known.shareSum /= 2
+	answered := &w.classes[class]
+	answered.shareSum += float64(took) / answered.objective
+	answered.answers++
+	if answered.answers > meanSamples {
+		answered.answers /= 2
+		answered.shareSum /= 2
 	}
 }
 
-// Of is the work of a request of a class, as a multiple of the mean request's. It is 1 while nothing is known.
+// Of returns the work of a request of a class, as a multiple of the mean request's. It is 1 for an unknown class and
+// while no request is counted.
 func (w *Work) Of(class int) float64 {
 	if class >= len(w.classes) {
 		return 1
@@ -74,9 +77,9 @@
 	prior := w.meanShare()
 	arrivals, work := 0.0, 0.0
 	for i := range w.classes {
-		known := &w.classes[i]
-		arrivals += known.arrivals
-		work += known.arrivals * known.meanTime(prior)
+		other := &w.classes[i]
+		arrivals += other.arrivals
+		work += other.arrivals * other.meanTime(prior)
 	}
 	if work <= 0 {
 		return 1
@@ -84,7 +87,8 @@
 	return w.classes[class].meanTime(prior) * arrivals / work
 }
 
-// meanShare is the share of its objective that an answer takes, over all classes.
+// meanShare returns the share of its objective that an answer takes, as the mean over all classes. It is 1 without
+// answers.
 func (w *Work) meanShare() float64 {
 	answers, shareSum := 0.0, 0.0
 	for i := range w.classes {
@@ -97,8 +101,8 @@
 	return shareSum / answers
 }
 
-// meanTime is the time that a request of the class takes, in ns; prior is the share of its objective that it is
-// assumed to take.
+// meanTime returns the estimated time that a request of the class takes, in ns. prior is the share of the objective
+// that a request is assumed to take without answers.
 func (c *classWork) meanTime(prior float64) float64 {
 	return c.objective * (priorWeight*prior + c.shareSum) / (priorWeight + c.answers)
 }
--- a/internal/capacity/work_test.go
+++ b/internal/capacity/work_test.go
@@ -11,12 +11,12 @@
 
 const ms = time.Millisecond
 
-// The work of a class is estimated by how long its answers take, as a multiple of the mean request's.
-func TestWorkOfClasses(t *testing.T) {
+// The work of a class is proportional to the time its answers take, and is 1 for the mean request.
+func TestWorkIsRelativeToTheMeanRequest(t *testing.T) {
 	var work capacity.Work
-	require.Equal(t, 1.0, work.Of(0), "nothing is known")
+	require.Equal(t, 1.0, work.Of(0), "no classes are set")
 	work.SetObjectives([]time.Duration{300 * ms, 5000 * ms})
-	require.Equal(t, 1.0, work.Of(1), "nothing has arrived")
+	require.Equal(t, 1.0, work.Of(1), "no request has arrived")
 	for range 50 {
 		for range 19 {
 			work.Arrived(0)
@@ -28,13 +28,13 @@
 	mean := 0.95*60 + 0.05*1200
 	require.InDelta(t, 60/mean, work.Of(0), 0.03)
 	require.InDelta(t, 1200/mean, work.Of(1), 0.4)
-	require.Equal(t, 1.0, work.Of(2), "no such class")
-	require.InDelta(t, 1, 0.95*work.Of(0)+0.05*work.Of(1), 1e-9, "the mean request is one")
+	require.Equal(t, 1.0, work.Of(2), "unknown class")
+	require.InDelta(t, 1, 0.95*work.Of(0)+0.05*work.Of(1), 1e-9, "the work of the mean request is 1")
 }
 
-// A class without answers is estimated to need as much of its objective as the others do of theirs, and what is learned
-// of a class outlasts settings with the same objectives alone.
-func TestWorkOfAnUnansweredClass(t *testing.T) {
+// A class without answers is assumed to take the same share of its objective as the other classes. Setting the same
+// objectives again keeps the statistics, and other objectives reset them.
+func TestWorkOfUnansweredClassFollowsItsObjective(t *testing.T) {
 	var work capacity.Work
 	objectives := []time.Duration{300 * ms, 3000 * ms}
 	work.SetObjectives(objectives)
@@ -50,13 +50,13 @@
 	require.Equal(t, 1.0, work.Of(1))
 }
 
-// The estimate follows a change of the traffic, however long the process has run.
+// The estimate follows a change of the traffic even after many requests: older samples weigh less.
 func TestWorkFollowsTheTraffic(t *testing.T) {
 	var work capacity.Work
 	work.SetObjectives([]time.Duration{time.Second, time.Second})
-	answer := func(ofSecond time.Duration, requests int) {
+	answer := func(tookOfClass1 time.Duration, requests int) {
 		for range requests {
-			for class, took := range []time.Duration{60 * ms, ofSecond} {
+			for class, took := range []time.Duration{60 * ms, tookOfClass1} {
 				work.Arrived(class)
 				work.Answered(class, took)
 			}
