--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,33 +1,33 @@
-// Package quota counts what tenants may still send within their quotas. It is pure: no clock, no I/O.
+// Package quota limits the request rates of tenants. It is pure: callers pass in the time, and it does no I/O.
 package quota
 
 import "time"
 
-// burst is the time for which a tenant may accumulate unused quota: a second, as quotas are requests a second.
+// burst is the time for which a tenant accumulates unused quota: one second, since quotas are in requests per second.
 const burst = time.Second
 
-// Quotas are one router's share of the tenants' quotas, as token buckets. The zero value has no tenants and limits
-// nothing.
+// Quotas has a token bucket for each tenant, filled at this router's share of the tenant's quota. The zero value has no
+// tenants and limits nothing.
 type Quotas struct {
 	perSecond []float64
 	tokens    []float64
-	filledAt  time.Duration // when the tokens were last filled up
+	filledAt  time.Duration // time of the last fill
 }
 
-// Set gives each tenant its quota, in requests a second over so many routers. The tokens of the old quotas stay,
-// if there are as many tenants.
+// Set sets the quotas, indexed by tenant, in requests per second over all routers together. Tokens of the former quotas
+// remain if the number of tenants is unchanged; otherwise all buckets are empty.
 func (q *Quotas) Set(perSecond []float64, routers int) {
 	if len(q.tokens) != len(perSecond) {
 		q.tokens = make([]float64, len(perSecond))
 	}
 	q.perSecond = make([]float64, len(perSecond))
-	for i, all := range perSecond {
-		q.perSecond[i] = all / float64(routers)
+	for i, total := range perSecond {
+		q.perSecond[i] = total / float64(routers)
 	}
 }
 
-// Take reports whether a request of the tenant is within its quota, and counts it if so. A tenant without a quota is
-// not limited.
+// Take reports whether a request of the tenant is within its quota, and takes a token if so. A tenant without a quota
+// is not limited.
 func (q *Quotas) Take(tenant int, now time.Duration) bool {
 	q.fill(now)
 	if tenant >= len(q.tokens) {
@@ -40,7 +40,7 @@
 	return true
 }
 
-// fill adds the tokens for the time since the last fill.
+// fill adds the tokens for the time since the last fill, up to the quota of one burst.
 func (q *Quotas) fill(now time.Duration) {
 	passed := min(now-q.filledAt, burst).Seconds()
 	q.filledAt = now
