--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -1,8 +1,9 @@
-// Package session remembers what sessions have written, for reads that must see their own session's writes. It is
-// pure: no clock, no I/O.
+// Package session records the last commits of sessions, for reads that must see their own session's writes. It is pure:
+// callers pass in the time, and it does no I/O.
 //
-// Times are replication positions: of the databases' clock, up to which a database has applied all commits. What is
-// known only as a time of the pooler's clock is stored so, and compared by the estimated offset between the two clocks.
+// Commits are replication positions: times on the databases' clock up to which a database has applied all commits. A
+// commit that is known only as a time on the pooler's clock is stored as such, and converted by the estimated offset
+// between the two clocks when it is compared.
 package session
 
 import (
@@ -11,13 +12,14 @@
 	"capercove/internal/clockoffset"
 )
 
-// Writes is what is remembered of the sessions' writes. Session 0 is none.
+// Writes records the pending writes and the last commit of each session. Requests without a session have session 0,
+// which is not recorded. Use New to create it.
 type Writes struct {
-	// lastCommits has the last commit of each session, or an instant that it is no later than.
+	// lastCommits has, for each session, an instant no earlier than its last commit.
 	lastCommits map[uint64]clockoffset.Instant
-	// pendingWrites counts the writes of each session that are pending.
+	// pendingWrites counts the pending writes of each session.
 	pendingWrites map[uint64]int
-	// forgottenCommit is no earlier than the commits of forgotten sessions.
+	// forgottenCommit is no earlier than any commit that Forget has dropped.
 	forgottenCommit clockoffset.Instant
 }
 
@@ -33,9 +35,9 @@
 	}
 }
 
-// Ended records that a write has ended: whether it may have run, and its commit or, where that is not known, the
-// present. A write whose answer is lost counts too: it may have been committed nevertheless, and its session may have
-// seen that elsewhere.
+// Ended records that a write has ended, and whether it may have run. commit is its commit or, if that is not known, the
+// present. A write whose answer was lost counts too: it may have been committed, and its session may have read it
+// elsewhere.
 func (w *Writes) Ended(session uint64, mayHaveRun bool, commit clockoffset.Instant) {
 	if session == 0 {
 		return
@@ -49,8 +51,8 @@
 	}
 }
 
-// Need is the position that a read of the session must see: the present, by the router's clock, while a write of the
-// session is pending.
+// Need returns the position that a read of the session must see. While a write of the session is pending, that is now,
+// on the router's clock. For a session without a recorded commit, it covers the commits that Forget has dropped.
 func (w *Writes) Need(session uint64, now time.Duration) clockoffset.Instant {
 	if w.pendingWrites[session] > 0 {
 		return clockoffset.Instant{Own: now}
@@ -61,8 +63,8 @@
 	return w.forgottenCommit
 }
 
-// Forget drops the commits from before a time of the own clock. The offset is the least that the databases' clock
-// may be ahead of it.
+// Forget drops the commits from before a time on the router's clock. offset is the least time by which the databases'
+// clock may be ahead of it.
 func (w *Writes) Forget(before, offset time.Duration) {
 	for session, commit := range w.lastCommits {
 		if commit.By(offset) < before+offset {
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -12,23 +12,23 @@
 
 const second = time.Second
 
-// at is the time of a commit by the databases' clock.
+// at is a commit at a time on the databases' clock.
 func at(position time.Duration) clockoffset.Instant { return clockoffset.Instant{Remote: position} }
 
-// now is the present by the own clock.
+// now is the present, as a time on the router's clock.
 func now(own time.Duration) clockoffset.Instant { return clockoffset.Instant{Own: own} }
 
-// A read needs its session's last commit, and the present while a write is in flight, in whatever order writes end. One
-// that never ran leaves no trace.
-func TestNeed(t *testing.T) {
+// A read must see its session's last commit, in whatever order the writes end, and everything up to the present while a
+// write is pending. A write that never ran is not recorded.
+func TestNeedIsLastCommitOrPresentWhileWritesArePending(t *testing.T) {
 	sessions := session.New()
 	require.Zero(t, sessions.Need(7, 100*second))
 	sessions.Sent(7)
 	sessions.Sent(7)
 	require.Equal(t, now(100*second), sessions.Need(7, 100*second))
-	require.Zero(t, sessions.Need(8, 100*second), "of another session")
+	require.Zero(t, sessions.Need(8, 100*second), "another session")
 	sessions.Ended(7, true, at(99*second))
-	require.Equal(t, now(101*second), sessions.Need(7, 101*second), "one is still in flight")
+	require.Equal(t, now(101*second), sessions.Need(7, 101*second), "one write is still pending")
 	sessions.Ended(7, true, at(98*second))
 	require.Equal(t, at(99*second), sessions.Need(7, 102*second))
 	sessions.Sent(7)
@@ -36,8 +36,8 @@
 	require.Equal(t, at(99*second), sessions.Need(7, 104*second))
 }
 
-// The commits of forgotten sessions still bind all sessions that are not remembered, and those without a name.
-func TestForget(t *testing.T) {
+// After Forget, sessions without a recorded commit, and requests without a session, must see the dropped commits.
+func TestForgottenCommitsBindUnknownSessions(t *testing.T) {
 	sessions := session.New()
 	for id, position := range []time.Duration{1 * second, 2 * second, 50 * second} {
 		sessions.Sent(uint64(id))
@@ -50,9 +50,10 @@
 	require.Equal(t, at(2*second), sessions.Need(0, 100*second))
 }
 
-// Commits are times of the databases' clock, and what is known by the own clock alone moves with the offset.
-func TestOwnClockIsWrong(t *testing.T) {
-	const ahead = 3600 * second // the databases' clock
+// A commit on the databases' clock does not depend on the offset; one that is known only on the router's clock is
+// converted by it.
+func TestCommitsOnTheRoutersClockFollowTheOffset(t *testing.T) {
+	const ahead = 3600 * second // offset of the databases' clock
 	sessions := session.New()
 	sessions.Sent(1)
 	sessions.Ended(1, true, now(50*second)) // its answer was lost
@@ -62,7 +63,7 @@
 	sessions.Ended(3, true, at(ahead+99*second))
 	require.Equal(t, ahead+50*second, sessions.Need(1, 100*second).By(ahead))
 	sessions.Forget(60*second, ahead)
-	require.Equal(t, ahead+99*second, sessions.Need(3, 100*second).By(ahead), "still remembered")
+	require.Equal(t, ahead+99*second, sessions.Need(3, 100*second).By(ahead), "not forgotten")
 	for _, forgotten := range []uint64{1, 2, 9} {
 		require.Equal(t, ahead+50*second, sessions.Need(forgotten, 100*second).By(ahead))
 	}
