--- a/internal/clockoffset/clockoffset_test.go
+++ b/internal/clockoffset/clockoffset_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// requireNear requires bounds that lie at the offset, within what answers take.
+// requireNear requires that both bounds differ from the offset by at most 100 ms.
 func requireNear(t *testing.T, offset time.Duration, bounds Bounds) {
 	t.Helper()
 	require.InDelta(t, float64(offset), float64(bounds.Latest), float64(100*ms))
 	require.InDelta(t, float64(offset), float64(bounds.Earliest), float64(100*ms))
 }
 
-// forEachSeed runs a subtest for each of so many seeds.
+// forEachSeed runs a subtest for each seed below seeds.
 func forEachSeed(t *testing.T, seeds uint64, run func(t *testing.T, seed uint64)) {
 	t.Helper()
 	for seed := range seeds {
@@ -23,9 +23,9 @@
 	}
 }
 
-// With right clocks, whatever answers take and however they are rounded, the offset is exactly zero and no sample is
-// taken for wrong.
-func TestRightClocks(t *testing.T) {
+// While the clocks agree, the offset is exactly zero and no sample contradicts it, however long answers take and
+// however positions are rounded.
+func TestOffsetOfAgreeingClocksIsZero(t *testing.T) {
 	forEachSeed(t, 10, func(t *testing.T, seed uint64) {
 		fleet, estimator := newFleet(seed, 0), &Estimator{}
 		for n := range 3000 {
@@ -36,9 +36,9 @@
 	})
 }
 
-// A process whose clock is wrong finds the offset from a few answers. From then on, and while it is not known, its
-// estimate errs on the safe side: data is no younger than estimated, processes are up no longer.
-func TestWrongClocks(t *testing.T) {
+// A process whose clock is wrong finds the offset within 200 samples. Its bounds err on the safe side: data counts as
+// no fresher than it is, and the uptime of processes as no longer.
+func TestOffsetOfWrongClockIsFound(t *testing.T) {
 	offsets := []time.Duration{time.Hour, -time.Hour, 2 * time.Second, -2 * time.Second, 300 * ms, -300 * ms}
 	for _, offset := range offsets {
 		for _, corrupt := range []float64{0, 0.1} {
@@ -53,8 +53,8 @@
 	}
 }
 
-// requireOffsetFound requires that the estimator finds the fleet's offset within 200 samples, and has it on the safe
-// side as soon as it has bounds.
+// requireOffsetFound requires that the estimator finds the fleet's offset within 200 samples, and that its bounds are
+// on the safe side from the first estimate.
 func requireOffsetFound(t *testing.T, fleet *fleet, estimator *Estimator) {
 	t.Helper()
 	found := false
@@ -76,8 +76,8 @@
 	}
 }
 
-// Positions that are corrupt, an eighth of them, move nothing while others prove that the clocks are right.
-func TestCorruptPositions(t *testing.T) {
+// An eighth of corrupt positions does not change the offset while the other samples show that the clocks agree.
+func TestCorruptPositionsDoNotChangeTheOffset(t *testing.T) {
 	forEachSeed(t, 10, func(t *testing.T, seed uint64) {
 		fleet, estimator := newFleet(seed, 0), &Estimator{}
 		fleet.addSamples(estimator, 40)
@@ -89,8 +89,8 @@
 	})
 }
 
-// One outlier moves nothing, whenever it arrives.
-func TestOneOutlier(t *testing.T) {
+// A single outlier does not change the offset, whenever it arrives.
+func TestOneOutlierDoesNotChangeTheOffset(t *testing.T) {
 	for _, outlier := range []time.Duration{-epoch + 1, -time.Hour, -300 * ms, 300 * ms, time.Hour, 1000 * time.Hour} {
 		for name, kind := range map[string]Kind{"reported": Reported, "primary": Primary, "commit": Commit} {
 			t.Run(fmt.Sprint(name, " off by ", outlier), func(t *testing.T) {
@@ -110,13 +110,13 @@
 	}
 }
 
-// answer is a commit at a time by the databases' clock, of a write that was sent so long before and answered at once.
-func answer(now, position, before time.Duration) Sample {
-	return Sample{Kind: Commit, Position: position, Sent: now - before, Received: now}
+// answer is a commit that is received now, of a write that was sent sinceSend before.
+func answer(now, position, sinceSend time.Duration) Sample {
+	return Sample{Kind: Commit, Position: position, Sent: now - sinceSend, Received: now}
 }
 
-// However many answers arrive, the windows do not fill with samples of one moment.
-func TestFrequentAnswers(t *testing.T) {
+// At any rate of answers, the windows span enough time to find the offset.
+func TestOffsetIsFoundAtAnyRateOfAnswers(t *testing.T) {
 	for _, interval := range []time.Duration{10 * time.Microsecond, ms, 20 * ms} {
 		t.Run(fmt.Sprint("every ", interval), func(t *testing.T) {
 			estimator, now := &Estimator{}, epoch
@@ -129,10 +129,10 @@
 	}
 }
 
-// Answers of one moment prove nothing, as a position that does not change agrees with itself for as long.
-func TestAnswersOfOneMoment(t *testing.T) {
+// Answers of a single moment prove nothing: within it, a position that does not advance agrees with itself.
+func TestAnswersOfOneMomentProveNothing(t *testing.T) {
 	estimator := &Estimator{}
-	const pending = 90 * ms // all are in flight at once
+	const pending = 90 * ms // all requests are in flight at the same time
 	for n := range 5 {
 		received := epoch + pending + time.Duration(n)*minSpacing
 		estimator.Add(answer(received, epoch-time.Hour, received-epoch))
@@ -142,14 +142,14 @@
 	require.InDelta(t, float64(-time.Hour), float64(estimator.Bounds().Latest), float64(10*ms))
 }
 
-// Where answers take long, most fit a little error of the clock as well as none. One or two that fit only the error
-// move nothing.
-func TestFewNarrowAnswers(t *testing.T) {
+// Slow answers are compatible with a small offset as well as with zero. One or two fast answers that are compatible
+// only with the offset do not change the estimate; a quorum of them does.
+func TestFewFastAnswersDoNotChangeTheOffset(t *testing.T) {
 	estimator, now := &Estimator{}, epoch
-	add := func(count int, position, before time.Duration) {
+	add := func(count int, offset, sinceSend time.Duration) {
 		for range count {
 			now += minSpread
-			estimator.Add(answer(now, now+position, before))
+			estimator.Add(answer(now, now+offset, sinceSend))
 		}
 	}
 	add(5, -500*ms, time.Second)
@@ -162,29 +162,29 @@
 // laggingPrimary is a fleet in which a primary's position lags by 5 s.
 type laggingPrimary struct {
 	commits, reports float64
-	frozen           bool // the position does not change
-	zero             bool // others prove that the clocks agree
-	interval         int  // one of so many answers is of the primary that lags; 1: all are
+	frozen           bool // the position does not advance
+	provenZero       bool // the other samples prove an offset of zero
+	interval         int  // every interval-th sample is of the lagging primary; 1: all are
 }
 
-// A primary whose position lags makes no data look younger than it is: neither one that does not change, nor one that
-// is always so far behind, nor beside another that takes itself for the primary too.
-func TestLaggingPrimaries(t *testing.T) {
+// A primary whose position lags makes no data count as fresher than it is. Its position may be frozen or lag by a
+// constant time, and a second database may also claim to be the primary.
+func TestLaggingPrimaryMakesNoDataFresher(t *testing.T) {
 	for name, testCase := range map[string]laggingPrimary{
-		"frozen, alone":                {frozen: true, interval: 1},
-		"frozen, beside another":       {frozen: true, commits: 0.2, reports: 0.3, zero: true, interval: 2},
-		"always behind, alone":         {interval: 1},
-		"always behind, with commits":  {commits: 0.4, interval: 2},
-		"always behind, with replicas": {reports: 1, zero: true, interval: 2},
+		"frozen, alone":               {frozen: true, interval: 1},
+		"frozen, with second primary": {frozen: true, commits: 0.2, reports: 0.3, provenZero: true, interval: 2},
+		"constant lag, alone":         {interval: 1},
+		"constant lag, with commits":  {commits: 0.4, interval: 2},
+		"constant lag, with replicas": {reports: 1, provenZero: true, interval: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			forEachSeed(t, 8, func(t *testing.T, seed uint64) { requireNoYoungerData(t, seed, testCase) })
+			forEachSeed(t, 8, func(t *testing.T, seed uint64) { requireNoFresherData(t, seed, testCase) })
 		})
 	}
 }
 
-// requireNoYoungerData requires that the lagging primary makes no data look younger than it is.
-func requireNoYoungerData(t *testing.T, seed uint64, testCase laggingPrimary) {
+// requireNoFresherData requires that the lagging primary makes no data count as fresher than it is.
+func requireNoFresherData(t *testing.T, seed uint64, testCase laggingPrimary) {
 	t.Helper()
 	const lag = 5 * time.Second
 	fleet, estimator := newFleet(seed, 0), &Estimator{}
@@ -200,14 +200,14 @@
 		}
 		estimator.Add(sample)
 		require.GreaterOrEqual(t, estimator.Bounds().Latest, time.Duration(0), "sample %d", n)
-		if testCase.zero && n > 20 {
+		if testCase.provenZero && n > 20 {
 			require.Zero(t, estimator.Bounds(), "sample %d", n)
 		}
 	}
 }
 
-// Before the offset is known, positions ahead of the own clock that agree prove that nothing may be taken for fresh.
-func TestUnknown(t *testing.T) {
+// Before the offset is found, a quorum of positions ahead of the own clock makes it Unknown: no data counts as fresh.
+func TestPositionsAheadMakeTheOffsetUnknown(t *testing.T) {
 	estimator := &Estimator{}
 	for n := range 3 {
 		require.Zero(t, estimator.Bounds())
@@ -217,13 +217,13 @@
 	require.Equal(t, Bounds{Latest: Unknown}, estimator.Bounds())
 }
 
-// The process was paused while its machine was suspended: the former estimate gives way to new samples.
-func TestOffsetChanges(t *testing.T) {
+// After the own clock was stopped, such as while its machine was suspended, new samples replace the former estimate.
+func TestNewOffsetReplacesTheFormer(t *testing.T) {
 	for name, offsets := range map[string]struct{ before, after time.Duration }{
 		"from zero":            {0, time.Hour},
 		"to zero, from ahead":  {time.Hour, 0},
 		"to zero, from behind": {-time.Hour, 0},
-		"of the sign":          {2 * time.Second, -2 * time.Second},
+		"with another sign":    {2 * time.Second, -2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			forEachSeed(t, 20, func(t *testing.T, seed uint64) {
@@ -237,27 +237,27 @@
 	}
 }
 
-// The samples are bounded, and the count of dissent is that of the samples in the windows.
+// The number of samples is bounded, and Dissent counts those in the windows that contradict an offset of zero.
 func TestWindowsAreBounded(t *testing.T) {
 	fleet, estimator := newFleet(1, time.Hour), &Estimator{}
 	fleet.corrupt = 0.5
 	for range 2000 {
 		estimator.Add(fleet.sample())
-		dissent := 0
+		contradicting := 0
 		for _, window := range estimator.windows {
 			require.LessOrEqual(t, len(window.samples), windowSize)
 			for _, sample := range window.samples {
 				if sample.contradictsZero() {
-					dissent++
+					contradicting++
 				}
 			}
 		}
-		require.Equal(t, dissent, estimator.Dissent())
+		require.Equal(t, contradicting, estimator.Dissent())
 	}
 }
 
-// An instant of either clock is compared by the offset, and the later of two depends on it.
-func TestInstant(t *testing.T) {
+// An Instant on the own clock is converted by the offset. Which of two Instants is later depends on the offset.
+func TestInstantIsConvertedByTheOffset(t *testing.T) {
 	require.Zero(t, Instant{}.By(time.Hour))
 	require.Equal(t, 5*ms, Instant{Remote: 5 * ms}.By(time.Hour))
 	require.Equal(t, time.Hour+5*ms, Instant{Own: 5 * ms}.By(time.Hour))
--- a/internal/clockoffset/instant.go
+++ b/internal/clockoffset/instant.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Instant is a point in time by the own clock, by the databases', or by both; then the later one counts. It keeps
-// what was reported as it was reported, so that it is right under each later estimate of the offset. The zero value
-// is before all.
+// Instant is a point in time on the own clock, on the databases' clocks (Remote), or on both. The later of both counts.
+// Times are stored as reported and converted only when they are compared: an Instant remains correct when the estimate
+// of the offset changes. The zero value is before all others.
 type Instant struct{ Own, Remote time.Duration }
 
-// By returns the instant by the databases' clocks.
+// By returns the instant as a time on the databases' clocks, which are ahead of the own clock by offset.
 func (i Instant) By(offset time.Duration) time.Duration {
 	if i.Own == 0 {
 		return i.Remote
@@ -15,7 +15,7 @@
 	return max(i.Remote, i.Own+offset)
 }
 
-// Later returns an instant that is as late as both.
+// Later returns an instant that is no earlier than both, under any offset.
 func (i Instant) Later(other Instant) Instant {
 	return Instant{Own: max(i.Own, other.Own), Remote: max(i.Remote, other.Remote)}
 }
--- a/internal/clockoffset/overlap.go
+++ b/internal/clockoffset/overlap.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// overlap is where most intervals overlap, and which they are.
+// overlap is a range in which intervals overlap.
 type overlap struct {
 	lower, upper time.Duration
-	support      []interval
+	support      []interval // the intervals that contain the range
 }
 
-// overlap finds the best one by Marzullo's algorithm: it begins where an interval begins. Of several as good it is
-// the latest, under which data is older.
-func (e *Estimator) overlap() (best overlap) {
+// bestOverlap returns the overlap of most intervals by Marzullo's algorithm: it begins where an interval begins. Of
+// several with equal support it returns the one of the greatest offset, under which data counts as older.
+func (e *Estimator) bestOverlap() (best overlap) {
 	var all []interval
 	for _, kind := range []Kind{Primary, Commit} {
 		all = append(all, e.windows[kind].samples...)
 	}
 	slices.SortStableFunc(all, func(a, b interval) int { return cmp.Compare(b.lower, a.lower) })
 	for _, candidate := range all {
-		found := overlapAt(candidate, all)
-		if len(found.support) > len(best.support) {
-			best = found
+		current := overlapAt(candidate, all)
+		if len(current.support) > len(best.support) {
+			best = current
 		}
 	}
 	return best
 }
 
-// overlapAt is the overlap that begins where the candidate begins.
+// overlapAt returns the overlap that begins where the candidate begins.
 func overlapAt(candidate interval, all []interval) overlap {
-	found := overlap{lower: candidate.lower, upper: candidate.upper}
+	result := overlap{lower: candidate.lower, upper: candidate.upper}
 	for _, other := range all {
 		if other.lower <= candidate.lower && other.upper >= candidate.lower {
-			found.support = append(found.support, other)
-			found.upper = min(found.upper, other.upper)
+			result.support = append(result.support, other)
+			result.upper = min(result.upper, other.upper)
 		}
 	}
-	return found
+	return result
 }
 
-// agreed reports whether enough answers agree, from more than one moment: a position that stands still agrees with
-// itself for one.
+// agreed reports whether a quorum of answers supports the overlap, and spans at least minSpread. Within a shorter time,
+// a position that does not advance would agree with itself.
 func (o overlap) agreed() bool {
 	if len(o.support) < quorum {
 		return false
 	}
-	firstAnswer, lastSend := intervalEnd, time.Duration(0)
+	firstAnswer, lastSend := maxDuration, time.Duration(0)
 	for _, sample := range o.support {
 		firstAnswer = min(firstAnswer, sample.Received)
 		lastSend = max(lastSend, sample.Sent)
@@ -55,7 +55,8 @@
 	return lastSend-firstAnswer >= minSpread
 }
 
-// score is how many samples support the overlap, less the positions that would lie in the future under it.
+// score returns the number of samples that support the overlap, less the number of reported positions that would lie in
+// the future under it.
 func (o overlap) score(e *Estimator) int {
 	score := len(o.support)
 	for _, sample := range e.windows[Reported].samples {
@@ -66,8 +67,8 @@
 	return score
 }
 
-// bounds is exactly zero if that lies in the overlap. Towards the past, under which data is fresher, a commit has to
-// agree: a primary whose position lags must not make data look fresher.
+// bounds returns the overlap as Bounds, which are exactly zero if the overlap is compatible with zero. A negative upper
+// bound makes data count as fresher. It needs the support of a commit, since the position of a primary may lag.
 func (o overlap) bounds() Bounds {
 	if o.lower <= Tolerance-precision && o.upper >= precision-Tolerance {
 		return Bounds{}
