--- a/internal/pending/pending.go
+++ b/internal/pending/pending.go
@@ -1,21 +1,21 @@
-// Package pending bounds how many requests wait at a pooler without having been sent anywhere. Each occupies its
-// client's connection, of which clients have only so many: while a group has no primary, the writes that wait for one
-// would leave none for requests that can be served. It is pure: no clock, no I/O.
+// Package pending bounds how many requests wait at a pooler that have not been sent to any database. Each of them
+// occupies a connection, and clients have a limited number of connections. Without the bound, the writes that wait
+// while a group has no primary would leave no connections for requests that can be served. The package is pure: it uses
+// no clock and does no I/O.
 package pending
 
 import "slices"
 
-// slack is how many places of elements that have left the order may keep, beyond as many as there are elements
-// waiting.
+// slack is how many more elements that have left may remain in Queue.order than elements wait.
 const slack = 64
 
-// Queue holds the elements that wait, in the order in which they came. The zero value is empty.
+// Queue contains the waiting elements in the order of their arrival. The zero value is empty.
 type Queue[T comparable] struct {
-	order   []T // also some elements that have left
+	order   []T // oldest first, including some elements that have left
 	waiting map[T]struct{}
 }
 
-// Enter adds an element.
+// Enter appends an element.
 func (q *Queue[T]) Enter(element T) {
 	if q.waiting == nil {
 		q.waiting = map[T]struct{}{}
@@ -24,14 +24,14 @@
 	q.order = append(q.order, element)
 }
 
-// Leave takes an element out that has been sent or is over; one that is not in the queue is no error. It drops the
-// places of elements that have left once there are many, so that they don't pile up behind one that stays.
+// Leave removes an element that has been sent or has ended. It has no effect on an element that is not in the queue.
+// Elements that have left are dropped from the order once there are many, and do not accumulate behind one that stays.
 func (q *Queue[T]) Leave(element T) {
 	delete(q.waiting, element)
 	if len(q.order) <= 2*len(q.waiting)+slack {
 		return
 	}
-	q.order = slices.DeleteFunc(q.order, func(element T) bool { return !q.waits(element) })
+	q.order = slices.DeleteFunc(q.order, func(stored T) bool { return !q.waits(stored) })
 }
 
 func (q *Queue[T]) waits(element T) bool {
@@ -39,15 +39,15 @@
 	return waits
 }
 
-// Slots is the number of elements stored, those that have left included: at most a little more than twice the waiting
-// ones.
+// Slots returns the number of stored elements, including those that have left. It is at most slack more than twice the
+// number of waiting elements.
 func (q *Queue[T]) Slots() int { return len(q.order) }
 
-// Len is how many elements wait.
+// Len returns the number of waiting elements.
 func (q *Queue[T]) Len() int { return len(q.waiting) }
 
-// Over takes out and returns the element that has waited longest, if more than limit wait. The oldest is given up
-// first, as it is the nearest to its deadline; the newest may still be answered in time.
+// Over removes and returns the element that has waited longest, if more than limit elements wait. The oldest is the
+// nearest to its deadline; newer ones are more likely to be answered in time.
 func (q *Queue[T]) Over(limit int) (oldest T, over bool) {
 	if len(q.waiting) <= limit {
 		return oldest, false
--- a/internal/pending/pending_test.go
+++ b/internal/pending/pending_test.go
@@ -8,8 +8,8 @@
 	"capercove/internal/pending"
 )
 
-// Over returns the oldest entries beyond a bound, without those that have left.
-func TestOldestGoesFirst(t *testing.T) {
+// Over returns the oldest elements beyond the limit, without those that have left.
+func TestOverReturnsTheOldestWaitingElements(t *testing.T) {
 	var queue pending.Queue[int]
 	for i := range 10 {
 		queue.Enter(i)
@@ -34,8 +34,8 @@
 	require.Equal(t, 11, oldest)
 }
 
-// Entries that have left take no memory for long, also behind one that stays.
-func TestEntriesThatLeftTakeNoMemory(t *testing.T) {
+// Elements that have left do not accumulate, even behind one that stays.
+func TestElementsThatLeftDoNotAccumulate(t *testing.T) {
 	var queue pending.Queue[int]
 	queue.Enter(-1)
 	for i := range 100000 {
