--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,5 +1,5 @@
-// Package tenant assigns requests to tenants by the operators' rules. The rules are a table that is made once and
-// looked up; a change of the rules is a new table.
+// Package tenant assigns requests to tenants by the operators' rules. A set of rules is immutable: a change of the
+// rules creates a new one.
 package tenant
 
 import (
@@ -10,56 +10,57 @@
 	"capercove/internal/config/tables"
 )
 
-// Rule names a tenant. All the conditions that are not empty must match. Texts match in full, or by their beginning if
-// they end in an asterisk.
+// Rule assigns the requests that meet its conditions to a tenant. Empty fields are no conditions; all others must
+// match. A text matches in full or, if it ends in an asterisk, as a prefix.
 type Rule struct {
 	Tenant      string `toml:"tenant"`
 	Front       string `toml:"front"` // postgres, flight or pcap
 	User        string `toml:"user"`
 	Application string `toml:"application"`
 	Database    string `toml:"database"`
-	Comment     string `toml:"comment"` // name=value, in the comment that ends a statement
-	Header      string `toml:"header"`  // name=value, of a Flight call
-	Address     string `toml:"address"` // of the client: one, or a range such as 10.1.0.0/16
+	Comment     string `toml:"comment"` // name=value, in the comment at the end of a statement
+	Header      string `toml:"header"`  // name=value, in the headers of a Flight call
+	Address     string `toml:"address"` // of the client: a single address, or a range such as 10.1.0.0/16
 	Class       string `toml:"class"`
 }
 
-// Caller is what is known of who sends a request.
+// Caller describes the sender of a request.
 type Caller struct {
 	Front                       string
 	User, Application, Database string
 	Class                       string
 	Address                     netip.Addr
-	Connection                  uint64                   // its number; 0: none
-	Comment                     func(name string) string // the value of a name in it; nil: the request has none
-	Header                      func(name string) string // ... in the call's headers
+	Connection                  uint64                   // number of the connection; 0: none
+	Comment                     func(name string) string // looks up a value in the comment; nil: there is no comment
+	Header                      func(name string) string // looks up a value in the headers; nil: there are no headers
 }
 
-// Rules assign callers to tenants.
+// Rules assign callers to tenants. They are immutable.
 type Rules struct{ rules []rule }
 
 // rule is a Rule with its texts parsed.
 type rule struct {
 	Rule
-	tenant          int // its number
-	comment, header pair
-	addresses       netip.Prefix // not valid: any
+	tenant          int // number of the tenant
+	comment, header namedPattern
+	addresses       netip.Prefix // invalid: any address
 }
 
-// pair is a name with the pattern that its value has to match.
-type pair struct{ name, pattern string }
+// namedPattern is the pattern for the value of a name; without a name, it is no condition.
+type namedPattern struct{ name, pattern string }
 
 var fronts = map[string]bool{"": true, "postgres": true, "flight": true, "pcap": true}
 
-// New makes rules for tenants of these names. The error names the key at fault, such as rules[2].address.
+// New parses the rules for tenants of these names; the index of a name is the number of its tenant. An error is a
+// tables.KeyError with the key of the invalid setting, such as rules[2].address.
 func New(names []string, list []Rule) (*Rules, error) {
 	tenants := map[string]int{}
 	for i, name := range names {
 		tenants[name] = i
 	}
 	rules := &Rules{}
-	for i, written := range list {
-		parsed, err := parse(fmt.Sprintf("rules[%d]", i), written, tenants)
+	for i, source := range list {
+		parsed, err := parse(fmt.Sprintf("rules[%d]", i), source, tenants)
 		if err != nil {
 			return nil, err
 		}
@@ -68,42 +69,42 @@
 	return rules, nil
 }
 
-// parse reads the rule of a key, given the tenants' numbers by name.
-func parse(key string, written Rule, tenants map[string]int) (rule, error) {
-	tenant, known := tenants[written.Tenant]
+// parse checks and parses a rule. key is the rule's own key, and tenants has the tenants' numbers by name.
+func parse(key string, source Rule, tenants map[string]int) (rule, error) {
+	tenant, known := tenants[source.Tenant]
 	if !known {
-		return rule{}, tables.Bad(key+".tenant", "no tenant is named %q", written.Tenant)
+		return rule{}, tables.Bad(key+".tenant", "no tenant is named %q", source.Tenant)
 	}
-	parsed := rule{Rule: written, tenant: tenant}
+	parsed := rule{Rule: source, tenant: tenant}
 	var err error
-	if parsed.comment, err = parsePair(key+".comment", written.Comment); err != nil {
+	if parsed.comment, err = parseNamedPattern(key+".comment", source.Comment); err != nil {
 		return rule{}, err
 	}
-	if parsed.header, err = parsePair(key+".header", written.Header); err != nil {
+	if parsed.header, err = parseNamedPattern(key+".header", source.Header); err != nil {
 		return rule{}, err
 	}
-	if !fronts[written.Front] {
-		return rule{}, tables.Bad(key+".front", "%q is not postgres, flight or pcap", written.Front)
+	if !fronts[source.Front] {
+		return rule{}, tables.Bad(key+".front", "%q is not postgres, flight or pcap", source.Front)
 	}
-	if parsed.addresses, err = parseAddresses(written.Address); err != nil {
+	if parsed.addresses, err = parseAddresses(source.Address); err != nil {
 		return rule{}, tables.Bad(key+".address", "%v", err)
 	}
-	if (Rule{Tenant: written.Tenant}) == written {
+	if (Rule{Tenant: source.Tenant}) == source {
 		return rule{}, tables.Bad(key, "has no condition")
 	}
 	return parsed, nil
 }
 
-// parsePair reads name=value; an empty text is no condition.
-func parsePair(key, text string) (pair, error) {
+// parseNamedPattern parses name=value. An empty text is no condition.
+func parseNamedPattern(key, text string) (namedPattern, error) {
 	name, pattern, ok := strings.Cut(text, "=")
 	if text != "" && !ok {
-		return pair{}, tables.Bad(key, "%q is not name=value", text)
+		return namedPattern{}, tables.Bad(key, "%q is not name=value", text)
 	}
-	return pair{name, pattern}, nil
+	return namedPattern{name, pattern}, nil
 }
 
-// parseAddresses reads an address or a range of them; an empty text is no condition.
+// parseAddresses parses an address or a range of addresses. An empty text is no condition.
 func parseAddresses(text string) (netip.Prefix, error) {
 	if text == "" {
 		return netip.Prefix{}, nil
@@ -114,7 +115,7 @@
 	return netip.ParsePrefix(text)
 }
 
-// Of returns the number of a caller's tenant: of the first rule that matches, or 0.
+// Of returns the number of a caller's tenant: that of the first rule that matches, or 0 if none does.
 func (r *Rules) Of(caller *Caller) int {
 	for i := range r.rules {
 		if r.rules[i].matches(caller) {
@@ -135,8 +136,8 @@
 		(!r.addresses.IsValid() || r.addresses.Contains(caller.Address.Unmap()))
 }
 
-// matches looks the name up. A value that is not there, or is empty, matches no pattern.
-func (p pair) matches(lookup func(name string) string) bool {
+// matches reports whether the value of the name matches the pattern. A missing or empty value matches no pattern.
+func (p namedPattern) matches(lookup func(name string) string) bool {
 	if p.name == "" {
 		return true
 	}
@@ -147,11 +148,11 @@
 	return value != "" && matchText(p.pattern, value)
 }
 
-// matchText reports whether a text is the pattern, or begins with it if that ends in an asterisk. An empty pattern
-// matches all.
+// matchText reports whether a text equals the pattern or, if the pattern ends in an asterisk, begins with it. An empty
+// pattern matches any text.
 func matchText(pattern, text string) bool {
-	if start, isPrefix := strings.CutSuffix(pattern, "*"); isPrefix {
-		return strings.HasPrefix(text, start)
+	if prefix, isPrefix := strings.CutSuffix(pattern, "*"); isPrefix {
+		return strings.HasPrefix(text, prefix)
 	}
 	return pattern == "" || pattern == text
 }
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -11,10 +11,10 @@
 
 var names = []string{"others", "shop", "reports"}
 
-// has looks up a name that has a value; others have none.
-func has(name, value string) func(string) string {
-	return func(asked string) string {
-		if asked == name {
+// lookup returns a function that has the value of a single name; other names have no value.
+func lookup(name, value string) func(string) string {
+	return func(wanted string) string {
+		if wanted == name {
 			return value
 		}
 		return ""
@@ -22,38 +22,38 @@
 }
 
 // withHeader is a caller whose call has one header.
-func withHeader(name, value string) tenant.Caller { return tenant.Caller{Header: has(name, value)} }
+func withHeader(name, value string) tenant.Caller { return tenant.Caller{Header: lookup(name, value)} }
 
-// at is a caller from an address.
+// at is a caller with an address.
 func at(address string) tenant.Caller { return tenant.Caller{Address: netip.MustParseAddr(address)} }
 
-func TestRuleMatches(t *testing.T) {
+func TestRuleMatchesCallersThatMeetAllConditions(t *testing.T) {
 	const network = "10.1.0.0/16"
-	all := tenant.Rule{Tenant: "shop", User: "u*", Comment: "team=shop", Address: network}
+	allConditions := tenant.Rule{Tenant: "shop", User: "u*", Comment: "team=shop", Address: network}
 	for name, test := range map[string]struct {
 		rule   tenant.Rule
 		caller tenant.Caller
 		want   int
 	}{
-		"no condition holds":       {tenant.Rule{Tenant: "shop", User: "u"}, tenant.Caller{User: "uv"}, 0},
-		"a whole text":             {tenant.Rule{Tenant: "shop", User: "u"}, tenant.Caller{User: "u"}, 1},
-		"a beginning of a text":    {tenant.Rule{Tenant: "reports", User: "r*"}, tenant.Caller{User: "rx"}, 2},
-		"an asterisk matches none": {tenant.Rule{Tenant: "shop", Database: "*"}, tenant.Caller{}, 1},
-		"another front":            {tenant.Rule{Tenant: "shop", Front: "flight"}, tenant.Caller{Front: "postgres"}, 0},
-		"a class":                  {tenant.Rule{Tenant: "shop", Class: "read"}, tenant.Caller{Class: "read"}, 1},
-		"one address":              {tenant.Rule{Tenant: "shop", Address: "10.1.2.3"}, at("10.1.2.3"), 1},
-		"another address":          {tenant.Rule{Tenant: "shop", Address: "10.1.2.3"}, at("10.1.2.4"), 0},
-		"a mapped address":         {tenant.Rule{Tenant: "shop", Address: network}, at("::ffff:10.1.2.3"), 1},
-		"no address":               {tenant.Rule{Tenant: "shop", Address: network}, tenant.Caller{}, 0},
-		"a header":                 {tenant.Rule{Tenant: "shop", Header: "a=b*"}, withHeader("a", "bc"), 1},
-		"a header's other value":   {tenant.Rule{Tenant: "shop", Header: "a=b"}, withHeader("a", "c"), 0},
-		"an empty header":          {tenant.Rule{Tenant: "shop", Header: "a=*"}, withHeader("b", "c"), 0},
-		"no comment":               {tenant.Rule{Tenant: "shop", Comment: "a=b"}, tenant.Caller{}, 0},
-		"all conditions": {all, tenant.Caller{
-			User: "ux", Comment: has("team", "shop"), Address: netip.MustParseAddr("10.1.9.9"),
+		"another text":              {tenant.Rule{Tenant: "shop", User: "u"}, tenant.Caller{User: "uv"}, 0},
+		"a whole text":              {tenant.Rule{Tenant: "shop", User: "u"}, tenant.Caller{User: "u"}, 1},
+		"a prefix of a text":        {tenant.Rule{Tenant: "reports", User: "r*"}, tenant.Caller{User: "rx"}, 2},
+		"an asterisk, no text":      {tenant.Rule{Tenant: "shop", Database: "*"}, tenant.Caller{}, 1},
+		"another front":             {tenant.Rule{Tenant: "shop", Front: "flight"}, tenant.Caller{Front: "postgres"}, 0},
+		"a class":                   {tenant.Rule{Tenant: "shop", Class: "read"}, tenant.Caller{Class: "read"}, 1},
+		"a single address":          {tenant.Rule{Tenant: "shop", Address: "10.1.2.3"}, at("10.1.2.3"), 1},
+		"another address":           {tenant.Rule{Tenant: "shop", Address: "10.1.2.3"}, at("10.1.2.4"), 0},
+		"an IPv4-mapped address":    {tenant.Rule{Tenant: "shop", Address: network}, at("::ffff:10.1.2.3"), 1},
+		"no address":                {tenant.Rule{Tenant: "shop", Address: network}, tenant.Caller{}, 0},
+		"a header":                  {tenant.Rule{Tenant: "shop", Header: "a=b*"}, withHeader("a", "bc"), 1},
+		"another value of a header": {tenant.Rule{Tenant: "shop", Header: "a=b"}, withHeader("a", "c"), 0},
+		"a missing header":          {tenant.Rule{Tenant: "shop", Header: "a=*"}, withHeader("b", "c"), 0},
+		"no comment":                {tenant.Rule{Tenant: "shop", Comment: "a=b"}, tenant.Caller{}, 0},
+		"all conditions": {allConditions, tenant.Caller{
+			User: "ux", Comment: lookup("team", "shop"), Address: netip.MustParseAddr("10.1.9.9"),
 		}, 1},
-		"all conditions but one": {all, tenant.Caller{
-			User: "x", Comment: has("team", "shop"), Address: netip.MustParseAddr("10.1.9.9"),
+		"all conditions but one": {allConditions, tenant.Caller{
+			User: "x", Comment: lookup("team", "shop"), Address: netip.MustParseAddr("10.1.9.9"),
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestFirstRuleThatMatchesCounts(t *testing.T) {
+func TestFirstMatchingRuleDeterminesTheTenant(t *testing.T) {
 	rules, err := tenant.New(names, []tenant.Rule{
 		{Tenant: "reports", User: "r"}, {Tenant: "shop", Class: "read"}, {Tenant: "reports", Class: "read"},
 	})
@@ -72,7 +72,7 @@
 	require.Equal(t, 1, rules.Of(&tenant.Caller{User: "u", Class: "read"}))
 }
 
-func TestErrorNamesTheKeyAtFault(t *testing.T) {
+func TestErrorNamesTheInvalidKey(t *testing.T) {
 	good := tenant.Rule{Tenant: "shop", User: "u"}
 	for key, bad := range map[string]tenant.Rule{
 		"rules[1].tenant":  {Tenant: "unknown", User: "u"},
