--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,6 +1,6 @@
-// Package intake makes requests of what fronts have read off their wires: one pipeline for PostgreSQL, Arrow Flight
-// SQL and replayed files. A front parses its wire; the intake checks the class, group and id, classifies the tenant,
-// and routes by the statement where its label is not to be believed.
+// Package intake creates requests from the statements that frontends receive, in the same way for PostgreSQL, Arrow
+// Flight SQL and replayed captures. A frontend parses its protocol. The intake checks the class, group and id of the
+// statement, determines its tenant and, if configured, analyses the statement and corrects the route of its class.
 package intake
 
 import (
@@ -13,54 +13,55 @@
 	"capercove/routing"
 )
 
-// Input is a statement as a front has read it.
+// Input is a statement as a frontend has parsed it.
 type Input struct {
-	Front       string        // the front's name, for the counters
-	ID          string        // the client's name for the request
+	Front       string        // name of the frontend, for the counters
+	ID          string        // the client's id of the request
 	Class       string        // name of the request's class
-	Group       int           // number of the group of databases
-	HasGroup    bool          // the client named a group
+	Group       int           // number of the group of databases; valid only if HasGroup
+	HasGroup    bool          // the client has named a group
 	SessionKey  uint64        // hash of the session's key; 0: none
-	TimeLeft    time.Duration // until the client quits; 0: for as long as the class allows
-	LastWrite   time.Duration // clock time of the session's last commit; 0: none
-	SQL         string        // the statement; read only if statements are analysed
-	LabelOffset int           // offset of the comment with the label in SQL, in bytes; 0: the label came otherwise
-	IsUpdate    bool          // the wire itself says that it writes
-	Caller      tenant.Caller // the client; read only if ClassifiesTenants
+	TimeLeft    time.Duration // until the client's deadline; 0: the deadline of the class applies
+	LastWrite   time.Duration // replication position of the session's last commit; 0: none
+	SQL         string        // text of the statement; used only if statements are analysed
+	LabelOffset int           // of the comment with the label, in bytes of SQL; 0: the label is not in SQL
+	IsUpdate    bool          // the protocol marks the statement as an update
+	Caller      tenant.Caller // the client; used only if ClassifiesTenants
 	Statement   core.Statement
 }
 
-// Field names the part of an Input that is at fault; each wire has its own word for it.
+// Field is a part of an Input that may be invalid. Each protocol has its own name for it.
 type Field uint8
 
-// The parts of an Input that may be at fault.
+// The fields of an Input that may be invalid.
 const (
 	FieldID Field = iota
 	FieldClass
 	FieldGroup
-	FieldLabel // the comment that holds all of them
+	FieldLabel // the comment that contains id, class and group
 )
 
-// Problem tells why an Input is rejected. The same one is rejected every time.
+// Problem is the reason why an Input is rejected. The same Input is rejected again, unless the reason was an open
+// request that has ended since.
 type Problem struct {
 	Field Field
 	Why   string
 }
 
-// Intake makes requests of statements. All of its methods are called on the core's goroutine.
+// Intake creates requests from statements. All of its methods must be called on the core's goroutine.
 type Intake struct {
 	core   *core.Core
 	rules  *tenant.Rules    // nil: tenants are not classified
-	client ClientKind       // read only if rules are set
-	reader *statementReader // nil: labels are believed
+	client ClientKind       // used only if rules are set
+	reader *statementReader // nil: requests are routed by their labels alone
 }
 
-// ClientKind says by what the clients of a tenant are told apart.
+// ClientKind is the property that identifies a client within its tenant. Its values are those of the operators' file.
 type ClientKind string
 
-// The kinds of clients; the texts are those of the operators' file.
+// The properties that identify a client.
 const (
-	ByKey        ClientKind = "key" // the session's; in classes where a key names no client, as ByConnection
+	ByKey        ClientKind = "key" // the session's key; as ByConnection in classes without sessions
 	ByAddress    ClientKind = "address"
 	ByConnection ClientKind = "connection"
 	ByUser       ClientKind = "user"
@@ -69,7 +70,7 @@
 // New returns an intake for requests of a core.
 func New(c *core.Core) *Intake { return &Intake{core: c} }
 
-// Request makes a request that lacks only its client, or tells what is wrong.
+// Request creates the request of an Input, complete except for its client, or returns why the Input is rejected.
 func (in *Intake) Request(input *Input) (*core.Request, *Problem) {
 	number, class, known := in.core.Class(input.Class)
 	if !known {
@@ -103,13 +104,13 @@
 		input.Caller.Front = input.Front
 		input.Caller.Class = input.Class
 		request.Tenant = in.rules.Of(&input.Caller)
-		request.Caller = in.callerOf(input, request)
+		request.Caller = in.callerNumber(input, request)
 	}
 	return request, nil
 }
 
-// check tells what is wrong with the id or the group. Two open requests of one id are not allowed, since the client
-// could not tell their answers apart.
+// check returns what is wrong with the id or the group, or nil. Two open requests with the same id are not allowed: the
+// client could not distinguish their answers.
 func (in *Intake) check(input *Input) *Problem {
 	switch {
 	case input.ID == "":
@@ -124,18 +125,19 @@
 	return nil
 }
 
-// ClassifyTenants lets requests be classified by tenants and clients, from now on by these rules.
+// ClassifyTenants sets the rules by which later requests are assigned to tenants, and the property that identifies
+// their clients.
 func (in *Intake) ClassifyTenants(rules *tenant.Rules, client ClientKind) {
 	in.rules, in.client = rules, client
 }
 
-// ClassifiesTenants reports whether requests are classified: fronts then name the caller.
+// ClassifiesTenants reports whether requests are assigned to tenants. Frontends then set Input.Caller.
 func (in *Intake) ClassifiesTenants() bool { return in.rules != nil }
 
-// callerOf returns the number of the client of a request, by the kind that is configured. By key falls back to the
-// connection, by connection to the address, and by address to the connection. Keys, users and addresses are hashed, so
-// that two clients may have the same number, if rarely.
-func (in *Intake) callerOf(input *Input, request *core.Request) uint64 {
+// callerNumber returns the number of a request's client, by the configured ClientKind. ByKey falls back to the
+// connection, ByConnection to the address, and ByAddress to the connection. Keys, users and addresses are hashed:
+// rarely, two clients have the same number.
+func (in *Intake) callerNumber(input *Input, request *core.Request) uint64 {
 	caller := &input.Caller
 	switch {
 	case in.client == ByKey && request.Session != 0:
--- a/internal/intake/process_test.go
+++ b/internal/intake/process_test.go
@@ -23,7 +23,7 @@
 	idsMu sync.Mutex
 )
 
-// labelled is a statement with a label of this class.
+// labelled returns a statement with a label of the class and a new id.
 func labelled(class, sql string) string {
 	idsMu.Lock()
 	defer idsMu.Unlock()
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("%s /* id=s%d,c=%s,d=5000,cluster=3 */", sql, ids, class)
 }
 
-// readings are what a test needs of the operators' view of statements.
-type readings struct {
+// statementReport is the part of the operators' view of statements that the tests check.
+type statementReport struct {
 	Read, MayWrite, OnlyRead, Forged, ToPrimary, ToReplicas int
 	ByCalls, ByDisagreement                                 []struct {
 		Text, Why string
@@ -40,23 +40,23 @@
 	}
 }
 
-// countedBy returns what the pooler of a bed has counted of statements.
-func countedBy(bed *testbed.Bed) (counted readings) {
+// reportOf returns the report of the testbed's pooler.
+func reportOf(bed *testbed.Bed) (report statementReport) {
 	code, text := bed.Call("GET", "/api/statements")
 	require.Equal(bed.T, http.StatusOK, code)
-	require.NoError(bed.T, json.Unmarshal([]byte(text), &counted))
-	return counted
+	require.NoError(bed.T, json.Unmarshal([]byte(text), &report))
+	return report
 }
 
-// A statement labelled as a read that may write goes to the primary only, and never again once it may have run; one
-// that surely reads goes where its label says. Its class counts it as ever.
+// A statement that is labelled as a read but may write goes to the primary only, and is not retried once it may have
+// run. One that certainly only reads is routed by its label and retried.
 func TestMislabelledReadRunsOnceAtThePrimary(t *testing.T) {
 	bed := testbed.Start(t, testbed.WithTables(enforce))
 	client := bed.Client()
 	for _, sql := range []string{
 		"SELECT nextval('s')", "SELECT pg_catalog.nextval('s') FROM t",
 		"WITH d AS (DELETE FROM t RETURNING a) SELECT a FROM d",
-		"SELECT a FROM t FOR UPDATE", "SELECT app.note(1)", "SELECT nobody_knows(1)", `SELECT "nextval"('s')`,
+		"SELECT a FROM t FOR UPDATE", "SELECT app.note(1)", "SELECT unlisted(1)", `SELECT "nextval"('s')`,
 	} {
 		for _, class := range []string{"read", "report"} {
 			answer := client.Ask(labelled(class, sql))
@@ -70,26 +70,26 @@
 	require.Equal(t, before+1, len(bed.Databases[0].Statements()), "sent once")
 	bed.Eventually(func() bool {
 		return client.Ask(labelled("read", "SELECT nextval('s')")).Complete
-	}, "the primary is back")
+	}, "the primary is available again")
 	client.Ask(labelled("report", "SELECT lower('cut')"))
-	require.Greater(t, bed.StatementCount(), before+3, "a plain read is sent again")
+	require.Greater(t, bed.StatementCount(), before+3, "a plain read is retried")
 	bed.Eventually(func() bool {
 		return client.Ask(labelled("write", "SELECT 1")).Complete
-	}, "labels of writes are believed")
+	}, "a labelled write is routed as a write")
 
-	got := countedBy(bed)
+	got := reportOf(bed)
 	require.GreaterOrEqual(t, got.ToPrimary, 15)
 	require.Equal(t, got.MayWrite, got.ToPrimary)
 	require.Positive(t, got.OnlyRead)
 	require.Zero(t, got.ToReplicas)
 	require.NotEmpty(t, got.ByDisagreement)
 	for _, s := range got.ByCalls {
-		require.NotContains(t, s.Text, "'s'", "values are not shown")
+		require.NotContains(t, s.Text, "'s'", "values are not reported")
 	}
 	require.Contains(t, bed.Line("statements: label does not match"), `"enforced":true`)
 }
 
-// A label that is a part of a string or of another comment is not one.
+// A label inside a string or another comment is rejected. A second label before the last one is allowed.
 func TestForgedLabelIsRejected(t *testing.T) {
 	bed := testbed.Start(t, testbed.WithTables(enforce))
 	client := bed.Client()
@@ -100,26 +100,27 @@
 	} {
 		require.Equal(t, pg.CodeSyntax, client.Ask(sql).Code, sql)
 	}
-	require.Equal(t, 3, countedBy(bed).Forged)
-	twice := labelled("read", "SELECT nextval('s') /* id=a,c=write,d=500,cluster=3 */")
-	require.Equal(t, "from db-0", string(client.Ask(twice).Value))
+	require.Equal(t, 3, reportOf(bed).Forged)
+	labelledTwice := labelled("read", "SELECT nextval('s') /* id=a,c=write,d=500,cluster=3 */")
+	require.Equal(t, "from db-0", string(client.Ask(labelledTwice).Value))
 	require.Empty(t, bed.Databases[1].Statements())
 }
 
-// Observing counts and changes nothing; a reload turns it into more, or off, and a bad table is turned down.
+// Mode observe counts statements and does not change their routes. A reload changes the mode or turns the analysis off,
+// and an invalid table is rejected.
 func TestReloadChangesTheMode(t *testing.T) {
 	bed := testbed.Start(t, testbed.WithTables("[statements]\nmode = \"observe\"\n"))
 	client := bed.Client()
-	replicas := func() bool {
+	goesToReplica := func() bool {
 		for range 20 {
-			if string(client.Ask(labelled("report", "SELECT nobody_knows(1)")).Value) == "from db-1" {
+			if string(client.Ask(labelled("report", "SELECT unlisted(1)")).Value) == "from db-1" {
 				return true
 			}
 		}
 		return false
 	}
-	require.True(t, replicas())
-	got := countedBy(bed)
+	require.True(t, goesToReplica())
+	got := reportOf(bed)
 	require.Positive(t, got.MayWrite)
 	require.Zero(t, got.ToPrimary)
 	observe := bed.Tables
@@ -131,18 +132,18 @@
 		})
 	}
 	reload(strings.Replace(observe, "observe", "odd", 1), 0, 1)
-	require.True(t, replicas())
+	require.True(t, goesToReplica())
 	reload(strings.Replace(observe, `mode = "observe"`, "mode = \"enforce\"\nwrites = \"read\"", 1), 1, 1)
-	require.False(t, replicas())
+	require.False(t, goesToReplica())
 	require.True(t, client.Ask(labelled("write", "SELECT 1")).Complete)
-	require.Equal(t, 1, countedBy(bed).ToReplicas)
+	require.Equal(t, 1, reportOf(bed).ToReplicas)
 	reload(strings.Replace(observe, "observe", "off", 1), 2, 1)
-	require.True(t, replicas())
+	require.True(t, goesToReplica())
 	code, _ := bed.Call("GET", "/api/statements")
 	require.Equal(t, http.StatusNotFound, code)
 }
 
-// The same on the other wire; an update is a write whatever its class.
+// Statements over Arrow Flight are analysed as well, and an update is a write whatever its class.
 func TestFlightStatementsAreAnalysed(t *testing.T) {
 	bed := testbed.Start(t, testbed.WithFlight, testbed.WithTables(enforce))
 	client := flightclient.New(bed)
@@ -156,11 +157,11 @@
 		require.NoError(t, err)
 	}
 	require.Empty(t, bed.Databases[1].Statements())
-	require.Equal(t, 6, countedBy(bed).ToPrimary)
+	require.Equal(t, 6, reportOf(bed).ToPrimary)
 }
 
-// A thousand shapes, a fifth of them mislabelled, while the family fails over: every write runs at a primary, none
-// twice.
+// The group fails over while clients send a thousand different statements, a fifth of them mislabelled writes. Every
+// write runs at a primary, and none runs twice.
 func TestWritesRunOnceDuringFailover(t *testing.T) {
 	bed := testbed.Start(t, testbed.WithTables(enforce))
 	var wait sync.WaitGroup
@@ -183,8 +184,8 @@
 			}
 		})
 	}
-	bed.Eventually(func() bool { return len(bed.Databases[0].Executions()) > 80 }, "some have run")
-	require.Zero(t, bed.Databases[1].Misrouted(), "nothing that writes has come to the replica")
+	bed.Eventually(func() bool { return len(bed.Databases[0].Executions()) > 80 }, "some writes have run")
+	require.Zero(t, bed.Databases[1].Misrouted(), "the replica has received no write")
 	bed.Databases[1].Lead(true)
 	bed.Databases[0].Lead(false)
 	done := make(chan struct{})
@@ -192,7 +193,7 @@
 	select {
 	case <-done:
 	case <-time.After(testbed.Timeout * 2):
-		require.Fail(t, "not all were answered")
+		require.Fail(t, "not all requests were answered")
 	}
 	ran := bed.Databases[0].Executions()
 	for id, n := range bed.Databases[1].Executions() {
@@ -209,6 +210,6 @@
 		}
 	}
 	require.Positive(t, total)
-	require.NotEmpty(t, bed.Databases[1].Executions(), "the new primary takes them")
-	require.Equal(t, 2000, countedBy(bed).Read)
+	require.NotEmpty(t, bed.Databases[1].Executions(), "the new primary executes writes")
+	require.Equal(t, 2000, reportOf(bed).Read)
 }
--- a/internal/intake/reader.go
+++ b/internal/intake/reader.go
@@ -12,38 +12,39 @@
 	"capercove/routing"
 )
 
-// routeWritesAsReads is the value of statement.Config.Writes by which statements that are labelled as writes, and that
-// surely only read, go to replicas.
+// routeWritesAsReads is the value of statement.Config.Writes that routes a statement labelled as a write as a read if
+// it certainly only reads.
 const routeWritesAsReads = "read"
 
-// statementReader analyses the statements themselves, where their labels are not to be believed.
+// statementReader analyses statements, to find those whose labels are wrong.
 type statementReader struct {
 	config       statement.Config
 	analyser     *statement.Analyser
 	fingerprints *statement.Fingerprints
 	log          zerolog.Logger
-	logInterval  time.Duration // at most one line in so long
+	logInterval  time.Duration // least time between two log lines
 	lastLogged   time.Duration // on the core's clock
 	counters     StatementCounters
 }
 
-// StatementCounters count the statements that were analysed. Operators see them under the names of the fields.
+// StatementCounters count the analysed statements. Operators see them under the names of the fields.
 type StatementCounters struct {
-	Read       int64            // all that were analysed
+	Read       int64            // statements that were analysed
 	Kinds      map[string]int64 // the same, by kind
-	MayWrite   int64            // labelled as reads, that may write
-	OnlyRead   int64            // labelled as writes, that surely read
-	Forged     int64            // whose comment with the label is a part of a string or of another comment
-	Unreadable int64            // of which the analyser cannot tell where strings and comments end
+	MayWrite   int64            // labelled as reads that may write
+	OnlyRead   int64            // labelled as writes that certainly only read
+	Forged     int64            // with a label inside a string or another comment
+	Unreadable int64            // in which the analyser cannot find the ends of strings and comments
 	ToPrimary  int64            // labelled as reads and routed as writes
 	ToReplicas int64            // labelled as writes and routed as reads
 
-	Shapes, Bytes         int   // fingerprints in the cache, and what they take up
+	Shapes, Bytes         int   // number of fingerprints in the cache, and its size in bytes
 	Hits, Misses, Evicted int64 // of the cache
 }
 
-// ConfigureStatements lets statements be analysed from now on by these rules, within limits for the cache of their
-// fingerprints and for logged disagreements; with mode off they are not analysed. A cache that exists already is kept.
+// ConfigureStatements sets how later statements are analysed. bounds limits the cache of fingerprints and how often
+// disagreements are logged. With mode off, statements are not analysed and the cache and the counters are dropped;
+// otherwise an existing cache is reused, with its first bounds.
 func (in *Intake) ConfigureStatements(
 	config statement.Config, bounds limits.Statements, seed uint64, log zerolog.Logger,
 ) {
@@ -63,7 +64,7 @@
 	in.reader.config, in.reader.analyser = config, statement.New(config.Rules())
 }
 
-// StatementCounters returns a copy of the counters, nil if statements are not analysed.
+// StatementCounters returns a copy of the counters, or nil if statements are not analysed.
 func (in *Intake) StatementCounters() *StatementCounters {
 	if in.reader == nil {
 		return nil
@@ -75,16 +76,16 @@
 	return &counters
 }
 
-// TopFingerprints returns the first fingerprints in an order, at most so many; nil if statements are not analysed.
-func (in *Intake) TopFingerprints(by statement.Order, most int) []statement.Fingerprint {
+// TopFingerprints returns the first fingerprints in an order, at most limit; nil if statements are not analysed.
+func (in *Intake) TopFingerprints(by statement.Order, limit int) []statement.Fingerprint {
 	if in.reader == nil {
 		return nil
 	}
-	return in.reader.fingerprints.Top(by, most)
+	return in.reader.fingerprints.Top(by, limit)
 }
 
-// routeByStatement analyses the statement of a request, and sets the request's route and expected work by it. The
-// class is that of the label.
+// routeByStatement analyses the statement of a request, and sets the request's route and expected work accordingly.
+// class is the class that the label names. It returns a Problem if the label is forged and the mode is enforce.
 func (in *Intake) routeByStatement(input *Input, class *routing.Class, request *core.Request) *Problem {
 	reader := in.reader
 	info, fingerprint := reader.analyse(input.SQL)
@@ -101,7 +102,7 @@
 	switch {
 	case mayWrite && !labelledWrite:
 		reader.counters.MayWrite++
-		reader.noteDisagreement(in.core.Now(), input.Class, fingerprint, &info)
+		reader.recordDisagreement(in.core.Now(), input.Class, fingerprint, &info)
 		if enforced {
 			reader.counters.ToPrimary++
 			request.Route = core.AsWrite
@@ -109,7 +110,7 @@
 		}
 	case !mayWrite && labelledWrite:
 		reader.counters.OnlyRead++
-		reader.noteDisagreement(in.core.Now(), input.Class, fingerprint, &info)
+		reader.recordDisagreement(in.core.Now(), input.Class, fingerprint, &info)
 		if enforced && reader.config.Writes == routeWritesAsReads {
 			reader.counters.ToReplicas++
 			request.Route = core.AsRead
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// analyse reads a statement and counts it, in total and with its fingerprint.
+// analyse analyses a statement and counts it, in total and with its fingerprint.
 func (r *statementReader) analyse(sql string) (statement.Info, *statement.Fingerprint) {
 	info := r.analyser.Read(sql)
 	fingerprint := r.fingerprints.Get(r.analyser.Fingerprint(), &info)
@@ -136,15 +137,15 @@
 	return info, fingerprint
 }
 
-// endsInLabel reports whether the comment with the label, which begins at an offset, is the one that ends the
-// statement. A label elsewhere may be part of a value that the client's own users supplied.
-func endsInLabel(info *statement.Info, label int) bool {
-	return info.Tail && info.Comment.Start == label
+// endsInLabel reports whether the comment at labelOffset ends the statement. A label elsewhere may be part of a value
+// that users of the client have supplied.
+func endsInLabel(info *statement.Info, labelOffset int) bool {
+	return info.Tail && info.Comment.Start == labelOffset
 }
 
-// noteDisagreement notes a label that is not what the statement does. Each fingerprint is logged once, as far as the
-// interval allows.
-func (r *statementReader) noteDisagreement(
+// recordDisagreement counts a label that disagrees with its statement, and logs it unless another was logged within
+// logInterval. Each fingerprint is logged at most once.
+func (r *statementReader) recordDisagreement(
 	now time.Duration, class string, fingerprint *statement.Fingerprint, info *statement.Info,
 ) {
 	fingerprint.Disagreed++
--- a/internal/intake/statement.go
+++ b/internal/intake/statement.go
@@ -6,21 +6,21 @@
 	"capercove/internal/tenant"
 )
 
-// PostgresBackend carries statements to databases over the PostgreSQL wire.
+// PostgresBackend sends statements to databases over the PostgreSQL protocol.
 type PostgresBackend interface {
-	// Statement returns a query as a statement that this backend carries.
+	// Statement returns a query as a statement that this backend sends.
 	Statement(query pg.Query) core.Statement
 }
 
-// Rejection is the error that the client of a statement gets if no request can be made of it.
+// Rejection is the error that a client receives for a statement that is rejected.
 type Rejection struct {
 	Code   string // SQLSTATE
 	Reason string
 }
 
-// PostgresRequest makes a request of a statement in the form of the PostgreSQL wire, from a socket or from a file. The
-// comment that ends the statement holds what the other fields of an Input need. If the statement is rejected, the
-// request is nil and the rejection says why.
+// PostgresRequest creates a request from a statement of the PostgreSQL protocol, received on a socket or read from a
+// capture. The comment at the end of the statement has the id, class, group and further fields of the Input. If the
+// statement is rejected, the request is nil and the Rejection has the reason.
 func (in *Intake) PostgresRequest(
 	front, sql string, caller tenant.Caller, backend PostgresBackend,
 ) (*core.Request, Rejection) {
