--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -78,10 +78,10 @@
 // request, or negative.
 //
 // A database is overloaded if all senders together send it, within a window, more than multiple times the work that it
-// can do in a window. This capacity is taken to be the estimate or, if more, the work that the database has answered in
-// the last window since it started. Answered work proves the capacity even where the estimate is low for lack of load
-// at other databases. Each sender counts only its own answers, therefore all senders together stay within the budget.
-// The budget of a window is never less than minBudget.
+// can do in a window. This sender's part of that capacity is taken to be estimate or, if more, its work that the
+// database has answered in the last window since it started. Answered work proves the capacity even where estimate is
+// low for lack of load at other databases. Since each sender counts only its own part, all senders together stay within
+// the budget. The budget of a window is never less than minBudget.
 func (s *SlowStart) Remaining(now, started, window time.Duration, multiple, estimate, minBudget float64) float64 {
 	windowStart := now - window
 	s.sends = dropBefore(s.sends, windowStart)
