--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,15 +1,16 @@
-// Package admission is the pooler's admission control: it decides which of the incoming requests go on to the router,
-// and when. It keeps tenants, and the clients of each, to their fair shares of the databases, and gives those whose
-// requests it rejects a time to retry after.
+// Package admission is the pooler's admission control. It decides which incoming requests are passed to the router, and
+// when. It enforces fair shares of the databases among tenants, and among the clients of each tenant. A rejected
+// request gets a time to retry after.
 //
-// A Controller is driven by Step alone. It has no clock, goroutine or I/O, so equal calls give equal actions. Every
-// offered request ends in exactly one of: admitted (and later ended by its host), rejected, left. While the databases
-// have capacity nothing waits: a request is admitted in the Step that offers it.
+// A Controller receives events through Step. It has no clock, goroutine or I/O: equal calls give equal actions. Each
+// offered request has exactly one of three results: it is admitted and its host later reports its end, it is rejected,
+// or its client leaves. While the databases have capacity no request waits: each is admitted in the Step that offers
+// it.
 //
-// Requests wait in queues, one for the primary and one for the replicas of each group, since requests for one database
-// must not wait for another. In a queue, tenants take turns by start-time fair queuing (Goyal, Vin, Cheng 1996), each
-// turn charged with the cost of the request in seconds of work; the clients of a tenant take turns in the same way. The
-// number of a queue's requests in flight is bounded by a concurrency limit that follows their latency (limiter.go).
+// Each group has two queues, one for its primary and one for its replicas: requests for one database must not wait for
+// another. Within a queue, tenants are scheduled by start-time fair queuing (Goyal, Vin, Cheng 1996). An admitted
+// request charges its cost, in seconds of work, to its tenant. The clients of a tenant are scheduled in the same way.
+// A concurrency limit, which follows the latency, bounds the number of a queue's requests in flight (limiter.go).
 package admission
 
 import (
@@ -19,27 +20,27 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Tuned values.
+// Parameters of queues, flows and shedding.
 const (
-	sweepInterval    = 10 * time.Millisecond  // how often overdue requests are looked for
-	minWindow        = 100 * time.Millisecond // shortest measuring window of the limiter and the rates
-	maxWindow        = time.Second            // longest one, if there are few samples
-	reseedInterval   = 5 * time.Second        // clients are hashed anew, and their earlier work counts half
-	idleTimeout      = time.Minute            // an idle tenant's state in a queue is dropped after this
-	hashedFlows      = 32                     // flows of a tenant in a queue that clients share by their hash
-	heavyFlows       = 16                     // flows of their own, for the tenant's heaviest clients
-	defaultCostShare = 0.2                    // of a class's objective: its cost before any request has been measured
-	maxWaitShare     = 0.5                    // of its client's timeout, that a request waits at most
-	waitMargin       = 1.25                   // a wait may turn out this many times the predicted one
-	earlyRetryCharge = 1.0                    // of a request's cost, charged for a retry that comes too early
-	contentionWindow = time.Second            // a tenant seen within it may compete with others
-	heavyClientShare = 0.25                   // of a tenant's work: a client above it may starve the others
+	sweepInterval    = 10 * time.Millisecond  // period of the search for overdue requests
+	minWindow        = 100 * time.Millisecond // minimum measurement window of the limiter and the rates
+	maxWindow        = time.Second            // the limiter is updated after this time even if there are few samples
+	reseedInterval   = 5 * time.Second        // period of new hashes for clients and of halving their costs
+	idleTimeout      = time.Minute            // an idle tenant's state in a queue is dropped after this time
+	hashedFlows      = 32                     // flows of a tenant, per queue and band, that clients share by hash
+	heavyFlows       = 16                     // dedicated flows, per queue and band, for its heaviest clients
+	defaultCostShare = 0.2                    // cost of a class without samples, as a share of its latency objective
+	maxWaitShare     = 0.5                    // maximum wait, as a share of the client's timeout
+	waitMargin       = 1.25                   // predicted waits are divided by it before queued requests are rejected
+	earlyRetryCharge = 1.0                    // charge for an early retry, as a multiple of the request's cost
+	contentionWindow = time.Second            // a tenant with requests in this time may compete with others
+	heavyClientShare = 0.25                   // share of a tenant's work above which a client may starve the others
 	minShortLoad     = 0.01                   // load of short requests below which no places are reserved for them
 	staffingFactor   = 2.0                    // standard deviations of the short load that are reserved beyond its mean
-	classActiveTime  = 5 * time.Second        // a class without requests for so long is not considered
-	rateTimeConstant = time.Second            // of the moving averages of rates
-	randomStream     = 0x646f6f72             // of the random generator, beside the seed
-	maxDelaySeconds  = 3600                   // bound of predicted delays
+	classActiveTime  = 5 * time.Second        // a class without requests for this time is not active
+	rateTimeConstant = time.Second            // time constant of the moving averages of rates
+	randomStream     = 0x646f6f72             // second half of the random generator's seed
+	maxDelaySeconds  = 3600                   // upper bound of predicted delays, in seconds
 	sojournDigits    = 2                      // significant digits of the sojourn histogram
 )
 
@@ -49,20 +50,20 @@
 // The kinds of events.
 const (
 	Offered Kind = iota // a request has arrived
-	Ended               // an admitted request is over
-	Left                // the client of a request has disconnected, whether it waits or was admitted
-	Full                // a database rejected an attempt of a request because it is overloaded
-	Retuned             // new settings; queued requests stay, unless their class is gone
-	Woken               // the time of a Wake action has come
+	Ended               // an admitted request has ended
+	Left                // the client of a waiting or admitted request has disconnected
+	Full                // an attempt of an admitted request was rejected because the databases are overloaded
+	Retuned             // the settings have changed; queued requests stay, unless their class was removed
+	Woken               // the time of a Wake action has elapsed
 )
 
-// Event is one input of Step. Kind says which of the other fields are set.
+// Event is an input of Step. The Kind determines which other fields are set.
 type Event struct {
 	Kind     Kind
-	Request  uint64
-	Offer    Offer
-	Outcome  Outcome
-	Settings *Settings // it must not be changed afterwards
+	Request  uint64    // number of the request; unused by Retuned and Woken
+	Offer    Offer     // Offered: the arriving request
+	Outcome  Outcome   // Ended: the result of the request
+	Settings *Settings // Retuned: the new settings, which the caller must not change afterwards
 }
 
 // Offer describes an arriving request.
@@ -71,22 +72,22 @@
 	Class   int // index in Settings.Classes
 	Group   int
 	Client  uint64        // identifies the client within its tenant
-	Work    time.Duration // expected; 0: the estimate of its class
+	Work    time.Duration // expected work; 0: the estimate of its class
 	Expires time.Duration // time from now until the client gives up
 }
 
-// Outcome is how an admitted request ended.
+// Outcome is the result of an admitted request.
 type Outcome struct {
-	Ran  bool          // a database worked on it, whatever the result; false: none was sent or all were rejected
-	Took time.Duration // time of the last attempt; 0: there was none
+	Ran  bool          // a database ran it, whatever the result; false: no attempt was sent, or all were rejected
+	Took time.Duration // duration of the last attempt; 0: there was none
 }
 
-// Action is one thing for the host to do. Actions are carried out in order.
+// Action is an instruction to the host, which carries out actions in order.
 type Action struct {
 	Kind    ActionKind
 	Request uint64
-	Class   int           // Admit: its index in the newest settings
-	After   time.Duration // Reject: when to retry; Wake: time from now
+	Class   int           // Admit: index of the request's class in the newest settings
+	After   time.Duration // Reject: time to retry after, 0 for none; Wake: time from now
 }
 
 // ActionKind is the kind of an Action.
@@ -94,12 +95,13 @@
 
 // The kinds of actions.
 const (
-	Admit  ActionKind = iota // let the request go on to the router
-	Reject                   // reject it, with the time to retry after
-	Wake                     // call Step with a Woken event after the given time
+	Admit  ActionKind = iota // pass the request to the router
+	Reject                   // reject the request, with After as the time to retry after
+	Wake                     // call Step with a Woken event when After has elapsed
 )
 
-// Controller holds the queues. The zero value is not usable. It is used by one goroutine at a time.
+// Controller is the admission controller of a pooler. The zero value is not usable; New makes one. It is not safe for
+// concurrent use.
 type Controller struct {
 	Sojourn *hdrhistogram.Histogram // waiting times of admitted requests that had to wait, in microseconds
 
@@ -107,33 +109,34 @@
 	settings     Settings
 	now          time.Duration
 	rng          *rand.Rand
-	seed         uint64 // of the hash that assigns clients to flows
+	seed         uint64 // seed of the hash that assigns clients to flows
 	seededAt     time.Duration
 	wakeAt       time.Duration // when the pending Wake is due; 0: none is pending
 	entries      []entry
-	free         int32 // first of the free entries
-	entryOf      map[uint64]int32
-	queued       int
-	queues       []*fairQueue // by number
+	free         int32            // index of the first free entry
+	entryIndex   map[uint64]int32 // indexes in entries, by request
+	queued       int              // waiting requests, over all queues
+	queues       []*fairQueue     // by number
 	queueNumbers map[queueKey]int
 	tenants      []tenantState
 	retries      retryTable
-	out          []Action
-	postponed    []int32 // scratch space of dispatch
+	out          []Action // actions of the current Step
+	postponed    []int32  // scratch space of dispatch
 }
 
-// tenantState is what is known of a tenant over all queues.
+// tenantState is the state of a tenant over all queues.
 type tenantState struct {
 	floor, ceiling   tokenBucket
 	admitted, queued int64
 	rejected         int64
 }
 
-// New returns an empty controller. Equal seeds give equal decisions.
+// New returns a controller without requests. Equal seeds give equal decisions.
 func New(s Settings, seed uint64) *Controller {
 	c := &Controller{
-		rng: rand.New(rand.NewPCG(seed, randomStream)), entryOf: map[uint64]int32{}, queueNumbers: map[queueKey]int{},
-		free: none, Sojourn: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), sojournDigits),
+		rng: rand.New(rand.NewPCG(seed, randomStream)), entryIndex: map[uint64]int32{},
+		queueNumbers: map[queueKey]int{}, free: none,
+		Sojourn: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), sojournDigits),
 	}
 	c.seed = c.rng.Uint64()
 	c.retries = newRetryTable(s.Bounds.MaxRetries)
@@ -142,8 +145,9 @@
 	return c
 }
 
-// Step takes one batch of events and appends the resulting actions. Ended requests free their places before any request
-// is admitted, and all offers of a batch are queued before any is admitted, so that shares are fair after a pause too.
+// Step processes a batch of events and returns out with the resulting actions appended. The time now is monotonic, with
+// any origin. Before any request is admitted, the ended requests of the batch free their places and all its offers are
+// queued: shares stay fair when a pause of the process has delayed events.
 func (c *Controller) Step(now time.Duration, events []Event, out []Action) []Action {
 	c.now, c.out = max(now, c.now), out
 	if c.seededAt == 0 {
@@ -154,15 +158,15 @@
 		case Ended:
 			c.ended(e.Request, &e.Outcome)
 		case Full:
-			if at, known := c.entryOf[e.Request]; known && c.entries[at].state == inFlight {
+			if at, known := c.entryIndex[e.Request]; known && c.entries[at].state == inFlight {
 				c.queues[c.entries[at].queue].limiter.overloaded()
 			}
 		}
 	}
 	for i := range events {
 		switch e := &events[i]; e.Kind {
-		case Retuned: // in its order among the offers: those before it refer to the old settings
-			c.retune(*e.Settings)
+		case Retuned: // processed in order with the offers: earlier offers refer to the old settings
+			c.applySettings(*e.Settings)
 		case Offered:
 			c.offer(e.Request, &e.Offer)
 		case Left:
@@ -190,20 +194,21 @@
 	return c.out
 }
 
-// RetryAfter returns when the client of an admitted request that was rejected later on should retry, no sooner than
-// least. The retry is scheduled as for the controller's own rejections. It must be called before the request's Ended.
+// RetryAfter returns after how long the client of an admitted request should retry if the router rejects the request.
+// The retry is scheduled like those of the controller's own rejections, no sooner than least. RetryAfter must be called
+// before the Ended event of the request.
 func (c *Controller) RetryAfter(now time.Duration, request uint64, least time.Duration) time.Duration {
 	c.now = max(now, c.now)
-	at, known := c.entryOf[request]
-	// Without contention nothing waits here, so the queue does not show when there will be capacity.
+	at, known := c.entryIndex[request]
+	// Without contention no request waits in the queue, and its backlog does not show when there will be capacity.
 	if !known || !c.queues[c.entries[at].queue].contested {
 		return least
 	}
 	return c.assignRetryAfter(&c.entries[at], least)
 }
 
-// reseed assigns clients to flows by a new hash, so that two that share a flow by chance do not share it for long, and
-// drops the state of idle tenants.
+// reseed assigns clients to flows by a new hash and drops the state of idle tenants. The new hash separates clients
+// that share a flow by chance.
 func (c *Controller) reseed() {
 	c.seededAt, c.seed = c.now, c.rng.Uint64()
 	for _, queue := range c.queues {
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -10,28 +10,29 @@
 // Config is the table [door] of the operators' file.
 type Config struct {
 	Enabled   bool           `toml:"enabled"`
-	Limit     string         `toml:"limit"`     // how the concurrency limit follows the latency: gradient or aimd
-	Tolerance float64        `toml:"tolerance"` // multiple of the least latency up to which the limit is not lowered
+	Limit     string         `toml:"limit"`     // algorithm of the concurrency limit: gradient or aimd
+	Tolerance float64        `toml:"tolerance"` // multiple of the latency floor up to which the limit is not reduced
 	Client    string         `toml:"client"`    // what identifies a client of a tenant: key, address, connection, user
 	Tenants   []TenantConfig `toml:"tenants"`
 	Rules     []tenant.Rule  `toml:"rules"`
 }
 
-// TenantConfig is a tenant as operators configure it. Rates are in requests a second at this pooler.
+// TenantConfig is the table of a tenant in the operators' file. Rates are in requests a second at this pooler. The type
+// Tenant describes the numbers.
 type TenantConfig struct {
 	Name         string   `toml:"name"`
-	Weight       *float64 `toml:"weight"` // 1 if it is missing
+	Weight       *float64 `toml:"weight"` // nil: 1
 	Floor        float64  `toml:"floor"`
 	Ceiling      float64  `toml:"ceiling"`
 	FloorShare   float64  `toml:"floor_share"`
 	CeilingShare float64  `toml:"ceiling_share"`
 }
 
-// DefaultTenant is the tenant of requests that no rule assigns. It may be listed, to set its weight.
+// DefaultTenant is the tenant of requests that match no rule. Operators may list it to set its weight.
 const DefaultTenant = "default"
 
-// TenantsMost bounds the number of tenants; each has state in every queue.
-const TenantsMost = 64
+// MaxTenants bounds the number of tenants, DefaultTenant included. Each tenant has state in every queue.
+const MaxTenants = 64
 
 // Bounds of the table's numbers.
 const (
@@ -41,19 +42,19 @@
 	maxTolerance = 100
 )
 
-// defaultTolerance is the tolerance of a file that sets none.
+// defaultTolerance is the tolerance if the file sets none.
 const defaultTolerance = 1.3
 
-// limiters are the kinds of limiters by their names.
+// limiters maps the values of the key limit to the kinds of limiters.
 var limiters = map[string]LimiterKind{"gradient": Gradient, "aimd": AIMD}
 
-// clients are the words that the key client may have.
+// clients are the valid values of the key client.
 var clients = map[string]bool{"key": true, "address": true, "connection": true, "user": true}
 
-// Defaults are the values of keys that the file lacks.
+// Defaults returns the values of the keys that the file does not set.
 func Defaults() Config { return Config{Limit: "gradient", Tolerance: defaultTolerance, Client: "key"} }
 
-// Check returns the first error of the table, a tables.KeyError or the error of a rule, or nil.
+// Check returns the first error of the table: a tables.KeyError or the error of a rule. A valid table gives nil.
 func (c Config) Check() error {
 	if _, known := limiters[c.Limit]; !known {
 		return tables.Bad("limit", "%q is neither gradient nor aimd", c.Limit)
@@ -64,9 +65,9 @@
 	if !clients[c.Client] {
 		return tables.Bad("client", "%q is not key, address, connection or user", c.Client)
 	}
-	if len(c.Tenants) >= TenantsMost {
-		return tables.Bad(fmt.Sprintf("tenants[%d]", TenantsMost-1), "there are %d tenants, %d is the most",
-			len(c.Tenants), TenantsMost-1)
+	if len(c.Tenants) >= MaxTenants {
+		return tables.Bad(fmt.Sprintf("tenants[%d]", MaxTenants-1), "%d tenants are listed, at most %d are allowed",
+			len(c.Tenants), MaxTenants-1)
 	}
 	if err := c.checkTenants(); err != nil {
 		return err
@@ -75,7 +76,7 @@
 	return err
 }
 
-// checkTenants checks the list of tenants.
+// checkTenants checks each tenant, and that names are unique and the floor shares add up to at most 1.
 func (c Config) checkTenants() error {
 	seen := map[string]bool{}
 	floors := 0.0
@@ -95,22 +96,22 @@
 	return nil
 }
 
-// check checks the numbers of one tenant, whose table has the given key.
+// check validates the numbers of a tenant. The key of its table is for the error.
 func (t TenantConfig) check(key string) error {
 	if t.Weight != nil && !(*t.Weight >= minWeight && *t.Weight <= maxWeight) {
 		return tables.Bad(key+".weight", "%v is not from %v to %v", *t.Weight, minWeight, maxWeight)
 	}
 	for _, bound := range []struct {
-		name        string
-		value, most float64
+		name           string
+		value, maximum float64
 	}{
 		{"floor", t.Floor, maxRate},
 		{"ceiling", t.Ceiling, maxRate},
 		{"floor_share", t.FloorShare, 1},
 		{"ceiling_share", t.CeilingShare, 1},
 	} {
-		if !(bound.value >= 0 && bound.value <= bound.most) {
-			return tables.Bad(key+"."+bound.name, "%v is not from 0 to %v", bound.value, bound.most)
+		if !(bound.value >= 0 && bound.value <= bound.maximum) {
+			return tables.Bad(key+"."+bound.name, "%v is not from 0 to %v", bound.value, bound.maximum)
 		}
 	}
 	if t.Ceiling > 0 && t.Ceiling < t.Floor {
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// names returns the tenants' names by number.
+// names returns the names of the tenants in the order of Settings.Tenants.
 func (c Config) names() []string {
 	names := []string{DefaultTenant}
 	for _, t := range c.Tenants {
@@ -133,10 +134,12 @@
 	return names
 }
 
-// TenantRules returns the rules that assign requests to tenants, by their index in Settings.Tenants.
+// TenantRules returns the rules that assign requests to tenants. They refer to a tenant by its index in
+// Settings.Tenants.
 func (c Config) TenantRules() (*tenant.Rules, error) { return tenant.New(c.names(), c.Rules) }
 
-// Settings returns the controller's settings, with the classes and bounds that the host knows.
+// Settings returns the controller's settings: the tenants and the limiter of the table, the given classes, and all else
+// from host.
 func (c Config) Settings(classes []Class, host Settings) Settings {
 	settings := host
 	settings.Classes, settings.Limiter, settings.Tolerance = classes, limiters[c.Limit], c.Tolerance
@@ -153,7 +156,7 @@
 	return settings
 }
 
-// tenant returns the tenant with its defaults filled in.
+// tenant returns the Tenant of the table, with the default weight if none is set.
 func (t TenantConfig) tenant() Tenant {
 	tenant := Tenant{
 		Name:         t.Name,
--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -1,22 +1,23 @@
 package admission
 
-// maxRetriesInRow is how many scheduled retries in a row may go before the requests of their tenant's other clients.
-const maxRetriesInRow = 3
+// maxConsecutiveRetries is how many scheduled retries of a tenant may be admitted in a row while its other requests
+// wait.
+const maxConsecutiveRetries = 3
 
-// dispatch admits what a queue has capacity for.
+// dispatch admits waiting requests of a queue while it has capacity.
 func (c *Controller) dispatch(queue *fairQueue) {
-	aside := c.postponed[:0] // tenants that have nothing that may be admitted
+	postponed := c.postponed[:0] // tenants whose waiting requests may not be admitted now
 	for queue.capacity(short) > 0 && len(queue.active) > 0 {
 		tenant := queue.nextTenant(c)
 		sub := queue.subqueues[tenant]
-		conf := &c.settings.Tenants[tenant]
+		settings := &c.settings.Tenants[tenant]
 		least := queue.subqueues[queue.active[0]].start
 		at := none
-		if conf.CeilingShare == 0 || float64(sub.inFlight) < max(1, conf.CeilingShare*queue.limiter.limit()) {
+		if settings.CeilingShare == 0 || float64(sub.inFlight) < max(1, settings.CeilingShare*queue.limiter.limit()) {
 			at = c.dequeue(sub, queue.capacity(long) > 0)
 		}
 		if at == none {
-			aside = append(aside, tenant)
+			postponed = append(postponed, tenant)
 			queue.remove(sub)
 			continue
 		}
@@ -28,45 +29,46 @@
 		}
 		c.admit(queue, at)
 	}
-	for _, tenant := range aside {
+	for _, tenant := range postponed {
 		queue.push(tenant)
 	}
-	c.postponed = aside
+	c.postponed = postponed
 }
 
-// dequeue takes out the entry whose turn it is in a subqueue, and charges its flow. It returns none if only long
-// requests wait there and none of those may be admitted.
-func (c *Controller) dequeue(sub *subqueue, longs bool) int32 {
+// dequeue removes the next entry of a subqueue, charges its flow and returns its index. It returns none if only long
+// requests wait in the subqueue and allowLong is false.
+func (c *Controller) dequeue(sub *subqueue, allowLong bool) int32 {
 	from := short
-	if longs && sub.precedes(long, short) {
+	if allowLong && sub.precedes(long, short) {
 		from = long
 	}
-	if k := sub.retries[from].first; k != none && (len(sub.active[from]) == 0 || sub.retriesInRow < maxRetriesInRow) {
-		sub.retriesInRow++
-		c.unlink(k)
-		sub.charge(c.entries[k].flow, c.entries[k].cost)
-		return k
+	if retry := sub.retries[from].first; retry != none &&
+		(len(sub.active[from]) == 0 || sub.consecutiveRetries < maxConsecutiveRetries) {
+		sub.consecutiveRetries++
+		c.unlink(retry)
+		sub.charge(c.entries[retry].flow, c.entries[retry].cost)
+		return retry
 	}
-	sub.retriesInRow = 0
+	sub.consecutiveRetries = 0
 	if len(sub.active[from]) == 0 {
 		return none
 	}
-	i := sub.active[from][0]
-	f := &sub.flows[i]
+	number := sub.active[from][0]
+	f := &sub.flows[number]
 	at := f.first
 	sub.virtualTime = max(sub.virtualTime, f.start)
 	f.finish = f.start + c.entries[at].cost
 	f.start = f.finish
 	c.unlink(at)
 	if f.heapIndex != none {
-		sub.fix(i)
+		sub.fix(number)
 	}
 	return at
 }
 
-// precedes reports whether the next entry of one band has its turn before the next one of the other.
+// precedes reports whether the next entry of band a has an earlier start tag than the next entry of band b.
 func (sub *subqueue) precedes(a, b band) bool {
-	turn := func(b band) (float64, bool) {
+	nextStart := func(b band) (float64, bool) {
 		if sub.retries[b].first != none {
 			return sub.virtualTime, true
 		}
@@ -75,7 +77,7 @@
 		}
 		return sub.flows[sub.active[b][0]].start, true
 	}
-	at, waits := turn(a)
-	other, others := turn(b)
-	return waits && (!others || at < other)
+	startA, waitingA := nextStart(a)
+	startB, waitingB := nextStart(b)
+	return waitingA && (!waitingB || startA < startB)
 }
--- a/internal/admission/entry.go
+++ b/internal/admission/entry.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// none is the index that refers to nothing.
+// none is the index of no entry, flow or heap position.
 const none int32 = -1
 
 type state uint8
 
 const (
 	unused   state = iota // the entry is free
-	arriving              // known, but in no queue
+	arriving              // in no queue yet, or removed from it
 	queued
 	inFlight
 )
 
-// entry is a request that the controller knows of. Entries are numbered, and linked by their numbers.
+// entry is a request of the controller. Entries are linked by their indexes in Controller.entries.
 type entry struct {
 	request       uint64
 	client        uint64
 	state         state
-	onSchedule    bool // it is a retry that came at the time it was given
+	onSchedule    bool // the request is a scheduled retry that arrived on time
 	queue, flow   int32
-	tenant, class int32 // class: none if it is no longer configured
+	tenant, class int32 // class: noClass if it is no longer configured
 	band          band
-	cost          float64
+	cost          float64 // seconds of work
 	offered       time.Duration
-	admitBy       time.Duration // it is admitted by then, or rejected
-	next, prev    int32         // in its flow by admitBy, or among the retries; of a free one, the next free
-	newer, older  int32         // in its flow by arrival
+	admitBy       time.Duration // deadline of admission: the request is rejected after it
+	next, prev    int32         // neighbors in the flow by admitBy, or in the list of retries; next links free entries
+	newer, older  int32         // neighbors in the flow by arrival
 }
 
-// allocate returns the number of a free entry.
+// allocate returns the index of a free entry.
 func (c *Controller) allocate() int32 {
 	if c.free == none {
 		c.entries = append(c.entries, entry{next: none})
@@ -43,12 +43,12 @@
 
 // release frees an entry that is in no queue.
 func (c *Controller) release(at int32) {
-	delete(c.entryOf, c.entries[at].request)
+	delete(c.entryIndex, c.entries[at].request)
 	c.entries[at] = entry{next: c.free}
 	c.free = at
 }
 
-// enqueue puts an entry in its place in the queue.
+// enqueue adds an entry to its queue: to the list of retries if the entry is on schedule, else to its flow.
 func (c *Controller) enqueue(queue *fairQueue, sub *subqueue, at int32) {
 	entry := &c.entries[at]
 	entry.state = queued
@@ -76,15 +76,15 @@
 	flow := &sub.flows[entry.flow]
 	flow.count++
 	flow.backlog += entry.cost
-	behind := flow.last // most arrive in this order: it is a step or two from the end
-	for behind != none && c.entries[behind].admitBy > entry.admitBy {
-		behind = c.entries[behind].prev
+	previous := flow.last // most entries arrive in the order of admitBy: the search from the end is short
+	for previous != none && c.entries[previous].admitBy > entry.admitBy {
+		previous = c.entries[previous].prev
 	}
-	entry.prev = behind
-	if behind == none {
+	entry.prev = previous
+	if previous == none {
 		entry.next, flow.first = flow.first, at
 	} else {
-		entry.next, c.entries[behind].next = c.entries[behind].next, at
+		entry.next, c.entries[previous].next = c.entries[previous].next, at
 	}
 	if entry.next == none {
 		flow.last = at
@@ -104,7 +104,7 @@
 	}
 }
 
-// unlink takes a queued entry out. Its flow and its tenant are not charged.
+// unlink removes an entry from its queue. It charges neither the flow nor the tenant.
 func (c *Controller) unlink(at int32) {
 	entry := &c.entries[at]
 	queue := c.queues[entry.queue]
--- a/internal/admission/figures.go
+++ b/internal/admission/figures.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// Reason is why a request was rejected.
+// Reason is the reason for a rejection.
 type Reason uint8
 
-// The reasons of rejections.
+// The reasons for rejections.
 const (
-	TooLate     Reason = iota // it could not be admitted in time for its objective
-	QueueFull                 // the queue is full and its flow is the heaviest
-	OverCeiling               // its tenant is over its ceiling
-	ClassGone                 // its class is no longer configured
-	Expired                   // it waited, and its time ran out
+	TooLate     Reason = iota // the request is predicted to be admitted too late for its latency objective
+	QueueFull                 // the queues are full, and the request is in the heaviest flow
+	OverCeiling               // the tenant has reached its ceiling
+	ClassGone                 // the class is no longer configured
+	Expired                   // the deadline of admission passed while the request waited
 	reasonCount
 )
 
-// Counters are the controller's counters. Their JSON names are a contract with readers of the log.
+// Counters count requests since the controller was made. Their JSON names are a contract with readers of the log.
 type Counters struct {
 	Offered  int64
 	Admitted int64
 	Waited   int64 // of the admitted requests, those that had to wait
-	Left     int64
+	Left     int64 // requests whose client disconnected
 
 	// Rejections, by Reason.
 	TooLate     int64
@@ -29,14 +29,14 @@
 	ClassGone   int64 `json:"Gone"`
 	Expired     int64 `json:"Overtook"`
 
-	RetriesScheduled   int64 `json:"Promised"`   // Retry-After times that are remembered
-	RetriesUnscheduled int64 `json:"Unpromised"` // Retry-After times that are not remembered
-	RetriesEarly       int64 `json:"Early"`      // scheduled retries that came before their time
-	RetriesAdmitted    int64 `json:"Kept"`       // scheduled retries that came on time and were admitted
-	RetriesRejected    int64 `json:"Broken"`     // scheduled retries that came on time and were rejected again
+	RetriesScheduled   int64 `json:"Promised"`   // rejections whose retry was scheduled
+	RetriesUnscheduled int64 `json:"Unpromised"` // rejections whose retry was not scheduled
+	RetriesEarly       int64 `json:"Early"`      // scheduled retries that arrived too early
+	RetriesAdmitted    int64 `json:"Kept"`       // scheduled retries that arrived on time and were admitted
+	RetriesRejected    int64 `json:"Broken"`     // scheduled retries that arrived on time and were rejected again
 }
 
-// rejections returns the counter of a reason.
+// rejections returns the counter of the rejections for a reason.
 func (c *Counters) rejections(reason Reason) *int64 {
 	return [reasonCount]*int64{&c.TooLate, &c.QueueFull, &c.OverCeiling, &c.ClassGone, &c.Expired}[reason]
 }
@@ -47,11 +47,11 @@
 // TenantFigures are the figures of a tenant for operators.
 type TenantFigures struct {
 	Name                      string
-	Queued, Admitted, Refused int64
-	Inside                    int
+	Queued, Admitted, Refused int64 // requests that wait now; requests admitted and rejected so far
+	Inside                    int   // requests in flight
 }
 
-// Tenants returns the figures of all tenants, those with the most requests first.
+// Tenants returns the figures of all tenants, ordered by their numbers of requests, the largest first.
 func (c *Controller) Tenants() []TenantFigures {
 	all := make([]TenantFigures, len(c.tenants))
 	for i, t := range c.tenants {
@@ -73,11 +73,11 @@
 type QueueFigures struct {
 	Group          int
 	Primary        bool
-	Limit          float64
-	Inside, Queued int
+	Limit          float64 // concurrency limit
+	Inside, Queued int     // requests in flight, and waiting
 }
 
-// Queues returns the figures of all queues, ordered by group.
+// Queues returns the figures of all queues, ordered by group. The primary's queue is the first of a group.
 func (c *Controller) Queues() []QueueFigures {
 	all := make([]QueueFigures, 0, len(c.queues))
 	for key, i := range c.queueNumbers {
@@ -96,5 +96,5 @@
 	return all
 }
 
-// Queued returns the number of waiting requests.
+// Queued returns the number of waiting requests, over all queues.
 func (c *Controller) Queued() int { return c.queued }
--- a/internal/admission/heap.go
+++ b/internal/admission/heap.go
@@ -2,9 +2,9 @@
 
 import "container/heap"
 
-// The two heaps order numbers by the least start tag: the active tenants of a queue, and the active flows of a
-// tenant. Each member knows its place, so that one that becomes empty can be removed from the middle. The numbers are
-// under 256, so that passing them as any does not allocate.
+// Two min-heaps order numbers by start tag: the active tenants of a queue, and the active flows of a tenant. Each
+// tenant and flow stores its heap index, by which it is removed when it becomes empty. The numbers are under 256:
+// passing them as any does not allocate.
 
 // tenantHeap orders the active tenants of a queue.
 type tenantHeap struct{ *fairQueue }
@@ -35,15 +35,15 @@
 }
 
 func (q *fairQueue) push(tenant int32) {
-	q.weight += q.subqueues[tenant].weight
+	q.activeWeight += q.subqueues[tenant].weight
 	heap.Push(tenantHeap{q}, uint8(tenant))
 }
 
 func (q *fairQueue) remove(sub *subqueue) {
-	q.weight -= sub.weight
+	q.activeWeight -= sub.weight
 	heap.Remove(tenantHeap{q}, int(sub.heapIndex))
 	if len(q.active) == 0 {
-		q.weight = 0 // drop rounding errors
+		q.activeWeight = 0 // drop rounding errors
 	}
 }
 
--- a/internal/admission/lifecycle.go
+++ b/internal/admission/lifecycle.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// offer queues a request, or rejects it at once.
+// offer queues an arriving request or rejects it.
 func (c *Controller) offer(request uint64, offer *Offer) {
 	c.counters.Offered++
 	queue := c.queueFor(offer.Group, c.settings.Classes[offer.Class].Primary)
 	at := c.newEntry(request, offer, queue)
-	if !c.underCeiling(offer.Tenant) {
+	if !c.takeCeilingToken(offer.Tenant) {
 		c.reject(at, OverCeiling)
 		return
 	}
@@ -20,15 +20,15 @@
 	}
 	sub := queue.subqueue(c, offer.Tenant)
 	entry.flow = sub.flowOf(c, entry.client, entry.cost, entry.band)
-	switch c.retries.redeem(c.retryKey(entry), c.now) {
+	switch c.retries.consume(c.retryKey(entry), c.now) {
 	case onTime:
 		entry.onSchedule = true
-	case early: // it is treated as any other request, and its flow is charged
+	case early: // the retry is treated as any other request, and its flow is charged
 		c.counters.RetriesEarly++
 		sub.charge(entry.flow, earlyRetryCharge*entry.cost)
 	}
 	full := c.queued >= c.settings.Bounds.MaxWaiting
-	if queue.queued >= queue.capacity(entry.band) { // it may have to wait
+	if queue.queued >= queue.capacity(entry.band) { // the request may have to wait
 		wait := queue.expectedWait(sub, &sub.flows[entry.flow], entry.cost)
 		if !entry.onSchedule && !queue.underFloor(c, offer.Tenant) && c.now+wait > entry.admitBy {
 			c.reject(at, TooLate)
@@ -41,14 +41,14 @@
 	}
 }
 
-// newEntry allocates the entry of an arriving request, with its cost and the time by which it is to be admitted.
+// newEntry allocates the entry of an arriving request, with its cost and its deadline of admission.
 func (c *Controller) newEntry(request uint64, offer *Offer, queue *fairQueue) int32 {
 	class, stat := &c.settings.Classes[offer.Class], &queue.classes[offer.Class]
 	cost := offer.Work.Seconds()
 	if cost <= 0 {
 		cost = stat.cost(class)
 	}
-	// It waits only while it can still be answered within its objective, and for a part of its client's timeout.
+	// A request waits only while it can still meet its latency objective, and only for a share of its client's timeout.
 	slack := class.LatencyObjective - stat.expectedLatency(class, c.settings.Tolerance)
 	longest := max(0, min(slack, time.Duration(maxWaitShare*float64(offer.Expires))))
 	at := c.allocate()
@@ -63,12 +63,13 @@
 		offered: c.now,
 		admitBy: c.now + longest,
 	}
-	c.entryOf[request] = at
+	c.entryIndex[request] = at
 	return at
 }
 
-// underCeiling reports whether a tenant may have one more request a second, and takes it from the tenant's tokens.
-func (c *Controller) underCeiling(tenant int) bool {
+// takeCeilingToken takes a token for one request from a tenant's ceiling. It returns false if there is none. A tenant
+// without a ceiling needs no token.
+func (c *Controller) takeCeilingToken(tenant int) bool {
 	ceiling, state := c.settings.Tenants[tenant].Ceiling, &c.tenants[tenant]
 	if ceiling <= 0 {
 		return true
@@ -80,7 +81,7 @@
 	return true
 }
 
-// reject ends an entry with the time to retry after.
+// reject rejects the request of an entry, with a time to retry after, and frees the entry.
 func (c *Controller) reject(at int32, why Reason) {
 	entry := &c.entries[at]
 	*c.counters.rejections(why)++
@@ -95,9 +96,9 @@
 	switch why {
 	case ClassGone: // a retry would be rejected too
 	case OverCeiling:
-		conf, t := &c.settings.Tenants[entry.tenant], &c.tenants[entry.tenant]
-		// The random part prevents all of them from retrying for the next token.
-		wait := (1 - t.ceiling.tokens + conf.Ceiling*c.rng.Float64()/2) / conf.Ceiling
+		settings, state := &c.settings.Tenants[entry.tenant], &c.tenants[entry.tenant]
+		// The random part prevents all rejected clients from retrying for the next token.
+		wait := (1 - state.ceiling.tokens + settings.Ceiling*c.rng.Float64()/2) / settings.Ceiling
 		after = min(time.Duration(wait*float64(time.Second)), c.settings.MaxRetryAfter)
 	default:
 		after = c.assignRetryAfter(entry, 0)
@@ -106,7 +107,7 @@
 	c.release(at)
 }
 
-// admit admits an entry.
+// admit admits the request of an entry that is in no queue, and counts it as in flight.
 func (c *Controller) admit(queue *fairQueue, at int32) {
 	entry := &c.entries[at]
 	entry.state = inFlight
@@ -127,9 +128,9 @@
 	c.out = append(c.out, Action{Kind: Admit, Request: entry.request, Class: int(entry.class)})
 }
 
-// ended removes an admitted request, and takes its latency into the statistics.
+// ended removes an admitted request and adds its latency to the statistics.
 func (c *Controller) ended(request uint64, o *Outcome) {
-	at, known := c.entryOf[request]
+	at, known := c.entryIndex[request]
 	if !known || c.entries[at].state != inFlight {
 		return
 	}
@@ -150,7 +151,7 @@
 
 // left removes a request whose client has disconnected.
 func (c *Controller) left(request uint64) {
-	at, known := c.entryOf[request]
+	at, known := c.entryIndex[request]
 	if !known {
 		return
 	}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -11,32 +11,33 @@
 	primary bool
 }
 
-// fairQueue holds the requests for the same databases, waiting and in flight.
+// fairQueue holds the waiting requests for the same databases, and counts those in flight.
 type fairQueue struct {
 	number       int32
 	virtualTime  float64     // start tag of the last admitted request
-	subqueues    []*subqueue // by tenant; nil: without requests lately
+	subqueues    []*subqueue // by tenant; nil: no recent requests
 	active       []int32     // heap of the tenants that have waiting requests
-	weight       float64     // sum of theirs
+	activeWeight float64     // sum of the weights of the active tenants
 	queued       int
 	inFlight     int
 	backlog      float64 // cost of the waiting requests
 	limiter      limiter
 	classes      []classStat
-	contested    bool    // one client or tenant may delay another
-	longInFlight int     // long ones among those in flight
+	contested    bool    // tenants or clients compete: one may delay another
+	longInFlight int     // long requests in flight
 	shortOffered float64 // cost of the short requests offered in the window
-	shortLoad    float64 // its moving average, in seconds of work a second
+	shortLoad    float64 // moving average of shortOffered, in seconds of work a second
 	sweptAt      time.Duration
 
-	windowStart        time.Duration // start of the measuring window
-	endedCost, ranCost float64       // cost of the requests that ended in it, and of those of them that ran
-	saturated          bool          // its limit has been reached since the limiter last moved
-	endedRate          float64       // cost a second, while saturated
-	ranRate            float64
+	windowStart        time.Duration // start of the measurement window
+	endedCost, ranCost float64       // cost of all requests that ended in the window, and of those that a database ran
+	limitReached       bool          // the limit has been reached since the last update of the limiter
+	endedRate          float64       // moving average of endedCost a second, while the limit is reached
+	ranRate            float64       // moving average of ranCost a second, while the limit is reached
 }
 
-// queueFor returns the queue of a group's primary or replicas. Beyond their bound, groups share queues.
+// queueFor returns the queue of a group's primary or replicas. Groups beyond Bounds.MaxQueues share the existing queues
+// by their hash.
 func (c *Controller) queueFor(group int, primary bool) *fairQueue {
 	key := queueKey{group, primary}
 	i, known := c.queueNumbers[key]
@@ -61,7 +62,7 @@
 	return c.queues[i]
 }
 
-// subqueue returns the part of the queue that belongs to a tenant, and creates it if necessary.
+// subqueue returns the subqueue of a tenant, and creates it if necessary.
 func (q *fairQueue) subqueue(c *Controller, tenant int) *subqueue {
 	sub := q.subqueues[tenant]
 	if sub == nil {
@@ -81,7 +82,7 @@
 	return sub
 }
 
-// nextTenant returns the tenant whose turn it is: one under its floor, else the one with the least start tag.
+// nextTenant returns the tenant to serve next: an active tenant under its floor, else the one with the least start tag.
 func (q *fairQueue) nextTenant(c *Controller) int32 {
 	for i := range c.settings.Tenants {
 		if q.subqueues[i] != nil && q.subqueues[i].heapIndex != none && q.underFloor(c, i) {
@@ -91,7 +92,7 @@
 	return q.active[0]
 }
 
-// underFloor reports whether a tenant has less than its floors.
+// underFloor reports whether a tenant is under one of its floors.
 func (q *fairQueue) underFloor(c *Controller, i int) bool {
 	t := &c.settings.Tenants[i]
 	present := float64(q.subqueues[i].inFlight + q.subqueues[i].queued)
@@ -99,24 +100,24 @@
 		t.Floor > 0 && c.tenants[i].floor.refill(t.Floor, c.now) >= 1
 }
 
-// isLong reports whether requests of a class take so long that, if they used the whole limit, requests of another
-// active class would be late before the first of them has ended.
-func (q *fairQueue) isLong(settings *Settings, now time.Duration, number int) bool {
-	takes := q.classes[number].cost(&settings.Classes[number])
+// isLong reports whether a request of a class takes longer than a request of another active class may wait. If such
+// requests used the whole limit, requests of the other class would be late before the first of them ended.
+func (q *fairQueue) isLong(settings *Settings, now time.Duration, classNumber int) bool {
+	cost := q.classes[classNumber].cost(&settings.Classes[classNumber])
 	for i := range q.classes {
 		stat, class := &q.classes[i], &settings.Classes[i]
-		if i == number || stat.lastOffered <= 0 || now-stat.lastOffered >= classActiveTime {
+		if i == classNumber || stat.lastOffered <= 0 || now-stat.lastOffered >= classActiveTime {
 			continue
 		}
-		if takes > (class.LatencyObjective - stat.expectedLatency(class, settings.Tolerance)).Seconds() {
+		if cost > (class.LatencyObjective - stat.expectedLatency(class, settings.Tolerance)).Seconds() {
 			return true
 		}
 	}
 	return false
 }
 
-// limit is how many requests may be in flight. Without contention between tenants or clients it does not apply: routing
-// sheds load by itself.
+// limit returns how many requests may be in flight. Without contention between tenants or clients this is the maximum:
+// the router sheds load by itself.
 func (q *fairQueue) limit() float64 {
 	if !q.contested {
 		return q.limiter.maximum
@@ -124,7 +125,8 @@
 	return q.limiter.limit()
 }
 
-// updateContention notes whether several tenants are active, or a client has a large share of its tenant's work.
+// updateContention updates contested: whether several tenants are active, or a client has a large share of its tenant's
+// work.
 func (q *fairQueue) updateContention(c *Controller) {
 	tenants := 0
 	q.contested = false
@@ -137,8 +139,8 @@
 	}
 }
 
-// shortReserve is how many places are reserved for short requests: their mean load and a multiple of its square root
-// (square-root staffing), at most half of the limit.
+// shortReserve returns how many places are reserved for short requests: their mean load and a multiple of its square
+// root (square-root staffing), at most half of the limit.
 func (q *fairQueue) shortReserve() int {
 	if q.shortLoad < minShortLoad {
 		return 0
@@ -146,8 +148,8 @@
 	return int(math.Ceil(min(q.limit()/2, q.shortLoad+staffingFactor*math.Sqrt(q.shortLoad))))
 }
 
-// capacity is how many more requests of a band may be admitted. The reserve of short requests holds also while the
-// limit falls below the number in flight, so that the long ones are reduced first.
+// capacity returns how many more requests of a band may be admitted. The reserve of short requests also applies while
+// the limit is below the number in flight: the number of long requests is reduced first.
 func (q *fairQueue) capacity(b band) int {
 	limit, reserve := int(q.limit()), q.shortReserve()
 	if b == long {
@@ -156,8 +158,8 @@
 	return max(limit-q.inFlight, reserve-(q.inFlight-q.longInFlight))
 }
 
-// throughput is the cost a second that the databases complete. Until the queue has been saturated it is estimated from
-// the limit: each request in flight does a second of work in a second.
+// throughput returns the cost a second that the databases complete. Until the limit has been reached for the first
+// time, the limit is the estimate: each request in flight does a second of work in a second.
 func (q *fairQueue) throughput() float64 {
 	if q.endedRate > 0 {
 		return q.endedRate
@@ -165,19 +167,19 @@
 	return q.limiter.limit()
 }
 
-// delay is how long it takes until this cost of one flow of a tenant has been admitted, with all other flows taking
-// their turns, and at most the time of all of the backlog.
+// delay predicts how long it takes to admit the given cost of one flow of a tenant while all other active flows get
+// their shares. It is at most the time that the whole backlog takes.
 func (q *fairQueue) delay(sub *subqueue, cost float64) time.Duration {
-	weight, flows := q.weight, len(sub.active[short])+len(sub.active[long])
+	weight, flows := q.activeWeight, len(sub.active[short])+len(sub.active[long])
 	if sub.heapIndex == none {
 		weight += sub.weight
 	}
-	own := min(cost*float64(max(flows, 1)), max(sub.backlog, cost))
-	seconds := min(own*weight/sub.weight, max(q.backlog, cost)) / q.throughput()
+	tenantCost := min(cost*float64(max(flows, 1)), max(sub.backlog, cost))
+	seconds := min(tenantCost*weight/sub.weight, max(q.backlog, cost)) / q.throughput()
 	return time.Duration(min(seconds, maxDelaySeconds) * float64(time.Second))
 }
 
-// expectedWait is how long one more request of this cost would wait in a flow.
+// expectedWait predicts how long one more request of the given cost would wait in a flow.
 func (q *fairQueue) expectedWait(sub *subqueue, f *flow, cost float64) time.Duration {
 	q.backlog += cost // as if it were queued
 	sub.backlog += cost
@@ -187,32 +189,33 @@
 	return wait
 }
 
-// rollWindow ends a window when it is long enough, and updates the rates and the limit.
+// rollWindow ends the window if it is long enough, and updates the rates and the limit.
 func (q *fairQueue) rollWindow(controller *Controller) {
-	q.saturated = q.saturated || q.queued > 0 || float64(q.inFlight) >= q.limiter.limit()-1
-	took := controller.now - q.windowStart
-	if took < minWindow {
+	q.limitReached = q.limitReached || q.queued > 0 || float64(q.inFlight) >= q.limiter.limit()-1
+	elapsed := controller.now - q.windowStart
+	if elapsed < minWindow {
 		return
 	}
 	q.updateContention(controller)
-	seconds := took.Seconds()
+	seconds := elapsed.Seconds()
 	updateMean(&q.shortLoad, q.shortOffered/seconds, 1-math.Exp(-seconds/rateTimeConstant.Seconds()))
 	q.shortOffered = 0
-	if q.saturated {
+	if q.limitReached {
 		weight := 1 - math.Exp(-seconds/rateTimeConstant.Seconds())
 		updateMean(&q.endedRate, q.endedCost/seconds, weight)
 		updateMean(&q.ranRate, q.ranCost/seconds, weight)
 	}
 	q.endedCost, q.ranCost, q.windowStart = 0, 0, controller.now
-	if q.limiter.update(controller.now, q.saturated, q.classes) {
-		q.saturated = false
+	if q.limiter.update(controller.now, q.limitReached, q.classes) {
+		q.limitReached = false
 	}
 	if q.queued > 0 {
 		controller.rejectLate(q)
 	}
 }
 
-// updateMean takes a value into a moving average. The first value is taken as it is.
+// updateMean adds a value to an exponentially weighted moving average. The first value, to a mean of 0, replaces the
+// mean.
 func updateMean(mean *float64, value, weight float64) {
 	if *mean == 0 {
 		*mean = value
--- a/internal/admission/retryafter.go
+++ b/internal/admission/retryafter.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Tuned values of scheduled retries.
+// Parameters of scheduled retries.
 const (
-	scheduledShare    = 0.7                   // of a tenant's throughput that may be reserved for scheduled retries
-	tableWays         = 4                     // slots in the table that a key may use
-	earlyTolerance    = 25 * time.Millisecond // a retry this much before its time is on time
-	lateTolerance     = time.Second           // ... and one this much after it
-	minRetryAfter     = 10 * time.Millisecond // least time to retry after
-	unscheduledJitter = 0.25                  // of a time that is not scheduled, by which it varies at random
+	scheduledShare    = 0.7                   // maximum share of a tenant's throughput for scheduled retries
+	tableWays         = 4                     // slots of the table that a key may use
+	earlyTolerance    = 25 * time.Millisecond // a retry is on time from this long before it is due
+	lateTolerance     = time.Second           // a retry is on time until this long after it is due
+	minRetryAfter     = 10 * time.Millisecond // minimum time to retry after
+	unscheduledJitter = 0.25                  // maximum random reduction of an unscheduled time, as a share of it
 )
 
-// retryTable stores the retries that clients were given a time for, in a table of fixed size. If all slots of a key are
-// taken by retries that are still to come, a retry is not scheduled.
+// retryTable is a set-associative table, of fixed size, of the retries for which clients were given a time. If pending
+// retries use all slots of a key, no further retry of the key is scheduled.
 type retryTable struct{ table []scheduledRetry }
 
 // scheduledRetry is one slot of a retryTable.
@@ -22,12 +22,12 @@
 	due time.Duration // 0: free
 }
 
-// newRetryTable returns a table for about so many retries.
+// newRetryTable returns a table for about size retries, at least tableWays.
 func newRetryTable(size int) retryTable {
 	return retryTable{make([]scheduledRetry, max(tableWays, size/tableWays*tableWays))}
 }
 
-// retryKey identifies the requests that a scheduled retry is for: same client, queue, tenant and class.
+// retryKey returns the key of an entry's scheduled retry: a hash of client, queue, tenant and class.
 func (c *Controller) retryKey(e *entry) uint64 {
 	return max(1, hash(e.client, uint64(e.queue)<<40|uint64(e.tenant)<<20|uint64(e.class)))
 }
@@ -38,7 +38,7 @@
 	return t.table[at : at+tableWays]
 }
 
-// schedule remembers a retry. It returns false if no slot is free.
+// schedule stores a retry. It returns false if no slot of the key is free.
 func (t *retryTable) schedule(key uint64, due, now time.Duration) bool {
 	set := t.slots(key)
 	for i := range set {
@@ -50,7 +50,7 @@
 	return false
 }
 
-// arrival is how an arriving request relates to the scheduled retries.
+// arrival classifies an arriving request by the scheduled retries.
 type arrival uint8
 
 const (
@@ -59,9 +59,9 @@
 	early
 )
 
-// redeem looks up the scheduled retry of an arriving request, and frees its slot, whether the request is on time or
-// early.
-func (t *retryTable) redeem(key uint64, now time.Duration) arrival {
+// consume classifies an arriving request by its key. If retries are scheduled for the key, consume frees the slot of
+// the one that is due first, whether the request is on time or early. Overdue retries are ignored.
+func (t *retryTable) consume(key uint64, now time.Duration) arrival {
 	set := t.slots(key)
 	var first *scheduledRetry
 	for i := range set {
@@ -82,17 +82,18 @@
 	return onTime
 }
 
-// assignRetryAfter returns when the client of an entry should retry: after the requests of its tenant that wait and
-// the retries that are scheduled already. Only a share of the recent throughput is reserved for scheduled retries. A
-// time beyond MaxRetryAfter is not scheduled; the client is then given about MaxRetryAfter.
+// assignRetryAfter returns after how long the client of an entry should retry, and schedules the retry. The retry is
+// due after the waiting requests of the tenant and the tenant's retries that are already scheduled. Only scheduledShare
+// of the recent throughput is reserved for scheduled retries. A retry due beyond MaxRetryAfter is not scheduled: the
+// client is given about MaxRetryAfter.
 func (c *Controller) assignRetryAfter(entry *entry, least time.Duration) time.Duration {
-	if c.settings.MaxRetryAfter <= 0 { // clients are given no time
+	if c.settings.MaxRetryAfter <= 0 { // rejected clients get no time
 		c.counters.RetriesUnscheduled++
 		return 0
 	}
 	queue := c.queues[entry.queue]
 	sub := queue.subqueue(c, int(entry.tenant))
-	weight := queue.weight
+	weight := queue.activeWeight
 	if sub.heapIndex == none {
 		weight += sub.weight
 	}
@@ -101,18 +102,18 @@
 		rate = queue.throughput()
 	}
 	seconds := entry.cost * weight / sub.weight / (scheduledShare * rate)
-	each := time.Duration(min(maxDelaySeconds, seconds) * float64(time.Second))
+	interval := time.Duration(min(maxDelaySeconds, seconds) * float64(time.Second))
 	flows := max(1, len(sub.active[short])+len(sub.active[long]))
-	due := max(sub.retriesUntil, c.now+queue.delay(sub, sub.backlog/float64(flows)+entry.cost))
-	due += time.Duration(c.rng.Float64() * float64(each))
+	due := max(sub.reservedUntil, c.now+queue.delay(sub, sub.backlog/float64(flows)+entry.cost))
+	due += time.Duration(c.rng.Float64() * float64(interval))
 	after := max(due-c.now, minRetryAfter, least)
-	tooLate := after > c.settings.MaxRetryAfter
-	if tooLate || entry.class < 0 || !c.retries.schedule(c.retryKey(entry), c.now+after, c.now) {
+	beyondMax := after > c.settings.MaxRetryAfter
+	if beyondMax || entry.class < 0 || !c.retries.schedule(c.retryKey(entry), c.now+after, c.now) {
 		c.counters.RetriesUnscheduled++
 		after = min(after, c.settings.MaxRetryAfter)
 		return after - time.Duration(unscheduledJitter*c.rng.Float64()*float64(after))
 	}
 	c.counters.RetriesScheduled++
-	sub.retriesUntil = max(sub.retriesUntil, due) + each
+	sub.reservedUntil = max(sub.reservedUntil, due) + interval
 	return after
 }
--- a/internal/admission/retryafter_test.go
+++ b/internal/admission/retryafter_test.go
@@ -146,10 +146,10 @@
 		}
 	}
 	require.Equal(t, 63, scheduled)
-	require.Equal(t, early, table.redeem(7, time.Second))
-	require.Equal(t, unscheduled, table.redeem(7, 2*time.Second), "a client that retried early has lost it")
-	require.Equal(t, onTime, table.redeem(1001, 2*time.Second-earlyTolerance))
-	require.Equal(t, unscheduled, table.redeem(1002, 2*time.Second+lateTolerance+1))
+	require.Equal(t, early, table.consume(7, time.Second))
+	require.Equal(t, unscheduled, table.consume(7, 2*time.Second), "a client that retried early has lost it")
+	require.Equal(t, onTime, table.consume(1001, 2*time.Second-earlyTolerance))
+	require.Equal(t, unscheduled, table.consume(1002, 2*time.Second+lateTolerance+1))
 	require.True(t, table.schedule(8, 9*time.Second, 8*time.Second), "a retry that has passed is replaced")
 }
 
--- a/internal/admission/retune.go
+++ b/internal/admission/retune.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// noClass is the number of a class that is no longer configured.
+// noClass replaces the index of a class that is no longer configured.
 const noClass = none
 
-// retune applies new settings. Tenants and classes keep their state by name. Requests queued for a tenant that is gone
-// wait with those of the first one; requests of a class that is gone are rejected.
-func (c *Controller) retune(settings Settings) {
+// applySettings applies new settings. Tenants and classes keep their state by name. Queued requests of a removed tenant
+// move to the first tenant; those of a removed class are rejected.
+func (c *Controller) applySettings(settings Settings) {
 	tenantTo := renumberTenants(c.settings.Tenants, settings.Tenants)
 	classTo := renumberClasses(c.settings.Classes, settings.Classes)
 	waiting := c.unlinkAll(classTo)
 	tenants := make([]tenantState, len(settings.Tenants))
-	for i, old := range c.settings.Tenants { // after the queued requests have been taken out of the counters
+	for i, old := range c.settings.Tenants { // after unlinkAll, which subtracts the queued requests from the counters
 		if to := tenantTo[i]; settings.Tenants[to].Name == old.Name {
 			tenants[to] = c.tenants[i]
 		}
@@ -32,7 +32,7 @@
 	}
 }
 
-// renumberTenants returns the new number of each old tenant: that of the same name, else 0.
+// renumberTenants returns the new index of each old tenant: that of the tenant of the same name, else 0.
 func renumberTenants(before, after []Tenant) []int32 {
 	to := make([]int32, len(before))
 	for i, old := range before {
@@ -45,7 +45,7 @@
 	return to
 }
 
-// renumberClasses returns the new number of each old class, or noClass.
+// renumberClasses returns the new index of each old class, or noClass.
 func renumberClasses(before, after []Class) []int32 {
 	to := make([]int32, len(before))
 	for i, old := range before {
@@ -59,8 +59,8 @@
 	return to
 }
 
-// unlinkAll takes all waiting requests out of the queues and rejects those whose class is gone. It returns the waiting
-// ones in the order of their arrival, in which those that are left are to be queued again.
+// unlinkAll removes all waiting requests from the queues and rejects those whose class is gone. It returns the indexes
+// of all these entries in the order of arrival. Those that were not rejected are in the state arriving.
 func (c *Controller) unlinkAll(classTo []int32) []int32 {
 	var waiting []int32
 	for at := range c.entries {
@@ -68,7 +68,7 @@
 			waiting = append(waiting, int32(at))
 		}
 	}
-	sortNumbers(waiting, func(a, b int32) bool {
+	sortIndexes(waiting, func(a, b int32) bool {
 		first, second := &c.entries[a], &c.entries[b]
 		return first.offered < second.offered || first.offered == second.offered && first.request < second.request
 	})
@@ -82,7 +82,8 @@
 	return waiting
 }
 
-// renumberEntries gives all entries their new numbers, and counts those in flight in their tenants' subqueues.
+// renumberEntries sets the new tenant and class indexes of all entries, and counts the entries in flight in the
+// subqueues of their tenants.
 func (c *Controller) renumberEntries(tenantTo, classTo []int32) {
 	for at := range c.entries {
 		entry := &c.entries[at]
@@ -99,13 +100,13 @@
 	}
 }
 
-// renumber moves the queue to new numbers of tenants and classes. No request may be waiting in it.
+// renumber orders the queue's subqueues and class statistics by the new indexes. No request may wait in the queue.
 func (q *fairQueue) renumber(c *Controller, tenantTo, classTo []int32) {
-	pairs, classes := make([]*subqueue, len(c.settings.Tenants)), make([]classStat, len(c.settings.Classes))
+	subqueues, classes := make([]*subqueue, len(c.settings.Tenants)), make([]classStat, len(c.settings.Classes))
 	for i, sub := range q.subqueues {
-		if to := tenantTo[i]; sub != nil && pairs[to] == nil {
+		if to := tenantTo[i]; sub != nil && subqueues[to] == nil {
 			sub.inFlight, sub.weight = 0, c.settings.Tenants[to].Weight
-			pairs[to] = sub
+			subqueues[to] = sub
 		}
 	}
 	for i, stat := range q.classes {
@@ -113,12 +114,12 @@
 			classes[classTo[i]] = stat
 		}
 	}
-	q.subqueues, q.classes = pairs, classes
-	q.limiter.retune(&c.settings)
+	q.subqueues, q.classes = subqueues, classes
+	q.limiter.applySettings(&c.settings)
 }
 
-// sortNumbers sorts entry numbers by a strict order.
-func sortNumbers(s []int32, less func(a, b int32) bool) {
+// sortIndexes sorts indexes of entries by a strict order.
+func sortIndexes(s []int32, less func(a, b int32) bool) {
 	slices.SortFunc(s, func(a, b int32) int {
 		if less(a, b) {
 			return -1
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Settings are what the operators configured, and what the controller needs to know of the classes.
+// Settings configure a Controller.
 type Settings struct {
-	Tenants       []Tenant // the first one takes the requests that no rule assigns
+	Tenants       []Tenant // the first one is the tenant of requests that match no rule
 	Classes       []Class
 	Limiter       LimiterKind
-	Tolerance     float64       // multiple of the least latency up to which the limit is not lowered; above 1
-	MaxRetryAfter time.Duration // greatest time to retry after; 0: clients are given none
+	Tolerance     float64       // multiple of the latency floor up to which the limit is not reduced; above 1
+	MaxRetryAfter time.Duration // maximum time to retry after; 0: rejected clients get none
 	Bounds        Bounds
 }
 
 // Tenant is one of the users that share the databases.
 type Tenant struct {
 	Name         string
-	Weight       float64 // above 0
-	Floor        float64 // requests a second that go before all others; 0: none
+	Weight       float64 // a tenant's share of the work is proportional to its weight; above 0
+	Floor        float64 // requests a second that are admitted before those of other tenants; 0: none
 	Ceiling      float64 // requests a second beyond which all are rejected; 0: none
-	FloorShare   float64 // share of a queue's limit, below which its requests go before all others; 0: none
-	CeilingShare float64 // greatest share of a queue's limit that it may use; 0: all
+	FloorShare   float64 // share of a queue's limit below which its requests are admitted before others; 0: none
+	CeilingShare float64 // maximum share of a queue's limit that it may use; 0: all
 }
 
-// Class is what the controller needs to know of a class of requests.
+// Class is a class of requests.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // an answer within it has its full weight
-	Primary          bool          // only a group's primary takes it
+	LatencyObjective time.Duration // an answer within this time has its full value
+	Primary          bool          // only the primary of a group serves the class
 }
 
-// Bounds bound the memory of a Controller, and its concurrency limits.
+// Bounds bound the memory of a Controller, and the concurrency limit of each queue.
 type Bounds struct {
 	MaxWaiting     int // waiting requests, over all queues
-	MaxQueues      int // queues; groups beyond them share one
-	MaxRetries     int // scheduled retries that are remembered
+	MaxQueues      int // queues; further groups share them
+	MaxRetries     int // scheduled retries that are stored
 	MinConcurrency float64
 	MaxConcurrency float64
 }
--- a/internal/admission/shedding.go
+++ b/internal/admission/shedding.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// rejectOverdue rejects the requests of a queue that can no longer be in time.
+// rejectOverdue rejects the requests of a queue whose deadline of admission has passed.
 func (c *Controller) rejectOverdue(queue *fairQueue) {
 	c.rejectWhere(queue, func(_ *subqueue, e *entry, _ float64) bool { return c.now > e.admitBy }, Expired)
 }
 
-// rejectLate rejects the requests of a queue that are predicted to be late. When the capacity of the databases has
-// fallen while a queue is long, it prevents the requests at its end from waiting in vain.
+// rejectLate rejects the requests of a queue that are predicted to miss their deadline of admission. When the capacity
+// of the databases falls while the queue is long, requests at its end are rejected early instead of waiting in vain.
 func (c *Controller) rejectLate(queue *fairQueue) {
 	c.rejectWhere(queue, func(sub *subqueue, e *entry, ahead float64) bool {
 		wait := time.Duration(float64(queue.delay(sub, ahead)) / waitMargin)
@@ -16,15 +16,15 @@
 	}, TooLate)
 }
 
-// rejectWhere rejects the waiting requests of a queue for which the condition holds. The condition is given the cost of
-// the requests up to and including each in its flow.
+// rejectWhere rejects the waiting requests of a queue for which the condition is true. The condition receives the cost
+// of the requests of the flow up to and including the entry.
 func (c *Controller) rejectWhere(queue *fairQueue, condition func(*subqueue, *entry, float64) bool, why Reason) {
 	for t := range queue.subqueues {
 		sub := queue.subqueues[t]
 		if sub == nil || sub.queued == 0 || why == TooLate && queue.underFloor(c, t) {
 			continue
 		}
-		each := func(at int32) {
+		rejectList := func(at int32) {
 			for ahead := 0.0; at != none; {
 				e := &c.entries[at]
 				next := e.next
@@ -38,17 +38,18 @@
 		}
 		for i := range sub.flows {
 			if sub.flows[i].count > 0 {
-				each(sub.flows[i].first)
+				rejectList(sub.flows[i].first)
 			}
 		}
-		if why == Expired { // scheduled retries are rejected only when it is too late
-			each(sub.retries[short].first)
-			each(sub.retries[long].first)
+		if why == Expired { // scheduled retries are rejected only when their deadline has passed
+			rejectList(sub.retries[short].first)
+			rejectList(sub.retries[long].first)
 		}
 	}
 }
 
-// heaviestEntry returns the newest entry of the heaviest flow of the tenant with the largest backlog for its weight.
+// heaviestEntry returns the newest entry of the heaviest flow of the tenant whose backlog is the largest relative to
+// its weight. If only scheduled retries of the tenant wait, it returns one of these.
 func (c *Controller) heaviestEntry() int32 {
 	var most *subqueue
 	for _, queue := range c.queues {
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -208,7 +208,7 @@
 	s.run(20*time.Second, ms, nil)
 	require.Empty(s.t, s.requests, "every offer ends")
 	require.Zero(s.t, s.controller.queued)
-	require.Empty(s.t, s.controller.entryOf)
+	require.Empty(s.t, s.controller.entryIndex)
 	counters := s.controller.Counters()
 	rejections := counters.TooLate + counters.QueueFull + counters.OverCeiling + counters.ClassGone + counters.Expired
 	require.Equal(s.t, counters.Offered, counters.Admitted+counters.Left+rejections)
--- a/internal/admission/sketch.go
+++ b/internal/admission/sketch.go
@@ -6,10 +6,10 @@
 	"github.com/zeebo/xxh3"
 )
 
-// hash returns the hash of a client under a seed.
-func hash(client, seed uint64) uint64 {
+// hash returns the hash of a value under a seed.
+func hash(value, seed uint64) uint64 {
 	var b [8]byte
-	binary.LittleEndian.PutUint64(b[:], client)
+	binary.LittleEndian.PutUint64(b[:], value)
 	return xxh3.HashSeed(b[:], seed)
 }
 
@@ -23,10 +23,10 @@
 // hitter is a client in a sketch.
 type hitter struct {
 	client             uint64
-	cost, overestimate float64 // an upper estimate, and the most by which it may exceed the true cost
+	cost, overestimate float64 // upper bound of the client's cost, and its maximum error
 }
 
-// add counts a cost and returns the number of the client if it is certainly heavy, else -1.
+// add adds the cost of a request. It returns the client's index in hitters if the client is certainly heavy, else -1.
 func (s *sketch) add(client uint64, cost float64) int {
 	s.total += cost
 	least := 0
@@ -48,7 +48,7 @@
 	return s.certainlyHeavy(least)
 }
 
-// certainlyHeavy returns a number if its client is heavy by the lower estimate of its cost, else -1.
+// certainlyHeavy returns the index of a hitter if even the lower bound of its cost makes it heavy, else -1.
 func (s *sketch) certainlyHeavy(i int) int {
 	if h := &s.hitters[i]; (h.cost-h.overestimate)*heavyFlows >= s.total {
 		return i
@@ -56,7 +56,7 @@
 	return -1
 }
 
-// heaviestShare is a lower estimate of the heaviest client's share of the total.
+// heaviestShare returns a lower bound of the heaviest client's share of the total.
 func (s *sketch) heaviestShare() float64 {
 	most := 0.0
 	for i := range s.hitters {
@@ -65,7 +65,7 @@
 	return most / max(s.total, 1e-9)
 }
 
-// halve makes older costs count less.
+// halve halves all costs: older ones count less.
 func (s *sketch) halve() {
 	s.total /= 2
 	for i := range s.hitters {
--- a/internal/admission/tokenbucket.go
+++ b/internal/admission/tokenbucket.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// tokenBucket holds at most the tokens of one second.
+// tokenBucket is a token bucket with a capacity of the tokens of one second, at least one token.
 type tokenBucket struct {
-	tokens float64
-	at     time.Duration
+	tokens     float64
+	refilledAt time.Duration
 }
 
-// refill returns the tokens that the bucket holds now, at a rate in tokens a second.
+// refill adds the tokens since the last call, at a rate in tokens a second, and returns the tokens in the bucket.
 func (b *tokenBucket) refill(rate float64, now time.Duration) float64 {
-	most := max(rate, 1)
-	b.tokens = min(most, b.tokens+rate*(now-b.at).Seconds())
-	b.at = now
+	capacity := max(rate, 1)
+	b.tokens = min(capacity, b.tokens+rate*(now-b.refilledAt).Seconds())
+	b.refilledAt = now
 	return b.tokens
 }
