--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -195,16 +195,16 @@
 }
 
 // RetryAfter returns after how long the client of an admitted request should retry if the router rejects the request.
-// The retry is scheduled like those of the controller's own rejections, no sooner than least. RetryAfter must be called
-// before the Ended event of the request.
-func (c *Controller) RetryAfter(now time.Duration, request uint64, least time.Duration) time.Duration {
+// The retry is scheduled like those of the controller's own rejections, no sooner than minimum. RetryAfter must be
+// called before the Ended event of the request.
+func (c *Controller) RetryAfter(now time.Duration, request uint64, minimum time.Duration) time.Duration {
 	c.now = max(now, c.now)
 	at, known := c.entryIndex[request]
 	// Without contention no request waits in the queue, and its backlog does not show when there will be capacity.
 	if !known || !c.queues[c.entries[at].queue].contested {
-		return least
+		return minimum
 	}
-	return c.assignRetryAfter(&c.entries[at], least)
+	return c.assignRetryAfter(&c.entries[at], minimum)
 }
 
 // reseed assigns clients to flows by a new hash and drops the state of idle tenants. The new hash separates clients
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// While the databases have capacity nothing waits: each request is admitted in the Step that offers it.
+// While the databases have capacity no request waits: each is admitted in the Step that offers it.
 func TestNothingWaitsBelowLimit(t *testing.T) {
 	sim := newSimulation(t, 8, newSettings(1, 1))
 	sim.run(10*time.Second, ms, func() {
@@ -19,11 +19,11 @@
 	require.Equal(t, sim.controller.Counters().Offered, sim.controller.Counters().Admitted)
 }
 
-// limiterKinds are the limiters that the shares are checked with.
+// limiterKinds are the limiters that the tests of shares run with.
 var limiterKinds = map[string]LimiterKind{"gradient": Gradient, "aimd": AIMD}
 
-// Tenants that all offer more than there is capacity for get their weights' shares of the work, whatever the size of
-// their requests, and however often or over how many clients they come.
+// Tenants that all offer more than the capacity get shares of the work by weight. The shares do not depend on the cost
+// of their requests, their rates or their numbers of clients.
 func TestSharesByWeight(t *testing.T) {
 	for name, kind := range limiterKinds {
 		t.Run(name, func(t *testing.T) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// All the capacity goes to one tenant if no other offers requests.
-func TestWorkConserving(t *testing.T) {
+// A tenant gets all the capacity while no other offers requests.
+func TestSingleTenantGetsAllCapacity(t *testing.T) {
 	sim := newSimulation(t, 4, newSettings(0.01, 100))
 	var only tally
 	sim.run(20*time.Second, ms, func() { sim.atRate(200, func() { sim.offerRead(0, 1, only.record(sim)) }) })
@@ -58,8 +58,8 @@
 	require.Greater(t, only.work.Seconds(), 0.9*4*20)
 }
 
-// quietShare is the share of a quiet tenant's reads that are served in time beside a tenant that offers so many reports
-// a second.
+// quietShare returns the share of a quiet tenant's reads that are served in time while another tenant offers reports at
+// a rate a second.
 func quietShare(t *testing.T, kind LimiterKind, reportRate float64) float64 {
 	t.Helper()
 	settings := newSettings(1, 1)
@@ -78,20 +78,20 @@
 		})
 	}
 	var warmUp, quiet tally
-	sim.run(5*time.Second, ms, func() { offer(&warmUp) }) // until the limit is found
+	sim.run(5*time.Second, ms, func() { offer(&warmUp) }) // until the limit has settled
 	sim.run(60*time.Second, ms, func() { offer(&quiet) })
 	sim.settle()
 	return quiet.share()
 }
 
 // A quiet tenant is served as if it were alone, however many requests another offers.
-func TestQuietTenant(t *testing.T) {
+func TestLoadOfOneTenantDoesNotDelayAnother(t *testing.T) {
 	for name, kind := range limiterKinds {
 		t.Run(name, func(t *testing.T) {
 			alone, beside, tripled := quietShare(t, kind, 0), quietShare(t, kind, 10), quietShare(t, kind, 30)
 			t.Logf("alone %.3f, beside %.3f, tripled %.3f", alone, beside, tripled)
 			require.Equal(t, 1.0, alone)
-			if kind == Gradient { // the other is there to be compared
+			if kind == Gradient { // the result of AIMD is only logged
 				require.Greater(t, beside, alone-0.02)
 				require.Greater(t, tripled, alone-0.02)
 			}
@@ -100,7 +100,7 @@
 }
 
 // A tenant that splits itself over thousands of connections gains nothing over one that does not.
-func TestSplitting(t *testing.T) {
+func TestSplittingOverConnectionsGainsNothing(t *testing.T) {
 	sim := newSimulation(t, 4, newSettings(1, 1))
 	var one, many tally
 	sim.run(30*time.Second, ms, func() {
@@ -112,7 +112,7 @@
 }
 
 // Within a tenant, a client that offers a hundred times as much as another does not starve it.
-func TestClientsOfOneTenant(t *testing.T) {
+func TestHeavyClientDoesNotStarveOthers(t *testing.T) {
 	sim := newSimulation(t, 4, newSettings(1))
 	var quiet, loud tally
 	sim.run(30*time.Second, ms, func() {
@@ -124,8 +124,8 @@
 	require.Less(t, loud.share(), 0.3)
 }
 
-// A hundred thousand clients with one request each leave no state behind, and a regular one is served.
-func TestManyClients(t *testing.T) {
+// A hundred thousand clients with one request each leave no state, and a regular client is served.
+func TestManyClientsLeaveNoState(t *testing.T) {
 	sim := newSimulation(t, 8, newSettings(1, 1))
 	var regular tally
 	sim.run(time.Second, ms, func() { sim.atRate(20, func() { sim.offerRead(0, 1, nil) }) })
@@ -137,7 +137,7 @@
 		}
 		sim.atRate(20, func() { sim.offerRead(0, 1, regular.record(sim)) })
 	})
-	require.LessOrEqual(t, sim.mostQueued, sim.controller.settings.Bounds.MaxWaiting)
+	require.LessOrEqual(t, sim.maxQueued, sim.controller.settings.Bounds.MaxWaiting)
 	require.Less(t, len(sim.controller.entries), 3*sim.controller.settings.Bounds.MaxWaiting)
 	sim.settle()
 	require.Greater(t, sim.controller.Counters().Offered, int64(100_000))
@@ -145,7 +145,7 @@
 }
 
 // When the queue is full, the newest request of the heaviest flow is rejected, not the quiet tenant's.
-func TestFullQueue(t *testing.T) {
+func TestFullQueueRejectsHeaviestFlow(t *testing.T) {
 	settings := newSettings(1, 1)
 	settings.Bounds.MaxWaiting, settings.Bounds.MaxConcurrency = 8, 2
 	sim := newSimulation(t, 0, settings)
@@ -156,7 +156,7 @@
 		}
 	}
 	newest := sim.offerReport(1, 9, nil)
-	sim.controller.queues[0].endedRate = 100 // so that none is rejected for the time that it would take
+	sim.controller.queues[0].endedRate = 100 // a rate at which no request is predicted to be late
 	sim.step()
 	quiet := sim.offerRead(0, 1, nil)
 	sim.step()
@@ -166,11 +166,12 @@
 	require.Positive(t, sim.controller.Counters().QueueFull)
 	loud := sim.controller.queues[0].subqueues[1]
 	oldest := sim.controller.entries[loud.flows[loud.active[short][0]].first]
-	require.Equal(t, uint64(3), oldest.request, "the oldest that waits is still there")
+	require.Equal(t, uint64(3), oldest.request, "the oldest waiting request stays")
 }
 
-// Requests that cannot be admitted in time are rejected at once; those that wait are admitted or rejected by admitBy.
-func TestNoneWaitsUntilItsDeadline(t *testing.T) {
+// Requests that cannot be admitted in time are rejected on arrival. Those that wait are admitted or rejected by
+// admitBy.
+func TestRejectsLongBeforeClientTimeout(t *testing.T) {
 	sim := newSimulation(t, 4, newSettings(1, 1))
 	longest := time.Duration(0)
 	sim.run(30*time.Second, ms, func() {
@@ -184,13 +185,13 @@
 	})
 	sim.settle()
 	require.Positive(t, sim.controller.Counters().TooLate)
-	require.LessOrEqual(t, longest, 300*ms, "an aim, a quarter of the deadline")
+	require.LessOrEqual(t, longest, 300*ms, "the latency objective, a quarter of the client's timeout")
 	counters := sim.controller.Counters()
-	require.Less(t, counters.Expired, counters.TooLate/4, "most are rejected as they arrive")
+	require.Less(t, counters.Expired, counters.TooLate/4, "most are rejected on arrival")
 }
 
-// Capacity halves while a long queue waits: the requests at its end are rejected as soon as the rate falls.
-func TestCapacityHalves(t *testing.T) {
+// The capacity halves while a long queue waits: the requests at its end are rejected as soon as the rate falls.
+func TestRejectsQueuedRequestsWhenCapacityFalls(t *testing.T) {
 	sim := newSimulation(t, 16, newSettings(1, 1))
 	sim.run(20*time.Second, ms, func() {
 		sim.atRate(40, func() { sim.offerReport(sim.rng.IntN(2), sim.rng.Uint64(), nil) })
@@ -200,13 +201,13 @@
 	queued := sim.controller.queued
 	sim.run(3*time.Second, ms, nil)
 	require.Positive(t, queued)
-	require.Greater(t, sim.controller.Counters().TooLate, before, "pruned")
+	require.Greater(t, sim.controller.Counters().TooLate, before, "queued requests are rejected")
 	sim.settle()
 	require.Less(t, sim.controller.Counters().Expired, int64(queued)/2+sim.controller.Counters().TooLate)
 }
 
-// The shares stay the same in a process that is paused again and again and gets the events of a second at once.
-func TestBatchesOfASecond(t *testing.T) {
+// Shares stay fair in a process that is paused repeatedly and receives the events of a second in one batch.
+func TestSharesAreFairWithDelayedBatches(t *testing.T) {
 	sim := newSimulation(t, 40, newSettings(1, 1))
 	var one, two tally
 	sim.run(60*time.Second, time.Second, func() {
@@ -215,11 +216,11 @@
 	})
 	sim.settle()
 	require.InDelta(t, 1, one.work.Seconds()/two.work.Seconds(), 0.15)
-	require.Greater(t, sim.controller.queues[0].limiter.limit(), 4.0, "one window is one step down, not a hundred")
+	require.Greater(t, sim.controller.queues[0].limiter.limit(), 4.0, "a batch is one window, with one reduction")
 }
 
 // A client that disconnects frees the place of its request, whether it waits or is in flight.
-func TestClientDisconnects(t *testing.T) {
+func TestDisconnectFreesPlace(t *testing.T) {
 	settings := newSettings(1, 1)
 	settings.Bounds.MaxConcurrency = 2
 	sim := newSimulation(t, 2, settings)
@@ -260,8 +261,8 @@
 	require.Equal(t, running, ofOtherGroup.state)
 }
 
-// Floors go before weights, and ceilings bind though there is spare capacity.
-func TestFloorsAndCeilings(t *testing.T) {
+// Floors have priority over weights, and ceilings apply even if there is spare capacity.
+func TestFloorsAndCeilingsOverrideWeights(t *testing.T) {
 	settings := newSettings(0.01, 1, 1, 1)
 	settings.Tenants[0].Floor = 10
 	settings.Tenants[2].Ceiling = 5
@@ -277,21 +278,22 @@
 	require.Greater(t, tenants[0].share(), 0.9, "a floor")
 	require.InDelta(t, 5*30, tenants[2].served, 15, "a ceiling")
 	require.Positive(t, sim.controller.Counters().OverCeiling)
-	most := 0
+	maxInFlight := 0
 	sim.run(10*time.Second, ms, func() {
 		sim.atRate(300, func() { sim.offerRead(3, sim.rng.Uint64(), tenants[3].record(sim)) })
 		queue := sim.controller.queues[0]
 		if tenant := queue.subqueues[3]; tenant != nil {
-			most = max(most, tenant.inFlight)
+			maxInFlight = max(maxInFlight, tenant.inFlight)
 			require.LessOrEqual(t, float64(tenant.inFlight), max(1, 0.25*queue.limiter.limit())+1)
 		}
 	})
-	require.Positive(t, most)
+	require.Positive(t, maxInFlight)
 	sim.settle()
 }
 
-// New settings keep queued requests by name; those of a removed class are rejected, those of a removed tenant wait on.
-func TestRetune(t *testing.T) {
+// Queued requests follow their tenant and class by name to new settings. Those of a removed class are rejected, those
+// of a removed tenant stay queued.
+func TestSettingsChangeKeepsQueuedRequests(t *testing.T) {
 	settings := newSettings(1, 1, 1)
 	settings.Bounds.MaxConcurrency = 2
 	sim := newSimulation(t, 0, settings)
@@ -302,11 +304,11 @@
 	sim.step()
 	require.GreaterOrEqual(t, sim.controller.queued, 9)
 	requests = slices.DeleteFunc(requests, func(request *simRequest) bool { return request.state != waiting })
-	again := newSettings(1)
-	again.Tenants[0].Name = "c" // a and b are gone
-	again.Classes = []Class{settings.Classes[2], settings.Classes[1]}
-	again.Bounds.MaxConcurrency = 100
-	sim.events = append(sim.events, Event{Kind: Retuned, Settings: &again})
+	changed := newSettings(1)
+	changed.Tenants[0].Name = "c" // a and b are removed
+	changed.Classes = []Class{settings.Classes[2], settings.Classes[1]}
+	changed.Bounds.MaxConcurrency = 100
+	sim.events = append(sim.events, Event{Kind: Retuned, Settings: &changed})
 	sim.offer(0, 1, 99, time.Second, nil)
 	sim.step()
 	require.Positive(t, sim.controller.Counters().ClassGone)
@@ -323,7 +325,7 @@
 }
 
 // Equal calls give equal actions.
-func TestDeterministic(t *testing.T) {
+func TestEqualCallsGiveEqualActions(t *testing.T) {
 	run := func() Counters {
 		sim := newSimulation(t, 4, newSettings(1, 1))
 		sim.run(5*time.Second, ms, func() {
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// standingQueue is a controller with a queue of its own length: each offered request is queued, and one that waits is
-// admitted for each that ends.
+// standingQueue is a controller under load, with requests that always wait: an offered request is queued, and a waiting
+// one is admitted for each that ends.
 type standingQueue struct {
 	controller *Controller
 	now        time.Duration
@@ -19,23 +19,23 @@
 	inFlight   []uint64
 	lastID     uint64
 	template   Offer
-	mostEnds   int // requests that end before each offer
+	maxEnds    int // maximum of the requests that end before each offer
 }
 
-func newStandingQueue(settings Settings, template Offer, mostEnds int) *standingQueue {
+func newStandingQueue(settings Settings, template Offer, maxEnds int) *standingQueue {
 	settings.Bounds.MaxConcurrency = 16
 	template.Class, template.Expires = report, 20*time.Second
 	return &standingQueue{
-		controller: New(settings, 1), now: time.Hour, template: template, mostEnds: mostEnds,
+		controller: New(settings, 1), now: time.Hour, template: template, maxEnds: maxEnds,
 		events: make([]Event, 0, 64), actions: make([]Action, 0, 4096),
 	}
 }
 
-// offer ends requests if enough are in flight, and offers one; tenants and clients take turns.
+// offer ends requests if more than 8 are in flight, and offers one. Tenants and clients take turns.
 func (q *standingQueue) offer(tenants, clients uint64) {
 	q.now += 100 * time.Microsecond
 	q.events = q.events[:0]
-	for ends := 0; len(q.inFlight) > 8 && ends < q.mostEnds; ends++ {
+	for ends := 0; len(q.inFlight) > 8 && ends < q.maxEnds; ends++ {
 		outcome := Outcome{Ran: true, Took: 60 * ms}
 		q.events = append(q.events, Event{Kind: Ended, Request: q.inFlight[0], Outcome: outcome})
 		q.inFlight = append(q.inFlight[:0], q.inFlight[1:]...)
@@ -52,7 +52,7 @@
 	}
 }
 
-// BenchmarkOffer measures one request, from its offer to its end, with a standing queue and that many clients.
+// BenchmarkOffer measures one request, from its offer to its end, while other requests always wait.
 func BenchmarkOffer(b *testing.B) {
 	for _, clients := range []uint64{1, 1000, 100_000} {
 		b.Run(fmt.Sprintf("flows=%d", clients), func(b *testing.B) {
@@ -71,8 +71,8 @@
 	}
 }
 
-// In steady state nothing is allocated, however many clients there are.
-func TestNoAllocation(t *testing.T) {
+// In steady state Step allocates nothing, whatever the number of clients.
+func TestSteadyStateDoesNotAllocate(t *testing.T) {
 	queue := newStandingQueue(newSettings(1, 1), Offer{}, math.MaxInt)
 	offerHundred := func() {
 		for range 100 {
--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -11,7 +11,7 @@
 		tenant := queue.nextTenant(c)
 		sub := queue.subqueues[tenant]
 		settings := &c.settings.Tenants[tenant]
-		least := queue.subqueues[queue.active[0]].start
+		minStart := queue.subqueues[queue.active[0]].start
 		at := none
 		if settings.CeilingShare == 0 || float64(sub.inFlight) < max(1, settings.CeilingShare*queue.limiter.limit()) {
 			at = c.dequeue(sub, queue.capacity(long) > 0)
@@ -21,7 +21,7 @@
 			queue.remove(sub)
 			continue
 		}
-		queue.virtualTime = max(queue.virtualTime, min(sub.start, least))
+		queue.virtualTime = max(queue.virtualTime, min(sub.start, minStart))
 		sub.finish = sub.start + c.entries[at].cost/sub.weight
 		sub.start = sub.finish
 		if sub.heapIndex != none {
--- a/internal/admission/measure_test.go
+++ b/internal/admission/measure_test.go
@@ -16,10 +16,11 @@
 	"capercove/internal/testbed"
 )
 
-// retryTotals counts the clients that were rejected at first, and how many of them were served in the end.
+// retryTotals counts the clients whose first request was rejected, those of them that were served later, and their
+// retries.
 type retryTotals struct{ rejected, served, tries int }
 
-// openLoop is clients of one tenant in an open loop against a running pooler.
+// openLoop sends the requests of one tenant to a running pooler at a given rate, without waiting for replies.
 type openLoop struct {
 	bed    *testbed.Bed
 	tenant string
@@ -29,18 +30,18 @@
 	mu              sync.Mutex
 	offered, inTime int
 	served          int
-	obedient, hasty retryTotals
+	patient, hasty  retryTotals // clients that retry as advised, and those that retry after 50 ms
 	pending         sync.WaitGroup
 }
 
-// newOpenLoop has up to so many idle connections.
+// newOpenLoop returns an open loop that keeps up to idle unused connections.
 func newOpenLoop(bed *testbed.Bed, tenant string, idle int, ids *sync.Mutex) *openLoop {
 	return &openLoop{bed: bed, tenant: tenant, idle: make(chan *testbed.Client, idle), ids: ids}
 }
 
-// phase is a rate of requests for a time.
+// phase is a period with a constant rate of requests.
 type phase struct {
-	rate     float64 // a second
+	rate     float64 // requests a second
 	duration time.Duration
 	class    string
 	work     func(*rand.Rand) int // draws a request's work in milliseconds
@@ -53,7 +54,7 @@
 	objective, wait time.Duration
 }
 
-// newRequest is the request of that number in a phase; its key makes each a member of its own.
+// newRequest returns the request of a number in a phase. Each request has a unique key.
 func (l *openLoop) newRequest(phase phase, rng *rand.Rand, number int) request {
 	made := request{
 		class:     phase.class,
@@ -66,7 +67,7 @@
 	return made
 }
 
-// send sends a request and returns its reply, with the time that it took.
+// send sends a request and returns the reply and the time until the reply.
 func (l *openLoop) send(request request) (reply pg.Reply, took time.Duration) {
 	var client *testbed.Client
 	select {
@@ -89,7 +90,7 @@
 	return reply, took
 }
 
-// run plays a phase. It ends when the last request is sent; pending is for those that are open.
+// run sends the requests of a phase. It returns when the last one is sent; pending counts those without a reply.
 func (l *openLoop) run(phase phase) {
 	rng := rand.New(rand.NewPCG(uint64(len(l.tenant)), uint64(phase.rate)))
 	end := time.Now().Add(phase.duration)
@@ -104,7 +105,7 @@
 			if number%2 == 0 {
 				l.retry(request, reply, &l.hasty, 2)
 			} else {
-				l.retry(request, reply, &l.obedient, 1)
+				l.retry(request, reply, &l.patient, 1)
 			}
 		})
 	}
@@ -125,7 +126,7 @@
 	return reply
 }
 
-// retry retries a rejected request so many times at the most. Hasty clients wait 50 ms, the others as advised.
+// retry retries a rejected request at most tries times. Hasty clients wait 50 ms, the others as advised.
 func (l *openLoop) retry(request request, reply pg.Reply, totals *retryTotals, tries int) {
 	l.count(func() { totals.rejected++ })
 	for range tries {
@@ -143,23 +144,23 @@
 	}
 }
 
-// count changes the counters.
+// count changes the counters under the lock.
 func (l *openLoop) count(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
 }
 
-// share is the share of the offered requests that were answered in time.
+// share returns the share of the offered requests that were answered in time.
 func (l *openLoop) share() float64 { return float64(l.inTime) / float64(max(1, l.offered)) }
 
 func readWork(rng *rand.Rand) int   { return 49 + rng.IntN(36) }
 func reportWork(rng *rand.Rand) int { return 810 + rng.IntN(590) }
 
-// measuredTime is how long each row of the page is measured.
+// measuredTime is the duration of the measurement of a row of the page.
 const measuredTime = 20 * time.Second
 
-// equalWeights is tables with equal weights; the quiet tenant is the office.
+// equalWeights is tables with equal weights. The tenant "office" is the quiet one.
 var equalWeights = strings.Replace(tables, "weight = 4.0", "weight = 1.0", 1)
 
 // startMeasured starts a pooler with databases of four cores each.
@@ -172,8 +173,8 @@
 	return bed
 }
 
-// measureBesideLoud measures a quiet tenant beside a loud one, with a limiter or, if it is empty, without admission
-// control.
+// measureBesideLoud measures a quiet tenant beside a loud one, with the given limiter. If limiter is empty,
+// admission control is off.
 func measureBesideLoud(t *testing.T, limiter string, loudPhase phase) (quiet, loud *openLoop) {
 	t.Helper()
 	admission := fmt.Sprintf("enabled = %v\nlimit = %q", limiter != "", max(limiter, "aimd"))
@@ -192,7 +193,7 @@
 	return quiet, loud
 }
 
-// TestMeasure writes the part of docs/measured/admission.md on loopback to the file that CAPERCOVE_MEASURE names. It
+// TestMeasure writes the section on loopback of docs/measured/admission.md to the file that CAPERCOVE_MEASURE names. It
 // takes some minutes.
 func TestMeasure(t *testing.T) {
 	path := os.Getenv("CAPERCOVE_MEASURE")
@@ -202,8 +203,8 @@
 	var page strings.Builder
 	page.WriteString("## On loopback\n\n" +
 		"One pooler, a primary and a replica with 4 cores each on loopback, open loop, 20 s a row. " +
-		"The quiet tenant asks for\n" +
-		"20 reads a second (49 to 85 ms); the loud one for 40 and then 120, or for 2 and then 6 reports " +
+		"The quiet tenant sends\n" +
+		"20 reads a second (49 to 85 ms); the loud one sends 40 and then 120, or 2 and then 6 reports " +
 		"(810 to 1400 ms).\n" +
 		"`TestMeasure` writes this part: `CAPERCOVE_MEASURE=$PWD/found/admission.md " +
 		"go test -count=1 -timeout 20m -run TestMeasure ./internal/admission`.\n\n")
@@ -217,7 +218,7 @@
 func measureQuietTenant(t *testing.T, page *strings.Builder) {
 	t.Helper()
 	page.WriteString("### A quiet tenant beside a loud one: share of its reads in time\n\n" +
-		"| loud tenant | door off | aimd | gradient | the loud one's share, off | with the gradient |\n" +
+		"| loud tenant | admission control off | aimd | gradient | the loud one's share, off | with the gradient |\n" +
 		"| --- | --- | --- | --- | --- | --- |\n")
 	for _, row := range []struct {
 		name string
@@ -238,13 +239,13 @@
 	}
 }
 
-// measureRetries writes the table of the retries, and returns the pooler that served them.
+// measureRetries writes the table of the retries, and returns the test bed of the pooler that served them.
 func measureRetries(t *testing.T, page *strings.Builder) *testbed.Bed {
 	t.Helper()
-	page.WriteString("\n### Retries, by whether clients wait as told\n\n" +
+	page.WriteString("\n### Retries, by whether clients wait as advised\n\n" +
 		"Bursts of 2 s at 160 reads a second every 6 s over 40, five times. " +
-		"Of those refused, half come back once when told to, and\nhalf twice after 50 ms.\n\n" +
-		"| clients | refused at first | served when back | share | tries |\n| --- | --- | --- | --- | --- |\n")
+		"Of the rejected clients, half retry once as advised, and\nhalf retry twice after 50 ms.\n\n" +
+		"| clients | rejected at first | served by a retry | share | tries |\n| --- | --- | --- | --- | --- |\n")
 	bed := startMeasured(t, strings.Replace(equalWeights, `client = "user"`, `client = "key"`, 1))
 	var ids sync.Mutex
 	clients := newOpenLoop(bed, "loud", 200, &ids)
@@ -253,7 +254,7 @@
 		clients.run(phase{rate: 160, duration: 2 * time.Second, class: "read", work: readWork, retries: true})
 	}
 	clients.pending.Wait()
-	for name, totals := range map[string]retryTotals{"obedient": clients.obedient, "hasty": clients.hasty} {
+	for name, totals := range map[string]retryTotals{"patient": clients.patient, "hasty": clients.hasty} {
 		share := float64(totals.served) / float64(max(1, totals.rejected))
 		fmt.Fprintf(page, "| %s | %d | %d | %.2f | %d |\n", name, totals.rejected, totals.served, share, totals.tries)
 	}
--- a/internal/admission/process_test.go
+++ b/internal/admission/process_test.go
@@ -20,7 +20,7 @@
 // initialLimit is how many requests are in flight in a queue before its latency has been measured.
 const initialLimit = 8
 
-// tables are the operators' file of a pooler with two tenants.
+// tables are the tables of the operators' file for a pooler with two tenants.
 const tables = `[door]
 enabled = true
 client = "user"
@@ -63,13 +63,13 @@
 	return 0
 }
 
-// awaitFigure waits until a figure of the telemetry has a value.
+// awaitFigure waits until a figure of the telemetry has the given value.
 func awaitFigure(bed *testbed.Bed, name string, value int) {
 	bed.T.Helper()
 	bed.Eventually(func() bool { return figure(bed, name) == value }, fmt.Sprintf("%s is %d", name, value))
 }
 
-// requireServed requires that the next reply to each client is an answer.
+// requireServed requires that the next reply to each client is a complete answer.
 func requireServed(t *testing.T, clients []*testbed.Client) {
 	t.Helper()
 	for _, client := range clients {
@@ -77,18 +77,18 @@
 	}
 }
 
-// officeReport is a report of the tenant "office"; the databases answer it when they are released.
+// officeReport returns a report of the tenant "office". The databases answer it after ReleaseDatabases.
 func officeReport(bed *testbed.Bed) []byte {
 	sql := bed.Statement("report", "hold", 20*time.Second)
 	return pg.AppendQuery(nil, strings.Replace(sql, "cluster=3", "cluster=3,from=office-riga", 1))
 }
 
-// memberReport is such a report of the tenant "members".
+// memberReport returns a report of the tenant "members". The databases answer it after ReleaseDatabases.
 func memberReport(bed *testbed.Bed) []byte {
 	return pg.AppendQuery(nil, bed.Statement("report", "hold", 20*time.Second))
 }
 
-// fill uses the whole limit, and queues so many reports of the office beyond it.
+// fill uses the whole concurrency limit with reports of the office, and queues the given number of further ones.
 func fill(bed *testbed.Bed, queued int) (clients []*testbed.Client) {
 	bed.T.Helper()
 	for range initialLimit + queued {
@@ -100,17 +100,17 @@
 	return clients
 }
 
-// askFlight sends a report of the office over Flight SQL; the channel has the error of the answer, if any.
-func askFlight(bed *testbed.Bed) <-chan error {
+// startFlightReport sends a report of the office over Flight SQL. The channel receives the error of the answer, or nil.
+func startFlightReport(bed *testbed.Bed) <-chan error {
 	bed.T.Helper()
 	request := flightclient.Request{Class: "report", ID: "f1", Wait: 20 * time.Second}
 	ctx := metadata.AppendToOutgoingContext(request.Context(), "x-from", "office")
 	return flightclient.New(bed).StartQuery(ctx, "SELECT 'by flight'")
 }
 
-// Tenants are distinguished on both wires, by comment, header, user and address; waiting requests are admitted when
-// there is capacity and each gets one answer. Writes do not wait behind reports.
-func TestBothFrontends(t *testing.T) {
+// Both frontends assign requests to tenants by comment, header, user and address. Waiting requests are admitted when
+// there is capacity, and each gets one answer. Writes do not wait behind reports.
+func TestBothFrontendsQueueByTenant(t *testing.T) {
 	bed := start(t, testbed.WithFlight)
 	clients := fill(bed, 2)
 	member := bed.Client()
@@ -120,7 +120,7 @@
 	write := bed.Client().Ask(bed.Statement("write", "a", 5*time.Second))
 	require.True(t, write.Complete, "the primary's queue is free")
 
-	answer := askFlight(bed)
+	answer := startFlightReport(bed)
 	awaitFigure(bed, "tenants.office.queued", 3)
 	bed.ReleaseDatabases()
 	requireServed(t, append(clients, member))
@@ -134,8 +134,8 @@
 	})
 }
 
-// A client that disconnects while its request waits frees its place, and nothing of it reaches a database.
-func TestDisconnectWhileQueued(t *testing.T) {
+// A client that disconnects while its request waits frees its place, and the request reaches no database.
+func TestDisconnectWhileQueuedSendsNothing(t *testing.T) {
 	bed := start(t)
 	clients := fill(bed, 3)
 	for _, client := range clients[initialLimit:] {
@@ -148,8 +148,9 @@
 	require.Equal(t, initialLimit, bed.StatementCount())
 }
 
-// A request that cannot be admitted in time is rejected at once, with a Retry-After in D within the platform's bound.
-func TestRejectedAtOnce(t *testing.T) {
+// A request that cannot be admitted in time is rejected on arrival. The field D of the error has a Retry-After time
+// within the platform's bound.
+func TestRejectsLateRequestOnArrival(t *testing.T) {
 	bed := start(t)
 	fill(bed, 1)
 	rejected := 0
@@ -161,7 +162,7 @@
 		bed.Eventually(func() bool {
 			waiting, late := figure(bed, "queued"), figure(bed, "refused.late")
 			return waiting+late+figure(bed, "admitted")+figure(bed, "left") == figure(bed, "offered")
-		}, "it is decided")
+		}, "the request waits, or has been admitted or rejected")
 		if figure(bed, "refused.late") > 0 {
 			reply := client.Next()
 			require.Equal(t, pg.CodeTooManyConnections, reply.Code)
@@ -176,9 +177,9 @@
 	require.Equal(t, 1, rejected)
 }
 
-// New weights apply without loss of the queue, a bad table is rejected and changes nothing, and a class that is gone
-// ends what waits of it, with one answer.
-func TestReload(t *testing.T) {
+// New weights apply and the queue stays. An invalid table is rejected and changes nothing. If a class is removed, each
+// of its waiting requests gets one answer, a rejection.
+func TestReloadKeepsQueueExceptRemovedClass(t *testing.T) {
 	bed := start(t)
 	clients := fill(bed, 3)
 	good := bed.Tables
@@ -206,11 +207,11 @@
 		require.Equal(t, pg.CodeTooManyConnections, client.Next().Code)
 	}
 	bed.ReleaseDatabases()
-	requireServed(t, clients[:initialLimit]) // what is in flight goes on
+	requireServed(t, clients[:initialLimit]) // requests in flight are not affected
 }
 
-// SIGTERM gives every waiting request one answer, a rejection, if there is no capacity before the end.
-func TestStopped(t *testing.T) {
+// After SIGTERM each waiting request gets one answer, a rejection, if there is no capacity before the process ends.
+func TestShutdownRejectsQueuedRequests(t *testing.T) {
 	bed := start(t)
 	clients := fill(bed, 3)
 	bed.Signal(syscall.SIGTERM)
--- a/internal/admission/retryafter.go
+++ b/internal/admission/retryafter.go
@@ -86,7 +86,7 @@
 // due after the waiting requests of the tenant and the tenant's retries that are already scheduled. Only scheduledShare
 // of the recent throughput is reserved for scheduled retries. A retry due beyond MaxRetryAfter is not scheduled: the
 // client is given about MaxRetryAfter.
-func (c *Controller) assignRetryAfter(entry *entry, least time.Duration) time.Duration {
+func (c *Controller) assignRetryAfter(entry *entry, minimum time.Duration) time.Duration {
 	if c.settings.MaxRetryAfter <= 0 { // rejected clients get no time
 		c.counters.RetriesUnscheduled++
 		return 0
@@ -106,7 +106,7 @@
 	flows := max(1, len(sub.active[short])+len(sub.active[long]))
 	due := max(sub.reservedUntil, c.now+queue.delay(sub, sub.backlog/float64(flows)+entry.cost))
 	due += time.Duration(c.rng.Float64() * float64(interval))
-	after := max(due-c.now, minRetryAfter, least)
+	after := max(due-c.now, minRetryAfter, minimum)
 	beyondMax := after > c.settings.MaxRetryAfter
 	if beyondMax || entry.class < 0 || !c.retries.schedule(c.retryKey(entry), c.now+after, c.now) {
 		c.counters.RetriesUnscheduled++
--- a/internal/admission/shedding.go
+++ b/internal/admission/shedding.go
@@ -51,23 +51,23 @@
 // heaviestEntry returns the newest entry of the heaviest flow of the tenant whose backlog is the largest relative to
 // its weight. If only scheduled retries of the tenant wait, it returns one of these.
 func (c *Controller) heaviestEntry() int32 {
-	var most *subqueue
+	var loaded *subqueue
 	for _, queue := range c.queues {
 		for _, t := range queue.active {
-			if sub := queue.subqueues[t]; most == nil || sub.backlog/sub.weight > most.backlog/most.weight {
-				most = sub
+			if sub := queue.subqueues[t]; loaded == nil || sub.backlog/sub.weight > loaded.backlog/loaded.weight {
+				loaded = sub
 			}
 		}
 	}
 	var heaviest *flow
-	for i := range most.flows {
-		candidate := &most.flows[i]
+	for i := range loaded.flows {
+		candidate := &loaded.flows[i]
 		if candidate.count > 0 && (heaviest == nil || candidate.backlog > heaviest.backlog) {
 			heaviest = candidate
 		}
 	}
 	if heaviest == nil {
-		return max(most.retries[short].last, most.retries[long].last)
+		return max(loaded.retries[short].last, loaded.retries[long].last)
 	}
 	return heaviest.newest
 }
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -17,7 +17,7 @@
 	write
 )
 
-// newSettings are those of tenants "a", "b" and so on with these weights.
+// newSettings returns settings with tenants "a", "b" and so on of the given weights.
 func newSettings(weights ...float64) Settings {
 	settings := Settings{
 		Classes: []Class{
@@ -33,8 +33,9 @@
 	return settings
 }
 
-// simulation is a controller before databases with a number of cores, in virtual time. An admitted request waits for a
-// core and then takes its work. It checks that every offered request ends exactly once.
+// simulation is a controller in front of simulated databases with a number of cores, in virtual time. An admitted
+// request waits for a core and occupies it for the duration of its work. The simulation checks that each request ends
+// once.
 type simulation struct {
 	t          *testing.T
 	controller *Controller
@@ -42,11 +43,11 @@
 	cores      int
 	queue      []*simRequest // admitted, waiting for a core
 	running    []*simRequest
-	requests   map[uint64]*simRequest // that have not ended
+	requests   map[uint64]*simRequest // requests that have not ended
 	lastID     uint64
 	events     []Event
 	rng        *rand.Rand
-	mostQueued int // at once
+	maxQueued  int // maximum number of requests that waited at the same time
 }
 
 // simRequest is one request of a simulation.
@@ -62,7 +63,7 @@
 	onEnd      func(*simRequest)
 }
 
-// requestState is how far a request has come.
+// requestState is the state of a simulated request.
 type requestState uint8
 
 const (
@@ -107,7 +108,7 @@
 	return s.offer(tenant, report, client, time.Second, onEnd)
 }
 
-// disconnect ends a request that waits.
+// disconnect disconnects the client of a request if the request waits.
 func (s *simulation) disconnect(request *simRequest) {
 	if request.state == waiting {
 		s.end(request, disconnected)
@@ -120,18 +121,18 @@
 	s.t.Helper()
 	events := s.events
 	s.events = nil
-	gone := map[uint64]bool{}
+	left := map[uint64]bool{}
 	for _, event := range events {
-		gone[event.Request] = gone[event.Request] || event.Kind == Left
+		left[event.Request] = left[event.Request] || event.Kind == Left
 	}
 	for _, action := range s.controller.Step(s.now, events, nil) {
-		if gone[action.Request] { // rejected in the batch that had the client's disconnect too
+		if left[action.Request] { // rejected in the Step whose batch also has the client's disconnect
 			require.NotEqual(s.t, Admit, action.Kind)
 			continue
 		}
 		s.act(action)
 	}
-	s.mostQueued = max(s.mostQueued, s.controller.queued)
+	s.maxQueued = max(s.maxQueued, s.controller.queued)
 }
 
 // act carries out an action.
@@ -140,18 +141,18 @@
 	request := s.requests[action.Request]
 	switch action.Kind {
 	case Admit:
-		require.Equal(s.t, waiting, request.state, "admitted twice, or after its end")
+		require.Equal(s.t, waiting, request.state, "admitted twice, or after the request's end")
 		request.state, request.admittedAt = running, s.now
 		s.queue = append(s.queue, request)
 	case Reject:
-		require.Equal(s.t, waiting, request.state, "rejected twice, or after its end")
+		require.Equal(s.t, waiting, request.state, "rejected twice, or after the request's end")
 		require.LessOrEqual(s.t, action.After, s.controller.settings.MaxRetryAfter)
 		request.retryAfter = action.After
 		s.end(request, rejected)
 	}
 }
 
-// end ends a request in a state.
+// end ends a request with a final state.
 func (s *simulation) end(request *simRequest, state requestState) {
 	request.state = state
 	delete(s.requests, request.id)
@@ -160,8 +161,8 @@
 	}
 }
 
-// run lets time pass, a millisecond at a time or, if batch is longer, in batches as after pauses. Each millisecond
-// each is called.
+// run advances the time in steps of a millisecond, and calls each in every one. The controller is stepped once per
+// batch, or every millisecond if batch is shorter. A longer batch simulates pauses of the process.
 func (s *simulation) run(duration, batch time.Duration, each func()) {
 	s.t.Helper()
 	for end := s.now + duration; s.now < end; {
@@ -179,17 +180,17 @@
 
 // endServed ends the requests whose work is done.
 func (s *simulation) endServed() {
-	still := s.running[:0]
+	remaining := s.running[:0]
 	for _, request := range s.running {
 		if request.endsAt > s.now {
-			still = append(still, request)
+			remaining = append(remaining, request)
 			continue
 		}
 		outcome := Outcome{Ran: true, Took: s.now - request.admittedAt}
 		s.events = append(s.events, Event{Kind: Ended, Request: request.id, Outcome: outcome})
 		s.end(request, served)
 	}
-	s.running = still
+	s.running = remaining
 }
 
 // startQueued starts admitted requests on the free cores.
@@ -202,11 +203,11 @@
 	}
 }
 
-// settle lets all open requests end, and checks that no state of them is left.
+// settle lets all open requests end, and checks that they leave no state.
 func (s *simulation) settle() {
 	s.t.Helper()
 	s.run(20*time.Second, ms, nil)
-	require.Empty(s.t, s.requests, "every offer ends")
+	require.Empty(s.t, s.requests, "every request ends")
 	require.Zero(s.t, s.controller.queued)
 	require.Empty(s.t, s.controller.entryIndex)
 	counters := s.controller.Counters()
@@ -229,7 +230,7 @@
 	}
 }
 
-// atRate calls a function at a random rate of that many times a second. It is called each millisecond.
+// atRate calls a function at random times, at an average rate a second. It must be called each millisecond.
 func (s *simulation) atRate(rate float64, call func()) {
 	for left := rate / 1000; left > 0; left-- {
 		if s.rng.Float64() < left {
@@ -241,10 +242,10 @@
 // tally counts how requests ended.
 type tally struct {
 	offered, served, inTime, rejected int
-	work                              time.Duration // served
+	work                              time.Duration // work of the served requests
 }
 
-// record counts an offer, and its end when the returned function is called.
+// record counts an offer. The function that it returns counts the end of the request.
 func (c *tally) record(sim *simulation) func(*simRequest) {
 	c.offered++
 	return func(request *simRequest) {
@@ -260,5 +261,5 @@
 	}
 }
 
-// share is the share of the offered requests that were served in time.
+// share returns the share of the offered requests that were served in time.
 func (c *tally) share() float64 { return float64(c.inTime) / float64(max(1, c.offered)) }
--- a/internal/admission/sketch.go
+++ b/internal/admission/sketch.go
@@ -29,23 +29,23 @@
 // add adds the cost of a request. It returns the client's index in hitters if the client is certainly heavy, else -1.
 func (s *sketch) add(client uint64, cost float64) int {
 	s.total += cost
-	least := 0
+	lightest := 0
 	for i := range s.hitters {
 		h := &s.hitters[i]
 		if h.client == client && h.cost > 0 {
 			h.cost += cost
 			return s.certainlyHeavy(i)
 		}
-		if h.cost < s.hitters[least].cost {
-			least = i
+		if h.cost < s.hitters[lightest].cost {
+			lightest = i
 		}
 	}
 	if cost == 0 {
 		return -1
 	}
-	h := &s.hitters[least]
+	h := &s.hitters[lightest]
 	*h = hitter{client: client, cost: h.cost + cost, overestimate: h.cost}
-	return s.certainlyHeavy(least)
+	return s.certainlyHeavy(lightest)
 }
 
 // certainlyHeavy returns the index of a hitter if even the lower bound of its cost makes it heavy, else -1.
@@ -58,11 +58,11 @@
 
 // heaviestShare returns a lower bound of the heaviest client's share of the total.
 func (s *sketch) heaviestShare() float64 {
-	most := 0.0
+	heaviest := 0.0
 	for i := range s.hitters {
-		most = max(most, s.hitters[i].cost-s.hitters[i].overestimate)
+		heaviest = max(heaviest, s.hitters[i].cost-s.hitters[i].overestimate)
 	}
-	return most / max(s.total, 1e-9)
+	return heaviest / max(s.total, 1e-9) // 0 for a total of 0
 }
 
 // halve halves all costs: older ones count less.
