--- a/internal/statement/cache.go
+++ b/internal/statement/cache.go
@@ -8,16 +8,16 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Fingerprint is the cached state of one fingerprint.
+// Fingerprint is the cached state of one fingerprint. It is encoded as JSON under the names of its exported fields.
 type Fingerprint struct {
-	Text      string // truncated to maxTextBytes
+	Text      string // the fingerprint, truncated to maxTextBytes
 	Kind      Kind
 	MayWrite  bool
 	Why       Why
 	Cost      Cost
-	Calls     int64
-	Seconds   float64 // total time of its calls
-	Disagreed int64   // calls whose label contradicts the analysis
+	Calls     int64   // analysed statements with this fingerprint
+	Seconds   float64 // total latency of its calls
+	Disagreed int64   // calls whose label disagrees with the analysis
 	Logged    bool    // a disagreement has been logged
 
 	hash       xxh3.Uint128
@@ -33,27 +33,28 @@
 const (
 	notCached  queueID = iota
 	smallQueue         // new fingerprints
-	mainQueue
+	mainQueue          // fingerprints that were used again
 )
 
-// Sizes and tuned values of the cache.
+// Sizes and parameters of the cache.
 const (
-	maxTextBytes     = 256 // bytes of a fingerprint's text that are stored
-	fingerprintBytes = 320 // memory of one beside its text, including its places in the tables
-	smallShare       = 0.1 // of the bytes, for the small queue
-	ghostShare       = 0.1 // of the bytes, for the hashes of fingerprints evicted from it
-	ghostHits        = 4   // hits credited to one that returns after its eviction from the small queue
-	maxHits          = 15  // bound of a hit count: the number of turns of the main queue that it survives
+	maxTextBytes     = 256 // stored bytes of a fingerprint's text
+	fingerprintBytes = 320 // memory per fingerprint without its text, including its entries in the tables
+	smallShare       = 0.1 // share of the bytes that the small queue may use
+	ghostShare       = 0.1 // share of the bytes for the hashes of fingerprints evicted from the small queue
+	ghostHits        = 4   // initial hit count of a fingerprint that returns after its eviction from the small queue
+	maxHits          = 15  // bound of a hit count; each hit defers an eviction from the main queue once
 )
 
-// Fingerprints is a cache of fingerprints whose size is bounded in bytes. It is S3-FIFO (Yang, Qiu, Zhang, Yue,
-// Vinayak 2023): new fingerprints enter a small queue, and only those that are used again enter the main one, so that
-// a flood of fingerprints that are used once passes through the small queue. It is implemented here because it must
-// count bytes and be deterministic: the available libraries count entries, or seed themselves and run goroutines.
+// Fingerprints is a cache of fingerprints whose size is bounded in bytes. It uses S3-FIFO (Yang, Qiu, Zhang, Yue,
+// Vinayak 2023): new fingerprints enter a small queue, and only those that are used again enter the main queue.
+// Therefore a flood of fingerprints that are used once passes through the small queue only. The cache must count bytes
+// and be deterministic. The available libraries count entries, or seed themselves and run goroutines. It is not safe
+// for concurrent use.
 type Fingerprints struct {
 	byHash   map[xxh3.Uint128]*Fingerprint
-	queues   [mainQueue + 1]fingerprintList
-	ghosts   []uint32 // parts of the hashes of fingerprints evicted from the small queue, indexed by hash
+	queues   [mainQueue + 1]fingerprintQueue
+	ghosts   []uint32 // high bits of the hashes of fingerprints evicted from the small queue; indexed by the low bits
 	maxBytes int
 	seed     uint64
 	Hits     int64
@@ -61,14 +62,14 @@
 	Evicted  int64
 }
 
-// fingerprintList is a queue of fingerprints and its size in bytes.
-type fingerprintList struct {
-	first, last *Fingerprint // first: the next to be evicted
+// fingerprintQueue is a queue of fingerprints, as a doubly linked list, and its size in bytes.
+type fingerprintQueue struct {
+	first, last *Fingerprint // first is the next to be evicted
 	bytes       int
 }
 
-// NewFingerprints returns a cache of at most so many bytes. The seed prevents clients from choosing texts whose hashes
-// collide.
+// NewFingerprints returns a cache with a maximum size in bytes. Clients that do not know the seed cannot choose texts
+// whose hashes collide.
 func NewFingerprints(bytes int, seed uint64) *Fingerprints {
 	n := max(1, int(ghostShare*float64(bytes))/4)
 	return &Fingerprints{
@@ -79,7 +80,7 @@
 	}
 }
 
-// Bytes returns the size of the cache.
+// Bytes returns the size of the cache in bytes.
 func (c *Fingerprints) Bytes() int {
 	return c.queues[smallQueue].bytes + c.queues[mainQueue].bytes + 4*len(c.ghosts)
 }
@@ -87,7 +88,8 @@
 // Len returns the number of cached fingerprints.
 func (c *Fingerprints) Len() int { return len(c.byHash) }
 
-// Get returns the cached state of a fingerprint, and adds it to the cache if necessary.
+// Get returns the cached state of a fingerprint, which it adds to the cache if necessary. The info is the analysis of a
+// text with this fingerprint. The cache owns the result and may evict it at the next call of Get.
 func (c *Fingerprints) Get(text []byte, info *Info) *Fingerprint {
 	hash := xxh3.Hash128Seed(text, c.seed)
 	if fingerprint := c.byHash[hash]; fingerprint != nil {
@@ -109,56 +111,58 @@
 		hash:     hash,
 		bytes:    fingerprintBytes + len(stored),
 	}
-	to := smallQueue
-	if ghost := c.ghost(hash); *ghost == uint32(hash.Hi)|1 { // it returns soon after its eviction
+	queue := smallQueue
+	if ghost := c.ghost(hash); *ghost == uint32(hash.Hi)|1 { // the fingerprint was evicted recently
 		*ghost = 0
-		to, fingerprint.hits = mainQueue, ghostHits
+		queue, fingerprint.hits = mainQueue, ghostHits
 	}
 	for c.queues[smallQueue].bytes+c.queues[mainQueue].bytes+fingerprint.bytes > c.maxBytes {
 		c.evict()
 	}
 	c.byHash[hash] = fingerprint
-	c.push(fingerprint, to)
+	c.push(fingerprint, queue)
 	return fingerprint
 }
 
-// ghost returns the place of a hash among those of evicted fingerprints. Hashes that share a place replace each other.
-func (c *Fingerprints) ghost(h xxh3.Uint128) *uint32 { return &c.ghosts[h.Lo%uint64(len(c.ghosts))] }
+// ghost returns the slot of a hash in ghosts. Hashes that share a slot overwrite each other.
+func (c *Fingerprints) ghost(hash xxh3.Uint128) *uint32 {
+	return &c.ghosts[hash.Lo%uint64(len(c.ghosts))]
+}
 
-// ObserveCost takes in the time of one call that ran beside a number of other requests at its database.
-func (s *Fingerprint) ObserveCost(took time.Duration, others int) {
-	s.Cost.Add(took, others)
-	s.Seconds += took.Seconds()
+// ObserveCost records the latency of one call that ran concurrently with a number of other requests at its database.
+func (f *Fingerprint) ObserveCost(latency time.Duration, others int) {
+	f.Cost.Add(latency, others)
+	f.Seconds += latency.Seconds()
 }
 
-// Holds reports whether a fingerprint is still cached.
-func (c *Fingerprints) Holds(s *Fingerprint) bool { return s.queue != notCached }
+// Contains reports whether a fingerprint is still cached.
+func (c *Fingerprints) Contains(f *Fingerprint) bool { return f.queue != notCached }
 
 // push appends a fingerprint to a queue.
-func (c *Fingerprints) push(s *Fingerprint, to queueID) {
+func (c *Fingerprints) push(f *Fingerprint, to queueID) {
 	q := &c.queues[to]
-	s.queue, s.prev, s.next = to, q.last, nil
+	f.queue, f.prev, f.next = to, q.last, nil
 	if q.last == nil {
-		q.first = s
+		q.first = f
 	} else {
-		q.last.next = s
+		q.last.next = f
 	}
-	q.last = s
-	q.bytes += s.bytes
+	q.last = f
+	q.bytes += f.bytes
 }
 
-// pop removes the first fingerprint of a queue.
+// pop removes and returns the first fingerprint of a queue that is not empty.
 func (c *Fingerprints) pop(from queueID) *Fingerprint {
 	q := &c.queues[from]
-	s := q.first
-	if q.first = s.next; q.first == nil {
+	f := q.first
+	if q.first = f.next; q.first == nil {
 		q.last = nil
 	} else {
 		q.first.prev = nil
 	}
-	s.next = nil
-	q.bytes -= s.bytes
-	return s
+	f.next = nil
+	q.bytes -= f.bytes
+	return f
 }
 
 // evictsSmall reports whether the next eviction is from the small queue.
@@ -173,31 +177,31 @@
 // evict removes one fingerprint from the cache.
 func (c *Fingerprints) evict() {
 	for c.evictsSmall() {
-		s := c.pop(smallQueue)
-		if s.hits > 0 {
-			s.hits = 0
-			c.push(s, mainQueue)
+		f := c.pop(smallQueue)
+		if f.hits > 0 {
+			f.hits = 0
+			c.push(f, mainQueue)
 			continue
 		}
-		c.remove(s)
-		*c.ghost(s.hash) = uint32(s.hash.Hi) | 1
+		c.remove(f)
+		*c.ghost(f.hash) = uint32(f.hash.Hi) | 1
 		return
 	}
 	for {
-		s := c.pop(mainQueue)
-		if s.hits == 0 {
-			c.remove(s)
+		f := c.pop(mainQueue)
+		if f.hits == 0 {
+			c.remove(f)
 			return
 		}
-		s.hits--
-		c.push(s, mainQueue)
+		f.hits--
+		c.push(f, mainQueue)
 	}
 }
 
-// remove forgets a fingerprint that is in no queue any more.
-func (c *Fingerprints) remove(s *Fingerprint) {
-	delete(c.byHash, s.hash)
-	s.queue = notCached
+// remove removes a fingerprint that pop has taken from its queue.
+func (c *Fingerprints) remove(f *Fingerprint) {
+	delete(c.byHash, f.hash)
+	f.queue = notCached
 	c.Evicted++
 }
 
@@ -211,20 +215,21 @@
 	ByDisagreement
 )
 
-// Top returns copies of the first fingerprints in an order.
-func (c *Fingerprints) Top(by Order, most int) (top []Fingerprint) {
-	key := func(s *Fingerprint) float64 {
-		switch by {
+// Top returns copies of the first fingerprints in an order, at most limit. It omits those with zero calls, time or
+// disagreements, whichever the order compares.
+func (c *Fingerprints) Top(order Order, limit int) (top []Fingerprint) {
+	value := func(f *Fingerprint) float64 {
+		switch order {
 		case ByTime:
-			return s.Seconds
+			return f.Seconds
 		case ByDisagreement:
-			return float64(s.Disagreed)
+			return float64(f.Disagreed)
 		}
-		return float64(s.Calls)
+		return float64(f.Calls)
 	}
-	less := func(a, b Fingerprint) int {
-		if d := key(&b) - key(&a); d != 0 {
-			return int(math.Copysign(1, d))
+	compare := func(a, b Fingerprint) int {
+		if difference := value(&b) - value(&a); difference != 0 {
+			return int(math.Copysign(1, difference))
 		}
 		if a.Text < b.Text {
 			return -1
@@ -232,13 +237,13 @@
 		return 1
 	}
 	for q := smallQueue; q <= mainQueue; q++ {
-		for s := c.queues[q].first; s != nil; s = s.next {
-			if key(s) == 0 || len(top) == most && less(*s, top[most-1]) > 0 {
+		for f := c.queues[q].first; f != nil; f = f.next {
+			if value(f) == 0 || len(top) == limit && compare(*f, top[limit-1]) > 0 {
 				continue
 			}
-			at, _ := slices.BinarySearchFunc(top, *s, less)
-			top = slices.Insert(top, at, *s)
-			top = top[:min(len(top), most)]
+			index, _ := slices.BinarySearchFunc(top, *f, compare)
+			top = slices.Insert(top, index, *f)
+			top = top[:min(len(top), limit)]
 		}
 	}
 	for i := range top {
--- a/internal/statement/cache_test.go
+++ b/internal/statement/cache_test.go
@@ -10,18 +10,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// floodBytes is the bound of the cache in a flood.
+// floodBytes is the maximum size of the cache in a flood, in bytes.
 const floodBytes = 256 << 10
 
-// floodResult is how a hundred useful fingerprints fared in a flood of others.
+// floodResult is the result of looking up a hundred useful fingerprints during a flood of others.
 type floodResult struct {
-	hits      float64 // share of hits of the useful ones
+	hitRate   float64 // share of the lookups of useful fingerprints that were hits
 	distinct  int     // other fingerprints
-	mostBytes int     // that the cache had at once
+	mostBytes int     // maximum size of the cache
 }
 
-// runFlood looks a hundred useful fingerprints up 20,000 times, each time with so many others that occur but once, or
-// for a tenth of them twice.
+// runFlood looks up one of a hundred useful fingerprints 20,000 times. Before each lookup it looks up a number of other
+// fingerprints, each once or, for a tenth of them, twice.
 func runFlood(others int) (result floodResult) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	cache, analyser := NewFingerprints(floodBytes, 7), New(noRules)
@@ -46,14 +46,14 @@
 			}
 		}
 		if lookUp(useful()) {
-			result.hits += 1.0 / lookups
+			result.hitRate += 1.0 / lookups
 		}
 		result.mostBytes = max(result.mostBytes, cache.Bytes())
 	}
 	return result
 }
 
-// costErrors returns the mean relative errors of the estimate by fingerprint and of the mean of the class.
+// costErrors returns the mean relative errors of two estimates: the cost by fingerprint, and the mean of the class.
 func costErrors() (byFingerprint, byClass float64) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	var costs [20]Cost
@@ -62,12 +62,12 @@
 	for range 200 {
 		for i := range costs {
 			others := rng.IntN(5)
-			took := trueSeconds(i) * math.Exp(0.2*rng.NormFloat64()) * (1 + 0.1*float64(others))
+			seconds := trueSeconds(i) * math.Exp(0.2*rng.NormFloat64()) * (1 + 0.1*float64(others))
 			if rng.IntN(20) == 0 {
-				took *= 20
+				seconds *= 20
 			}
-			costs[i].Add(time.Duration(took*float64(time.Second)), others)
-			sum += took
+			costs[i].Add(time.Duration(seconds*float64(time.Second)), others)
+			sum += seconds
 			calls++
 		}
 	}
@@ -79,26 +79,27 @@
 	return byFingerprint, byClass
 }
 
-// A million fingerprints that occur once or twice do not evict the useful hundred, and the bytes stay bounded.
+// A million fingerprints that occur once or twice do not evict a hundred that are used often, and the size of the cache
+// remains bounded.
 func TestFloodDoesNotEvictUsefulFingerprints(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it reads a million texts")
+		t.Skip("analyses a million texts")
 	}
-	calm, flooded := runFlood(0), runFlood(50)
-	t.Logf("hits %.3f, in a flood %.3f", calm.hits, flooded.hits)
+	normal, flooded := runFlood(0), runFlood(50)
+	t.Logf("hit rate %.3f, in a flood %.3f", normal.hitRate, flooded.hitRate)
 	require.Greater(t, flooded.distinct, 900_000)
 	require.LessOrEqual(t, flooded.mostBytes, floodBytes)
-	require.Greater(t, calm.hits, 0.99)
-	require.Greater(t, flooded.hits, 0.95*calm.hits)
+	require.Greater(t, normal.hitRate, 0.99)
+	require.Greater(t, flooded.hitRate, 0.95*normal.hitRate)
 }
 
-// A hit allocates nothing, and returns the fingerprint with its kind as it was first read.
-func TestHits(t *testing.T) {
+// A hit does not allocate, and returns the fingerprint that the first lookup added. Many other fingerprints evict it.
+func TestHitReturnsCachedFingerprintWithoutAllocation(t *testing.T) {
 	cache, analyser := NewFingerprints(64<<10, 7), New(noRules)
 	info := analyser.Read("SELECT nextval('a') WHERE b = 1")
 	first := cache.Get(analyser.Fingerprint(), &info)
 	require.Equal(t, ByFunction, first.Why)
-	require.True(t, cache.Holds(first))
+	require.True(t, cache.Contains(first))
 	require.Zero(t, testing.AllocsPerRun(100, func() {
 		info := analyser.Read("SELECT nextval('b') WHERE b = 2")
 		require.Same(t, first, cache.Get(analyser.Fingerprint(), &info))
@@ -109,23 +110,23 @@
 			cache.Get(analyser.Fingerprint(), &info).Calls++
 		}
 	}
-	require.False(t, cache.Holds(first), "it was evicted in the end")
+	require.False(t, cache.Contains(first), "not evicted by 10,000 other fingerprints")
 	require.Len(t, cache.Top(ByCalls, 10), 10)
 	require.Less(t, cache.Len(), 250)
 }
 
-// randomCall draws how long a call takes; one in twenty is an outlier, as of overload or a pause.
+// randomCall draws the latency of a call. One in twenty is an outlier, such as overload or a pause causes.
 func randomCall(rng *rand.Rand, mean time.Duration) time.Duration {
-	took := time.Duration(float64(mean) * math.Exp(0.2*rng.NormFloat64()))
+	latency := time.Duration(float64(mean) * math.Exp(0.2*rng.NormFloat64()))
 	if rng.IntN(20) == 0 {
-		took *= 20
+		latency *= 20
 	}
-	return took
+	return latency
 }
 
-// The estimate finds a fingerprint's cost among outliers, gives an interval that nine in ten calls lie in, and
-// follows a plan that changes within tens of calls.
-func TestCost(t *testing.T) {
+// The estimate finds the typical latency despite outliers, its interval contains 90% of the calls, and it
+// adapts to a change of the plan within tens of calls.
+func TestCostResistsOutliersAndFollowsLastingChange(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var cost Cost
 	_, _, _, ok := cost.Estimate()
@@ -138,7 +139,7 @@
 	require.InEpsilon(t, 0.020, typical.Seconds(), 0.25)
 	inside := 0
 	for range 1000 {
-		if took := randomCall(rng, 20*time.Millisecond); took >= low && took <= high {
+		if latency := randomCall(rng, 20*time.Millisecond); latency >= low && latency <= high {
 			inside++
 		}
 	}
@@ -152,7 +153,7 @@
 			break
 		}
 	}
-	require.Less(t, callsToFollow, 40, "calls until the estimate of a fingerprint that turned expensive rises")
+	require.Less(t, callsToFollow, 40, "calls until the estimate follows a higher latency")
 	for range 100 {
 		cost.Add(0, 0)
 		cost.Add(time.Nanosecond, 1000)
--- a/internal/statement/catalogue.go
+++ b/internal/statement/catalogue.go
@@ -1,9 +1,9 @@
 package statement
 
-// The built-in functions of PostgreSQL (chapter "Functions and Operators" of its documentation). A function in neither
-// list is unknown.
+// The catalogue of PostgreSQL's functions: the built-in ones (chapter "Functions and Operators" of its documentation)
+// and some of common extensions. A function in neither list is unknown.
 
-// writers are functions that change data or the session, take locks, or run code that is not analysed.
+// writers are functions that change data or the session, acquire locks, or run code that is not analysed.
 var writers = wordSet(`
 nextval setval lastval currval set_config
 pg_advisory_lock pg_advisory_lock_shared pg_advisory_unlock pg_advisory_unlock_all pg_advisory_unlock_shared
@@ -108,14 +108,14 @@
 similarity word_similarity show_trgm levenshtein soundex metaphone dmetaphone difference unaccent crypt_verify
 `)
 
-// Builtin returns what the catalogue knows of a built-in function: ByFunction if it writes, Surely if it only reads,
-// else ByUnknown.
+// Builtin classifies a function by the catalogue: ByFunction if it writes, OnlyReads if it only reads, else ByUnknown.
+// The name is in lower case and without a schema.
 func Builtin(name string) Why {
 	switch {
 	case writers[name]:
 		return ByFunction
 	case readers[name]:
-		return Surely
+		return OnlyReads
 	}
 	return ByUnknown
 }
--- a/internal/statement/classify.go
+++ b/internal/statement/classify.go
@@ -1,6 +1,6 @@
 package statement
 
-// trackVerb tracks the first words of statements, and writes within them.
+// trackVerb processes the first words of statements, and words that begin a write within a statement.
 func (s *scanner) trackVerb(token token, keyword string) {
 	if s.pendingWrite != "" {
 		s.finishPendingWrite(token, keyword)
@@ -9,7 +9,7 @@
 		return
 	}
 	s.info.Several = s.info.Several || s.afterSemicolon
-	if s.explainState == explainOptions || s.explainState == explainBrackets {
+	if s.explainState == explainOptions || s.explainState == explainOptionList {
 		if s.explainOption(token, keyword) {
 			return
 		}
@@ -25,7 +25,7 @@
 	s.beginStatement(token, keyword)
 }
 
-// beginPendingWrite notes a word within a statement that begins a write if the right token follows.
+// beginPendingWrite records a word within a statement that may begin a write. The next token decides.
 func (s *scanner) beginPendingWrite(keyword string) {
 	switch keyword {
 	case "update":
@@ -37,7 +37,7 @@
 	}
 }
 
-// finishPendingWrite decides by the token after a word that may begin a write whether it does.
+// finishPendingWrite decides, by the token after the word of a pending write, whether that word begins a write.
 func (s *scanner) finishPendingWrite(token token, keyword string) {
 	writes := false
 	switch s.pendingWrite {
@@ -54,7 +54,7 @@
 	s.pendingWrite = ""
 }
 
-// beginStatement classifies a statement by its first word. An explained statement counts only if it is executed.
+// beginStatement classifies a statement by its first word. A statement that EXPLAIN only plans does not count.
 func (s *scanner) beginStatement(token token, keyword string) {
 	s.atStart, s.verbAt = false, token.start
 	if keyword == "explain" && s.explainState == notExplained {
@@ -63,18 +63,18 @@
 		return
 	}
 	s.verb = keyword
-	s.isSelect = readOnlyVerbs[keyword]
-	if s.planned() {
+	s.isReadVerb = readVerbs[keyword]
+	if s.isOnlyPlanned() {
 		return
 	}
 	s.setKind(verbs[keyword])
-	if !s.isSelect {
+	if !s.isReadVerb {
 		s.mayWrite(ByVerb, Span{token.start, token.end})
 	}
 }
 
-// planned reports whether the statement is explained without being executed.
-func (s *scanner) planned() bool { return s.explainState != notExplained && !s.analyze }
+// isOnlyPlanned reports whether the statement is part of an EXPLAIN that does not execute it.
+func (s *scanner) isOnlyPlanned() bool { return s.explainState != notExplained && !s.analyze }
 
 // explainOption processes the options of EXPLAIN. It returns false at the first token of the explained statement.
 func (s *scanner) explainOption(token token, keyword string) bool {
@@ -86,7 +86,7 @@
 		case keyword == "verbose":
 			return true
 		case token.kind == punctuation && s.sql[token.start] == '(' && s.prevWord == "explain":
-			s.explainState = explainBrackets
+			s.explainState = explainOptionList
 			return true
 		}
 		s.explainState = explainStatement
@@ -102,39 +102,40 @@
 	return true
 }
 
-// setKind notes the kind of the statement; the first statement of several decides.
+// setKind sets the kind of the text. The first of several statements determines it, and the explained statement has
+// precedence over its EXPLAIN.
 func (s *scanner) setKind(kind Kind) {
 	if s.info.Kind == Unknown || s.explainState != notExplained && s.info.Kind == Utility {
 		s.info.Kind = kind
 	}
 }
 
-// trackClause tracks the clauses of a statement by their keywords, and the clauses that make a read something else.
+// trackClause processes the keyword of a clause, including clauses by which a read locks or writes.
 func (s *scanner) trackClause(token token, keyword string) {
-	here := depthBit(s.depth)
+	bit := depthBit(s.depth)
 	switch keyword {
 	case "with":
 		if token.start == s.verbAt || s.prev.kind == punctuation && s.sql[s.prev.start] == '(' {
-			s.inWithList |= here
+			s.inWithList |= bit
 		}
 	case "from":
-		s.beginFrom(token, here)
+		s.beginFrom(token, bit)
 	case "join":
-		s.inFrom, s.aliasMayFollow = s.inFrom|here, s.aliasMayFollow|here
+		s.inFrom, s.aliasMayFollow = s.inFrom|bit, s.aliasMayFollow|bit
 		s.relationNext = true
 	case "table":
 		if s.verb == "table" || s.verb == "with" {
-			s.inWithList &^= here
+			s.inWithList &^= bit
 			s.relationNext = true
 		}
 	case "on", "using":
-		s.aliasMayFollow &^= here
+		s.aliasMayFollow &^= bit
 	case "select", "values", "insert", "delete", "merge",
 		"where", "group", "having", "order", "limit", "offset", "fetch", "union", "intersect", "except", "window",
 		"for", "returning":
-		s.endClauses(here)
+		s.endClauses(bit)
 	case "update", "share", "no", "key":
-		s.trackLock(token, keyword, here)
+		s.trackLock(token, keyword, bit)
 	case "into", "program", "stdout":
 		s.trackTarget(token, keyword)
 	}
@@ -145,41 +146,41 @@
 	}
 }
 
-// beginFrom processes FROM at a depth. In DISTINCT FROM it begins no clause, and in COPY it names a source.
-func (s *scanner) beginFrom(token token, here uint64) {
+// beginFrom processes FROM at a depth. FROM in IS DISTINCT FROM does not begin a clause, and COPY ... FROM writes.
+func (s *scanner) beginFrom(token token, bit uint64) {
 	if s.prevWord != "distinct" {
-		s.inFrom, s.aliasMayFollow = s.inFrom|here, s.aliasMayFollow|here
+		s.inFrom, s.aliasMayFollow = s.inFrom|bit, s.aliasMayFollow|bit
 		s.relationNext = true
 	}
-	if s.verb == "copy" && s.depth == 0 && !s.planned() {
+	if s.verb == "copy" && s.depth == 0 && !s.isOnlyPlanned() {
 		s.mayWrite(ByPart, Span{token.start, token.end})
 	}
 }
 
 // endClauses ends FROM and the list of WITH at a depth.
-func (s *scanner) endClauses(here uint64) {
-	s.inFrom, s.aliasMayFollow, s.inWithList = s.inFrom&^here, s.aliasMayFollow&^here, s.inWithList&^here
+func (s *scanner) endClauses(bit uint64) {
+	s.inFrom, s.aliasMayFollow, s.inWithList = s.inFrom&^bit, s.aliasMayFollow&^bit, s.inWithList&^bit
 }
 
-// trackLock processes the words of locking clauses: FOR [NO KEY] UPDATE, FOR [KEY] SHARE. Other uses of UPDATE begin a
-// statement within this one.
-func (s *scanner) trackLock(token token, keyword string, here uint64) {
+// trackLock processes the words of locking clauses: FOR [NO KEY] UPDATE, FOR [KEY] SHARE. Any other UPDATE begins a
+// nested statement.
+func (s *scanner) trackLock(token token, keyword string, bit uint64) {
 	afterFor := s.prevWord == "for"
 	afterKey := s.prevWord == "key" && (keyword == "update" || keyword == "share")
 	switch {
 	case afterFor || afterKey:
-		s.lock(Span{token.start, token.end})
+		s.recordLock(Span{token.start, token.end})
 	case keyword == "update":
-		s.endClauses(here)
+		s.endClauses(bit)
 	}
 }
 
-// trackTarget processes the words that name a target: SELECT INTO, and COPY TO PROGRAM or STDOUT.
+// trackTarget processes the words before a target: SELECT INTO, and COPY TO PROGRAM or STDOUT.
 func (s *scanner) trackTarget(token token, keyword string) {
 	writes := false
 	switch keyword {
 	case "into":
-		writes = s.isSelect && !s.planned()
+		writes = s.isReadVerb && !s.isOnlyPlanned()
 	case "program":
 		writes = s.verb == "copy"
 	case "stdout":
@@ -190,9 +191,9 @@
 	}
 }
 
-// lock notes a locking clause.
-func (s *scanner) lock(where Span) {
-	if s.planned() {
+// recordLock records a locking clause.
+func (s *scanner) recordLock(where Span) {
+	if s.isOnlyPlanned() {
 		return
 	}
 	if s.info.Kind == Read {
--- a/internal/statement/config.go
+++ b/internal/statement/config.go
@@ -6,20 +6,20 @@
 	"capercove/internal/config/tables"
 )
 
-// Config is the table [statements] of the operators' file.
+// Config is the table [statements] of the operators' configuration file.
 type Config struct {
-	Mode      string   `toml:"mode"`      // off; observe: analyse and count only; enforce: route by the analysis
-	Writes    string   `toml:"writes"`    // route of a read that is labelled as a write: believe (the label), or read
-	Unknown   string   `toml:"unknown"`   // unlisted functions count as: write, or read
-	Writers   []string `toml:"writers"`   // functions that write, as name or schema.name
-	Readers   []string `toml:"readers"`   // functions that only read
+	Mode      string   `toml:"mode"`      // off, observe (analyse and count) or enforce (route by the analysis)
+	Writes    string   `toml:"writes"`    // route of a read that is labelled as a write: believe (the label) or read
+	Unknown   string   `toml:"unknown"`   // what unlisted functions count as: write or read
+	Writers   []string `toml:"writers"`   // functions that write, each as name or schema.name
+	Readers   []string `toml:"readers"`   // functions that only read, in the same form
 	Relations []string `toml:"relations"` // views and other relations that write when read
 }
 
-// Defaults are the values of keys that the file lacks.
+// Defaults returns the values of keys that are missing from the file.
 func Defaults() Config { return Config{Mode: "off", Writes: "believe", Unknown: "write"} }
 
-// Check returns the first error of the table, a tables.KeyError, or nil.
+// Check returns an error of the table, as a tables.KeyError, or nil if it is valid.
 func (c Config) Check() error {
 	for _, setting := range []struct{ key, value, words string }{
 		{"mode", c.Mode, "off observe enforce"},
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// validName reports whether a name is of the form name or schema.name.
+// validName reports whether a name has the form name or schema.name.
 func validName(name string) bool {
 	if name == "" || strings.Count(name, ".") > 1 {
 		return false
@@ -59,13 +59,13 @@
 	return !strings.ContainsAny(name, " ()\"'")
 }
 
-// On reports whether statements are analysed at all.
+// On reports whether statements are analysed.
 func (c Config) On() bool { return c.Mode == "observe" || c.Mode == "enforce" }
 
-// Enforced reports whether they are routed by the analysis.
+// Enforced reports whether statements are routed by their analysis.
 func (c Config) Enforced() bool { return c.Mode == "enforce" }
 
-// Rules returns the rules for an Analyser.
+// Rules returns the rules of the table for an Analyser.
 func (c Config) Rules() *Rules {
 	set := func(list []string) map[string]bool {
 		m := map[string]bool{}
--- a/internal/statement/fingerprint.go
+++ b/internal/statement/fingerprint.go
@@ -2,27 +2,27 @@
 
 import "bytes"
 
-// A fingerprint is the text with each value replaced by a question mark, words in lower case, one space between
-// tokens, and lists of values after IN and rows after VALUES merged. Comments are left out. Routing does not use the
-// fingerprint but analyses each text. Everything that decides there is part of the fingerprint nevertheless, so that
-// texts with one fingerprint are routed alike.
+// A fingerprint is the text with each value replaced by a placeholder, words in lower case, one space between tokens,
+// and lists of values after IN and rows after VALUES merged. Comments are omitted. Routing analyses each text and does
+// not use the fingerprint. Even so, texts with equal fingerprints are routed alike, because a fingerprint contains
+// everything that determines the route.
 
-// Signs of values in a fingerprint.
+// Placeholders of values in a fingerprint.
 const (
-	valueSign   = '?'
-	specialSign = '!' // a string that would differ if backslashes escaped
+	valuePlaceholder     = '?'
+	ambiguousPlaceholder = '!' // a string that would differ with standard_conforming_strings off
 )
 
 // appendToken appends a token of the text to a fingerprint.
 func appendToken(dst []byte, sql string, token token) []byte {
 	switch token.kind {
 	case stringToken:
-		if token.special {
-			return appendValue(dst, specialSign)
+		if token.ambiguous {
+			return appendValue(dst, ambiguousPlaceholder)
 		}
-		return appendValue(dst, valueSign)
+		return appendValue(dst, valuePlaceholder)
 	case number, parameter:
-		return appendValue(dst, valueSign)
+		return appendValue(dst, valuePlaceholder)
 	}
 	dst = appendSpace(dst, sql[token.start])
 	if token.kind != word {
@@ -37,7 +37,7 @@
 	return dst
 }
 
-// appendSpace appends the space before a token, where one belongs there.
+// appendSpace appends a space if the fingerprint needs one before a token that begins with next.
 func appendSpace(dst []byte, next byte) []byte {
 	if len(dst) == 0 {
 		return dst
@@ -57,27 +57,27 @@
 	return append(dst, ' ')
 }
 
-// appendValue appends the sign of a value. In a list of values only, of IN or of a row, it replaces the value before
-// it if that has the same sign.
-func appendValue(dst []byte, sign byte) []byte {
-	if n := len(dst); n > 2 && dst[n-1] == ',' && dst[n-2] == sign && inValueList(dst[:n-2]) {
+// appendValue appends the placeholder of a value. In a list of IN or a row of VALUES, it merges the value with the one
+// before if both have the same placeholder.
+func appendValue(dst []byte, placeholder byte) []byte {
+	if n := len(dst); n > 2 && dst[n-1] == ',' && dst[n-2] == placeholder && inValueList(dst[:n-2]) {
 		return dst[:n-1]
 	}
-	dst = appendSpace(dst, sign)
-	return append(dst, sign)
+	dst = appendSpace(dst, placeholder)
+	return append(dst, placeholder)
 }
 
-// mergeRows removes a row of VALUES that equals the one before it.
+// mergeRows removes the last row of VALUES if it equals the row before it.
 func mergeRows(dst []byte) []byte {
 	const row = "(?)"
-	if cut, both := bytes.CutSuffix(dst, []byte(row+", "+row)); both {
-		return dst[:len(cut)+len(row)]
+	if before, equal := bytes.CutSuffix(dst, []byte(row+", "+row)); equal {
+		return dst[:len(before)+len(row)]
 	}
 	return dst
 }
 
-// inValueList reports whether a fingerprint ends in a bracket that opens a list of values: of IN, of VALUES or of a
-// further row.
+// inValueList reports whether a fingerprint ends in the opening parenthesis of a list of values: after IN, after VALUES
+// or after a comma, which precedes another row.
 func inValueList(dst []byte) bool {
 	n := len(dst)
 	if n == 0 || dst[n-1] != '(' {
--- a/internal/statement/fuzz_test.go
+++ b/internal/statement/fuzz_test.go
@@ -7,15 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// followingWrites are statements that a text must not hide.
+// followingWrites are statements that must be detected after any text.
 var followingWrites = []string{
 	"\n;DELETE FROM t",
 	"\n;SELECT nextval('s')",
 	"\n;WITH x AS (UPDATE t SET a = 1) SELECT 1",
 }
 
-// FuzzRead reads any text. Whatever it is: it is read without a panic and twice alike, the reported spans lie within
-// it, and a write that follows is never hidden, as a text that could hide one is unreadable.
+// FuzzRead analyses arbitrary text. It proves that Read does not panic, that its result is deterministic, that the
+// reported spans are within the text, and that no text hides a write that follows. A text that could hide one must be
+// classified as Unreadable.
 func FuzzRead(f *testing.F) {
 	for _, seed := range []string{
 		"SELECT 1", "SELECT 'a''b' /* /* */ */ -- x\n", "WITH a AS (DELETE FROM t) SELECT", "$a$ $$ $a$", "E'\\''",
@@ -24,23 +25,23 @@
 	} {
 		f.Add(seed)
 	}
-	analyser, twin := New(noRules), New(noRules)
+	analyser, second := New(noRules), New(noRules)
 	f.Fuzz(func(t *testing.T, sql string) {
 		info := analyser.Read(sql)
-		require.Equal(t, info, twin.Read(sql), "%q is read in two ways", sql)
-		require.Equal(t, string(analyser.Fingerprint()), string(twin.Fingerprint()), "%q", sql)
+		require.Equal(t, info, second.Read(sql), "the results of two analyses of %q differ", sql)
+		require.Equal(t, string(analyser.Fingerprint()), string(second.Fingerprint()), "%q", sql)
 		require.LessOrEqual(t, len(analyser.Fingerprint()), 2*len(sql)+16, "fingerprint of %q", sql)
-		spans := append([]Span{info.Where, info.Comment}, info.Relations[:min(NamesMost, info.RelationsN)]...)
+		spans := append([]Span{info.Where, info.Comment}, info.Relations[:min(MaxNames, info.RelationCount)]...)
 		for _, span := range spans {
 			require.GreaterOrEqual(t, span.Start, 0, "%q", sql)
 			require.GreaterOrEqual(t, span.End, span.Start, "%q", sql)
 			require.LessOrEqual(t, span.End, len(sql), "%q", sql)
 		}
 		if info.Why == Unreadable || !utf8.ValidString(sql) {
-			require.True(t, info.MayWrite, "%q is unreadable and yet a read", sql)
+			require.True(t, info.MayWrite, "%q is unreadable, but not a possible write", sql)
 		}
 		for _, write := range followingWrites {
-			require.True(t, twin.Read(sql+write).MayWrite, "%q hides %q", sql, write)
+			require.True(t, second.Read(sql+write).MayWrite, "%q hides %q", sql, write)
 		}
 	})
 }
--- a/internal/statement/keywords.go
+++ b/internal/statement/keywords.go
@@ -8,7 +8,7 @@
 	reserved bool
 }
 
-// otherKeywords are the keywords that are in none of the tables below.
+// otherKeywords are the keywords that are not in reserved, infix or wordsBefore.
 var otherKeywords = wordSet(`
 insert update delete merge copy explain prepare execute deallocate call begin start commit rollback abort
 savepoint release set reset show discard listen notify unlisten lock truncate alter drop revoke comment security
@@ -16,7 +16,7 @@
 no key partition as
 `)
 
-// keywords are the words that the scanner distinguishes.
+// keywords maps each word that the scanner distinguishes to its entry.
 var keywords = func() map[string]keyword {
 	table := map[string]keyword{}
 	for word := range reserved {
@@ -25,7 +25,7 @@
 	for word := range infix {
 		table[word] = keyword{word, false}
 	}
-	for word := range wordsAfter {
+	for word := range wordsBefore {
 		table[word] = keyword{word, false}
 	}
 	for word := range otherKeywords {
@@ -36,14 +36,14 @@
 	return table
 }()
 
-// keywordOf returns the keyword that equals a folded name, or "". The string is that of the table, so that keeping it
-// does not allocate.
+// keywordOf returns the keyword that equals a folded name, or "". It returns the string of the table, which avoids an
+// allocation.
 func keywordOf(name []byte) (word string, isReserved bool) {
 	found, known := keywords[string(name)]
 	return found.word, known && found.reserved
 }
 
-// verbs are the kinds of statements by their first words; others are Unknown.
+// verbs maps the first word of a statement to its kind. Other first words are Unknown.
 var verbs = map[string]Kind{
 	"select": Read, "values": Read, "table": Read, "with": Read, "show": Utility, "copy": Utility,
 	"insert": Write, "update": Write, "delete": Write, "merge": Write, "truncate": Write, "call": Write, "do": Write,
@@ -56,11 +56,12 @@
 	"analyse": Utility, "checkpoint": Utility, "load": Utility,
 }
 
-// readOnlyVerbs are the first words of statements that are reads if nothing within them says otherwise.
-var readOnlyVerbs = wordSet("select values table with show copy")
+// readVerbs are the first words of statements that only read, unless a part of them writes or locks.
+var readVerbs = wordSet("select values table with show copy")
 
-// reserved are the keywords that can name neither a function nor, without AS, an alias (appendix "SQL Key Words":
-// reserved, and those that cannot be function or type names). A bracket after one does not open a call.
+// reserved are the keywords that can name neither a function nor, without AS, an alias (appendix "SQL Key Words" of
+// PostgreSQL's documentation: reserved, and those that cannot be function or type names). A parenthesis after one does
+// not open a call.
 var reserved = wordSet(`
 all analyse analyze and any array as asc asymmetric both case cast check collate column constraint create
 current_catalog
@@ -76,15 +77,15 @@
 xmlforest xmlnamespaces xmlparse xmlpi xmlroot xmlserialize xmltable
 `)
 
-// infix words may be names of functions; after an operand they are syntax, and a bracket after them does not open a
-// call.
+// infix are the words that are syntax after an operand, where a parenthesis after them does not open a call. Elsewhere
+// they may be names of functions.
 var infix = wordSet(`
 join like ilike overlaps escape over filter columns is isnull notnull similar collation cross natural inner
 left right full outer tablesample ordinality
 `)
 
-// wordsAfter lists, for a word, those after which it is syntax and a bracket after it does not open a call.
-var wordsAfter = map[string]map[string]bool{
+// wordsBefore maps a word to the words after which it is syntax, where a parenthesis after it does not open a call.
+var wordsBefore = map[string]map[string]bool{
 	"by": wordSet("group order partition"), "materialized": wordSet("as not"),
 	"rollup": wordSet("by"), "cube": wordSet("by"),
 	"sets": wordSet("grouping"), "first": wordSet("fetch"), "next": wordSet("fetch"),
@@ -93,14 +94,14 @@
 	"varying": wordSet("bit char character nchar"),
 }
 
-// joins are the words that JOIN may follow.
-var joins = wordSet("cross natural inner left right full outer")
+// joinModifiers are the words that may precede JOIN.
+var joinModifiers = wordSet("cross natural inner left right full outer")
 
-// wordSet returns the set of the words of a list.
+// wordSet returns the set of the words in a list that is separated by white space.
 func wordSet(list string) map[string]bool {
-	m := map[string]bool{}
-	for _, n := range strings.Fields(list) {
-		m[n] = true
+	set := map[string]bool{}
+	for _, word := range strings.Fields(list) {
+		set[word] = true
 	}
-	return m
+	return set
 }
--- a/internal/statement/lexer.go
+++ b/internal/statement/lexer.go
@@ -6,42 +6,42 @@
 type tokenKind uint8
 
 const (
-	endToken    tokenKind = iota
-	word                  // a keyword or an unquoted name
-	quoted                // a quoted name
-	stringToken           // a string constant of any form
+	endToken    tokenKind = iota // the end of the text
+	word                         // a keyword or an unquoted name
+	quoted                       // a quoted name
+	stringToken                  // a string constant of any form
 	number
 	parameter     // $1
 	operatorToken // an operator
 	punctuation   // one of ( ) [ ] , ; . :
-	invalidToken  // no token starts like this, or it is not terminated
+	invalidToken  // a byte that cannot begin a token, or an unterminated token
 )
 
-// token is a part of a text, from start to end as byte offsets.
+// token is a token of a text, from start to before end, in bytes.
 type token struct {
 	kind       tokenKind
 	start, end int
-	special    bool // string: it would differ if backslashes escaped; name: with Unicode escapes
+	ambiguous  bool // differs with standard_conforming_strings off (string), or has Unicode escapes (name)
 }
 
-// lexer splits a text into tokens by the lexical rules of PostgreSQL with standard_conforming_strings on ("Lexical
-// Structure" in its documentation). It visits each byte a bounded number of times and does not allocate.
+// lexer splits a text into tokens by the lexical rules of PostgreSQL ("Lexical Structure" in its documentation) with
+// standard_conforming_strings on. It visits each byte a bounded number of times and does not allocate.
 type lexer struct {
 	sql          string
-	at           int
+	position     int                      // offset of the next byte
 	comment      struct{ start, end int } // the last complete block comment
-	commentStart int                      // start of the last one, complete or not
+	commentStart int                      // start of the last block comment, complete or not
 }
 
-// peek returns the byte at an offset from the current one, 0 beyond the end.
-func (l *lexer) peek(i int) byte {
-	if l.at+i < len(l.sql) {
-		return l.sql[l.at+i]
+// peek returns the byte at an offset from the current position, or 0 beyond the end.
+func (l *lexer) peek(offset int) byte {
+	if l.position+offset < len(l.sql) {
+		return l.sql[l.position+offset]
 	}
 	return 0
 }
 
-// Classes of bytes.
+// Classes of bytes, as bits.
 const (
 	space = 1 << iota
 	beginsName
@@ -74,12 +74,12 @@
 	return c
 }()
 
-// next returns the next token. At the end, and behind a bad token, it returns end.
+// next returns the next token. At the end, and after an invalid token, it returns an endToken.
 func (l *lexer) next() token {
 	if !l.skipBlanks() {
 		return l.fail(l.commentStart)
 	}
-	start := l.at
+	start := l.position
 	if start >= len(l.sql) {
 		return token{kind: endToken, start: start, end: start}
 	}
@@ -96,15 +96,15 @@
 	case char == '$':
 		return l.dollar(start)
 	case strings.IndexByte("()[],;.", char) >= 0:
-		l.at++
-		return token{kind: punctuation, start: start, end: l.at}
+		l.position++
+		return token{kind: punctuation, start: start, end: l.position}
 	case char == ':':
-		l.at++
+		l.position++
 		if l.peek(0) == ':' || l.peek(0) == '=' {
-			l.at++
-			return token{kind: operatorToken, start: start, end: l.at}
+			l.position++
+			return token{kind: operatorToken, start: start, end: l.position}
 		}
-		return token{kind: punctuation, start: start, end: l.at}
+		return token{kind: punctuation, start: start, end: l.position}
 	case classes[char]&operator != 0:
 		return l.operator(start)
 	}
@@ -113,16 +113,16 @@
 
 // fail returns an invalid token that extends to the end of the text.
 func (l *lexer) fail(start int) token {
-	l.at = len(l.sql)
+	l.position = len(l.sql)
 	return token{kind: invalidToken, start: start, end: len(l.sql)}
 }
 
-// skipBlanks skips white space and comments. It returns false at an unterminated block comment.
+// skipBlanks skips white space and comments. It returns false if a block comment is unterminated.
 func (l *lexer) skipBlanks() bool {
-	for l.at < len(l.sql) {
-		switch c := l.sql[l.at]; {
+	for l.position < len(l.sql) {
+		switch c := l.sql[l.position]; {
 		case classes[c]&space != 0:
-			l.at++
+			l.position++
 		case c == '-' && l.peek(1) == '-':
 			l.lineComment()
 		case c == '/' && l.peek(1) == '*':
@@ -136,73 +136,74 @@
 	return true
 }
 
-// lineComment skips a comment up to the end of its line.
+// lineComment skips a comment that extends to the end of its line.
 func (l *lexer) lineComment() {
-	for l.at < len(l.sql) && l.sql[l.at] != '\n' && l.sql[l.at] != '\r' {
-		l.at++
+	for l.position < len(l.sql) && l.sql[l.position] != '\n' && l.sql[l.position] != '\r' {
+		l.position++
 	}
 }
 
-// blockComment skips a block comment, in which others may be nested. It returns false if it is not terminated.
+// blockComment skips a block comment, which may contain nested ones. It returns false if the comment is unterminated.
 func (l *lexer) blockComment() bool {
-	l.commentStart = l.at
+	l.commentStart = l.position
 	depth := 1
-	for l.at += 2; depth > 0; {
-		i := strings.IndexAny(l.sql[l.at:], "*/")
-		if i < 0 || l.at+i+1 >= len(l.sql) {
+	for l.position += 2; depth > 0; {
+		i := strings.IndexAny(l.sql[l.position:], "*/")
+		if i < 0 || l.position+i+1 >= len(l.sql) {
 			return false
 		}
-		l.at += i
-		switch two := l.sql[l.at : l.at+2]; two {
+		l.position += i
+		switch pair := l.sql[l.position : l.position+2]; pair {
 		case "/*":
 			depth++
-			l.at += 2
+			l.position += 2
 		case "*/":
 			depth--
-			l.at += 2
+			l.position += 2
 		default:
-			l.at++
+			l.position++
 		}
 	}
-	l.comment.start, l.comment.end = l.commentStart, l.at
+	l.comment.start, l.comment.end = l.commentStart, l.position
 	return true
 }
 
-// quotedString reads a string whose quote follows a prefix. With escapes, a backslash escapes the next byte.
+// quotedString reads a string whose opening quote ends a prefix of so many bytes. With escapes, a backslash escapes the
+// next byte.
 func (l *lexer) quotedString(start, prefix int, escapes bool) token {
 	token := token{kind: stringToken, start: start}
-	l.at = start + prefix
+	l.position = start + prefix
 	for {
 		i := 0
 		if escapes {
-			i = strings.IndexAny(l.sql[l.at:], "'\\")
+			i = strings.IndexAny(l.sql[l.position:], "'\\")
 		} else {
-			i = strings.IndexByte(l.sql[l.at:], '\'')
+			i = strings.IndexByte(l.sql[l.position:], '\'')
 		}
 		if i < 0 {
 			return l.fail(start)
 		}
-		if l.at += i; l.sql[l.at] == '\\' {
-			l.at = min(l.at+2, len(l.sql))
+		if l.position += i; l.sql[l.position] == '\\' {
+			l.position = min(l.position+2, len(l.sql))
 			continue
 		}
-		token.special = token.special || !escapes && l.sql[l.at-1] == '\\'
-		if l.at++; l.peek(0) == '\'' {
-			l.at++
+		token.ambiguous = token.ambiguous || !escapes && l.sql[l.position-1] == '\\'
+		if l.position++; l.peek(0) == '\'' {
+			l.position++
 			continue
 		}
 		if !l.continued() {
-			token.end = l.at
+			token.end = l.position
 			return token
 		}
 	}
 }
 
-// continued reports whether a string is continued: by another one with only white space and a line's end between
-// them. If so, it skips the next opening quote.
+// continued reports whether another string continues this one. Only white space and line comments may be between them,
+// with at least one line break. If so, continued skips the opening quote of the other string.
 func (l *lexer) continued() bool {
 	newline := false
-	for i := l.at; i < len(l.sql); i++ {
+	for i := l.position; i < len(l.sql); i++ {
 		switch c := l.sql[i]; {
 		case c == '\n' || c == '\r':
 			newline = true
@@ -212,7 +213,7 @@
 				i++
 			}
 		case c == '\'' && newline:
-			l.at = i + 1
+			l.position = i + 1
 			return true
 		default:
 			return false
@@ -221,26 +222,26 @@
 	return false
 }
 
-// quotedName reads a quoted name whose opening quote follows a prefix.
+// quotedName reads a quoted name whose opening quote ends a prefix of so many bytes.
 func (l *lexer) quotedName(start, prefix int) token {
-	l.at = start + prefix
+	l.position = start + prefix
 	for {
-		i := strings.IndexByte(l.sql[l.at:], '"')
+		i := strings.IndexByte(l.sql[l.position:], '"')
 		if i < 0 {
 			return l.fail(start)
 		}
-		if l.at += i + 1; l.peek(0) != '"' {
+		if l.position += i + 1; l.peek(0) != '"' {
 			break
 		}
-		l.at++
+		l.position++
 	}
-	if l.at-start == prefix+1 { // empty names are not allowed
+	if l.position-start == prefix+1 { // empty names are not allowed
 		return l.fail(start)
 	}
-	return token{kind: quoted, start: start, end: l.at, special: prefix > 1}
+	return token{kind: quoted, start: start, end: l.position, ambiguous: prefix > 1}
 }
 
-// word reads a word, or a string or quoted name with a letter as its prefix.
+// word reads a word, or a string or quoted name whose prefix begins with a letter.
 func (l *lexer) word(start int) token {
 	next := l.peek(1)
 	switch l.sql[start] {
@@ -260,36 +261,36 @@
 			return l.quotedName(start, 3)
 		}
 	}
-	for l.at < len(l.sql) && classes[l.sql[l.at]]&continuesName != 0 {
-		l.at++
+	for l.position < len(l.sql) && classes[l.sql[l.position]]&continuesName != 0 {
+		l.position++
 	}
-	return token{kind: word, start: start, end: l.at}
+	return token{kind: word, start: start, end: l.position}
 }
 
-// number reads a number. Its end need only be so exact that what follows is read as PostgreSQL does: letters directly
-// after a number are an error there, not another token.
+// number reads a number, including letters that directly follow it. The end of the number must be exact only where the
+// following tokens depend on it: PostgreSQL rejects letters directly after a number and reads no other token there.
 func (l *lexer) number(start int) token {
-	for l.at < len(l.sql) {
-		c := l.sql[l.at]
+	for l.position < len(l.sql) {
+		c := l.sql[l.position]
 		switch {
 		case classes[c]&continuesName != 0 && c != '$':
-			l.at++
+			l.position++
 			signed := (c == 'e' || c == 'E') && (l.peek(0) == '+' || l.peek(0) == '-') && classes[l.peek(1)]&digit != 0
 			if signed && !l.hexadecimalAt(start) {
-				l.at++
+				l.position++
 			}
 		case c == '.' && l.peek(1) != '.':
-			l.at++
+			l.position++
 		default:
-			return token{kind: number, start: start, end: l.at}
+			return token{kind: number, start: start, end: l.position}
 		}
 	}
-	return token{kind: number, start: start, end: l.at}
+	return token{kind: number, start: start, end: l.position}
 }
 
-// hexadecimalAt reports whether the number that is being read from start on has the prefix of hexadecimal numbers.
+// hexadecimalAt reports whether the number that begins at start has the prefix of hexadecimal numbers.
 func (l *lexer) hexadecimalAt(start int) bool {
-	return l.sql[start] == '0' && start+1 < l.at && (l.sql[start+1] == 'x' || l.sql[start+1] == 'X')
+	return l.sql[start] == '0' && start+1 < l.position && (l.sql[start+1] == 'x' || l.sql[start+1] == 'X')
 }
 
 // dollar reads a parameter or a dollar-quoted string.
@@ -299,7 +300,7 @@
 		for i < len(l.sql) && classes[l.sql[i]]&continuesName != 0 && l.sql[i] != '$' {
 			i++
 		}
-		l.at = i
+		l.position = i
 		return token{kind: parameter, start: start, end: i}
 	}
 	if i < len(l.sql) && classes[l.sql[i]]&beginsName != 0 {
@@ -315,17 +316,18 @@
 	if closing < 0 {
 		return l.fail(start)
 	}
-	l.at = i + 1 + closing + len(tag)
-	return token{kind: stringToken, start: start, end: l.at}
+	l.position = i + 1 + closing + len(tag)
+	return token{kind: stringToken, start: start, end: l.position}
 }
 
-// operator reads an operator. It ends before the beginning of a comment.
+// operator reads an operator, which ends before a comment.
 func (l *lexer) operator(start int) token {
-	for l.at < len(l.sql) && classes[l.sql[l.at]]&operator != 0 {
-		if l.at > start && (l.sql[l.at] == '-' && l.peek(1) == '-' || l.sql[l.at] == '/' && l.peek(1) == '*') {
+	for l.position < len(l.sql) && classes[l.sql[l.position]]&operator != 0 {
+		if l.position > start &&
+			(l.sql[l.position] == '-' && l.peek(1) == '-' || l.sql[l.position] == '/' && l.peek(1) == '*') {
 			break
 		}
-		l.at++
+		l.position++
 	}
-	return token{kind: operatorToken, start: start, end: l.at}
+	return token{kind: operatorToken, start: start, end: l.position}
 }
--- a/internal/statement/names.go
+++ b/internal/statement/names.go
@@ -5,13 +5,14 @@
 // maxNameBytes is the length to which PostgreSQL truncates names (NAMEDATALEN - 1).
 const maxNameBytes = 63
 
-// namePart is one part of a name that is qualified by dots.
+// namePart is one part of a qualified name: a schema, a relation, a column and so on.
 type namePart struct {
 	token token
-	name  []byte // folded and truncated as PostgreSQL does it; nil if it cannot be determined
+	name  []byte // folded and truncated as by PostgreSQL; nil if the part contains Unicode escapes
 }
 
-// foldName returns an unquoted name as PostgreSQL folds it: ASCII letters in lower case, truncated to maxNameBytes.
+// foldName folds an unquoted name as PostgreSQL does: to ASCII letters in lower case, truncated to maxNameBytes. The
+// result is a part of dst.
 func foldName(dst *[maxNameBytes]byte, s string) []byte {
 	n := min(len(s), maxNameBytes)
 	for n < len(s) && n > 0 && !utf8.RuneStart(s[n]) {
@@ -27,7 +28,7 @@
 	return dst[:n]
 }
 
-// unquoteName returns a quoted name without its quotes, truncated to maxNameBytes.
+// unquoteName returns a quoted name without its quotes, truncated to maxNameBytes. The result is a part of dst.
 func unquoteName(dst *[maxNameBytes]byte, s string) []byte {
 	n := 0
 	for i := 1; i < len(s)-1; i++ {
@@ -49,7 +50,7 @@
 	return dst[:n]
 }
 
-// addNamePart processes a name, or a part of one. After a dot every word is a name.
+// addNamePart processes a word or a quoted name as a part of a name. After a dot, reserved words are names too.
 func (s *scanner) addNamePart(token token, name []byte, isReserved bool) {
 	if !s.afterDot {
 		s.endName()
@@ -59,7 +60,7 @@
 		s.beforeName, s.wordBeforeName = s.prev, s.prevWord
 	}
 	s.afterDot = false
-	if s.partCount == len(s.parts) { // only the last parts count: catalog.schema.name
+	if s.partCount == len(s.parts) { // only the last three count: catalog.schema.name
 		s.parts[0], s.parts[1] = s.parts[1], s.parts[2]
 		s.partBuffers[0], s.partBuffers[1] = s.partBuffers[1], s.partBuffers[2]
 		for i := range 2 {
@@ -77,7 +78,7 @@
 	s.partCount++
 }
 
-// endName is called at a token that is no part of a name: a name before it is complete.
+// endName completes the current name, if there is one. It is called at a token that is not part of the name.
 func (s *scanner) endName() {
 	if s.partCount > 0 {
 		s.finishName()
@@ -85,31 +86,33 @@
 	s.partCount, s.afterDot = 0, false
 }
 
-// span returns the position of the last name.
-func (s *scanner) span() Span { return Span{s.parts[0].token.start, s.parts[s.partCount-1].token.end} }
+// nameSpan returns the position of the current name.
+func (s *scanner) nameSpan() Span {
+	return Span{s.parts[0].token.start, s.parts[s.partCount-1].token.end}
+}
 
-// finishName processes a complete name that no bracket follows.
+// finishName processes a complete name that is not followed by a parenthesis.
 func (s *scanner) finishName() {
 	last := s.parts[s.partCount-1]
-	// A column's name may call a function of the row: t.f is f(t). Only the operators' rules can tell.
+	// A column's name may call a function of the row: t.f is f(t). Only the operators' rules identify such functions.
 	if s.partCount > 1 && last.name != nil && s.analyser.rules.Writers[string(last.name)] {
-		s.mayWrite(ByFunction, s.span())
+		s.mayWrite(ByFunction, s.nameSpan())
 	}
 	keyword, _ := keywordOf(last.name)
 	if !s.relationNext || s.partCount == 1 && last.token.kind == word && infix[keyword] {
 		return
 	}
 	s.relationNext = false
-	if s.info.RelationsN < NamesMost {
-		s.info.Relations[s.info.RelationsN] = s.span()
+	if s.info.RelationCount < MaxNames {
+		s.info.Relations[s.info.RelationCount] = s.nameSpan()
 	}
-	s.info.RelationsN++
+	s.info.RelationCount++
 	if last.name == nil && len(s.analyser.rules.Relations) > 0 || s.nameIn(s.analyser.rules.Relations) {
-		s.mayWrite(ByRelation, s.span())
+		s.mayWrite(ByRelation, s.nameSpan())
 	}
 }
 
-// nameIn reports whether a list holds the last name, with its schema or without.
+// nameIn reports whether a list contains the current name, with its schema or without.
 func (s *scanner) nameIn(list map[string]bool) bool {
 	if len(list) == 0 {
 		return false
@@ -129,8 +132,8 @@
 	return list[string(qualified)]
 }
 
-// operand reports whether a token can end a value, so that what follows is an operator or an alias.
-func operand(token token, keyword string) bool {
+// endsOperand reports whether a token can be the end of an operand. An operator or an alias may follow an operand.
+func endsOperand(token token, keyword string) bool {
 	switch token.kind {
 	case quoted, stringToken, number, parameter:
 		return true
@@ -141,56 +144,59 @@
 		case "update", "share":
 			return false
 		}
-		return !reserved[keyword] && !infix[keyword] && wordsAfter[keyword] == nil
+		return !reserved[keyword] && !infix[keyword] && wordsBefore[keyword] == nil
 	case punctuation:
-		return true // the caller has excluded all but ) and ]
+		return true // the caller ensures that it is ) or ]
 	}
 	return false
 }
 
-// call processes a name that a bracket follows.
-func (s *scanner) call() {
+// processCall processes the current name if a parenthesis follows it: a call of a function, or one of the forms of
+// syntax that look like a call.
+func (s *scanner) processCall() {
 	last := s.parts[s.partCount-1]
 	s.relationNext = false
-	here := depthBit(s.depth)
-	opens := s.beforeName.kind == punctuation && s.sql[s.beforeName.start] != ')' && s.sql[s.beforeName.start] != ']'
-	behindOperand := !opens && operand(s.beforeName, s.wordBeforeName)
+	bit := depthBit(s.depth)
+	afterOpening := s.beforeName.kind == punctuation &&
+		s.sql[s.beforeName.start] != ')' && s.sql[s.beforeName.start] != ']'
+	afterOperand := !afterOpening && endsOperand(s.beforeName, s.wordBeforeName)
 	if s.partCount == 1 && last.token.kind == word {
 		if last.token.start == s.verbAt { // EXPLAIN (options), COPY (query)
 			return
 		}
 		keyword, _ := keywordOf(last.name)
-		if infix[keyword] && behindOperand || keyword == "join" && joins[s.wordBeforeName] {
+		if infix[keyword] && afterOperand || keyword == "join" && joinModifiers[s.wordBeforeName] {
 			return
 		}
-		if after, special := wordsAfter[keyword]; special && after[s.wordBeforeName] {
+		if before, listed := wordsBefore[keyword]; listed && before[s.wordBeforeName] {
 			return
 		}
 	}
 	switch {
-	case s.wordBeforeName == "as": // an alias with its columns, or a type
+	case s.wordBeforeName == "as": // an alias with columns, or a type
 		return
 	case s.beforeName.kind == operatorToken && s.sql[s.beforeName.start:s.beforeName.end] == "::": // a type
 		return
-	case s.inWithList&here != 0: // WITH name (columns)
+	case s.inWithList&bit != 0: // WITH name (columns)
 		return
-	case s.aliasMayFollow&here != 0 && behindOperand &&
-		(s.wordBeforeName == "" || s.wordBeforeName == "ordinality"): // an alias without AS, with its columns
+	case s.aliasMayFollow&bit != 0 && afterOperand &&
+		(s.wordBeforeName == "" || s.wordBeforeName == "ordinality"): // an alias with columns and without AS
 		return
 	}
-	if s.info.FunctionsN < NamesMost {
-		s.info.Functions[s.info.FunctionsN] = s.span()
+	if s.info.FunctionCount < MaxNames {
+		s.info.Functions[s.info.FunctionCount] = s.nameSpan()
 	}
-	s.info.FunctionsN++
+	s.info.FunctionCount++
 	switch s.classifyFunction() {
 	case ByFunction:
-		s.mayWrite(ByFunction, s.span())
+		s.mayWrite(ByFunction, s.nameSpan())
 	case ByUnknown:
-		s.mayWrite(ByUnknown, s.span())
+		s.mayWrite(ByUnknown, s.nameSpan())
 	}
 }
 
-// classifyFunction returns what is known of the function that the last name names.
+// classifyFunction classifies the function that the current name refers to: ByFunction if it writes, OnlyReads if it
+// only reads, else ByUnknown.
 func (s *scanner) classifyFunction() Why {
 	last := s.parts[s.partCount-1].name
 	if last == nil || s.partCount > 1 && s.parts[s.partCount-2].name == nil {
@@ -200,18 +206,18 @@
 		return ByFunction
 	}
 	if s.nameIn(s.analyser.rules.Readers) {
-		return Surely
+		return OnlyReads
 	}
 	if s.partCount == 1 || s.partCount == 2 && string(s.parts[0].name) == "pg_catalog" {
 		if writers[string(last)] {
 			return ByFunction
 		}
 		if readers[string(last)] {
-			return Surely
+			return OnlyReads
 		}
 	}
 	if s.analyser.rules.TrustUnknown {
-		return Surely
+		return OnlyReads
 	}
 	return ByUnknown
 }
--- a/internal/statement/oracle/generator_test.go
+++ b/internal/statement/oracle/generator_test.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// generator makes random statements from a grammar of its own, deterministic by its seed.
+// generator generates random statements. Equal seeds generate equal statements.
 type generator struct {
 	*rand.Rand
-	depth        int  // of the nested expressions and selects
-	keywordNames bool // key words are names too
+	depth        int  // nesting of expressions and SELECTs
+	keywordNames bool // some names are keywords
 }
 
-// pick draws one of the texts.
+// pick returns a random one of the texts.
 func (g *generator) pick(texts ...string) string { return texts[g.IntN(len(texts))] }
 
-// name draws the name of a relation.
+// name returns the name of a relation.
 func (g *generator) name() string {
 	if g.keywordNames && g.IntN(2) == 0 {
 		return g.pick("update", "filter", "over", "key", "first", "delete", "share")
@@ -23,7 +23,7 @@
 	return g.pick("a", "b", "tbl", "\"Q t\"", "s.tbl", "x1", "\"delete\"", "val", "u", "ärger")
 }
 
-// column draws a reference to a column.
+// column returns a reference to a column.
 func (g *generator) column() string {
 	if g.keywordNames && g.IntN(3) == 0 {
 		return g.pick("delete", "update", "share", "no", "key", "first")
@@ -31,7 +31,7 @@
 	return g.pick("a", "b", "t.a", "\"C\"", "val", "x1", "u.update")
 }
 
-// literal draws a value.
+// literal returns a value.
 func (g *generator) literal() string {
 	return g.pick("1", "2.5", "'x'", "'it''s'", "E'a\\'b'", "$$ insert into t $$", "$q$ delete $q$", "U&'\\0041'",
 		"B'101'", "X'1F'", "NULL", "true",
@@ -39,19 +39,19 @@
 		"CURRENT_TIMESTAMP")
 }
 
-// space draws white space, with comments.
+// space returns white space, in some cases with a comment.
 func (g *generator) space() string {
 	return g.pick(" ", " ", " ", "\n", "\t ", " /* c */ ", " /* a /* b */ c */ ", " -- line\n", " /* 'x */ ")
 }
 
-// function draws a function that only reads.
+// function returns the name of a function that only reads.
 func (g *generator) function() string {
 	return g.pick("lower", "count", "max", "coalesce", "now", "length", "pg_catalog.lower", "LOWER", "\"lower\"",
 		"abs", "json_build_object", "left", "right",
 		"substr", "date_trunc", "unnest", "replace", "md5", "round", "greatest", "to_char")
 }
 
-// expression draws an expression; deep ones end in a column or a value.
+// expression returns an expression. Beyond a nesting depth of 5, it is a column or a value.
 func (g *generator) expression() string {
 	if g.depth++; g.depth > 5 {
 		g.depth--
@@ -99,7 +99,7 @@
 	return "NOT " + g.column() + " BETWEEN " + g.literal() + " AND " + g.literal()
 }
 
-// call draws a call of a function.
+// call returns a call of a function that only reads.
 func (g *generator) call() string {
 	function := g.function()
 	arguments := g.expression()
@@ -109,7 +109,7 @@
 	return function + g.pick("(", " (", "(") + arguments + ")"
 }
 
-// fromItem draws an item of a FROM list.
+// fromItem returns an item of a FROM list.
 func (g *generator) fromItem() string {
 	switch g.IntN(9) {
 	case 0:
@@ -128,7 +128,7 @@
 	return g.name()
 }
 
-// from draws a FROM list.
+// from returns a FROM list.
 func (g *generator) from() string {
 	list := g.fromItem()
 	for g.IntN(3) == 0 {
@@ -146,7 +146,7 @@
 	return list
 }
 
-// selectStatement draws a select; deep ones are of one value.
+// selectStatement returns a SELECT. Beyond a nesting depth of 5, it selects a single value.
 func (g *generator) selectStatement() string {
 	if g.depth++; g.depth > 5 {
 		g.depth--
@@ -183,14 +183,14 @@
 	return sql
 }
 
-// writingCalls are calls of functions that write, or that are not known to read.
+// writingCalls are calls of functions that write or that the catalogue does not contain.
 var writingCalls = []string{
 	"nextval('s')", "pg_catalog.setval('s', 1)", "NEXTVAL ('s')", "\"nextval\"('s')", "pg_advisory_lock(1)",
 	"my_own(1)", "s.lower('a')", "\"Lower\"('x')", "U&\"n\\0065xtval\"('s')",
 	"pg_catalog . nextval /* ( */ ('s')", "join(1)", "filter(1)", "over(a)", "first(a)", "columns(1)", "system(1)",
 }
 
-// hiddenWrite draws a read with something that writes somewhere inside.
+// hiddenWrite returns a SELECT with a part that writes, or with a statement that writes after it.
 func (g *generator) hiddenWrite() string {
 	call := g.pick(writingCalls...)
 	sql := g.selectStatement()
@@ -221,13 +221,13 @@
 		"EXPLAIN ANALYZE DELETE FROM t")
 }
 
-// mutationPieces are inserted by mutate.
+// mutationPieces are the texts that mutate inserts.
 var mutationPieces = []string{
 	"'", "\"", "/*", "*/", "--", "$$", "(", ")", "\n", "\\", ".", ";", " ", "E", "::", ",", "nextval('s')",
 	" FOR UPDATE ", " AS ", " JOIN ",
 }
 
-// mutate changes a few bytes of a text, which PostgreSQL may then reject.
+// mutate changes a text in up to three places. PostgreSQL may reject the result.
 func (g *generator) mutate(sql string) string {
 	text := []byte(sql)
 	for range 1 + g.IntN(3) {
--- a/internal/statement/scanner.go
+++ b/internal/statement/scanner.go
@@ -1,52 +1,52 @@
 package statement
 
-// maxClauseDepth bounds the depth to which FROM clauses are tracked. Below it a column list of an alias counts as a
-// call.
+// maxClauseDepth is the depth of parentheses from which on clauses are not tracked. There, the column list of an alias
+// counts as a call.
 const maxClauseDepth = 64
 
-// explainState is how far the options of an EXPLAIN have been read.
+// explainState is the progress through EXPLAIN and its options.
 type explainState uint8
 
 const (
-	notExplained     explainState = iota // the statement does not begin with EXPLAIN
-	explainOptions                       // options may follow
-	explainBrackets                      // in the options' brackets
-	explainStatement                     // the explained statement has begun
+	notExplained      explainState = iota // the statement does not begin with EXPLAIN
+	explainOptions                        // options may follow
+	explainOptionList                     // within the parentheses of the options
+	explainStatement                      // the explained statement has begun
 )
 
-// scanner is the state of one analysis.
+// scanner recognises the statements, clauses and names in the tokens of one text.
 type scanner struct {
 	lexer
 	analyser *Analyser
 	info     *Info
 
-	depth                  int
-	inFrom, aliasMayFollow uint64 // bits by depth: in a FROM clause; an alias may follow in it
-	inWithList             uint64 // bits by depth: in the list of a WITH
-	atStart                bool   // the first word of a statement is still to come
-	verb                   string
-	verbAt                 int
-	afterSemicolon         bool         // of an earlier statement
-	explainState           explainState // progress through EXPLAIN and its options
-	analyze                bool
-	toStdout               bool // of COPY
-	pendingWrite           string
+	depth                  int    // of parentheses
+	inFrom, aliasMayFollow uint64 // bits by depth: in a FROM clause; an alias may follow in that clause
+	inWithList             uint64 // bits by depth: in the list of a WITH clause
+	atStart                bool   // the next word is the first of a statement
+	verb                   string // the first word of the statement, if it is a keyword
+	verbAt                 int    // the offset of the first word
+	afterSemicolon         bool   // the statement is not the first of the text
+	explainState           explainState
+	analyze                bool   // EXPLAIN ANALYZE
+	toStdout               bool   // COPY TO STDOUT
+	pendingWrite           string // the last word, if it may begin a write
 	prev                   token
-	prevWord               string // its keyword, if prev is one
-	relationNext           bool   // the name of a relation comes next
+	prevWord               string // the keyword of prev, or ""
+	relationNext           bool   // the next name is that of a relation
 
-	parts          [3]namePart
-	partCount      int    // 0: the last token is not the end of a name
-	beforeName     token  // the token before the name
-	wordBeforeName string // its keyword, if it is one
-	afterDot       bool   // the last token was a dot after a part of the name
+	parts          [3]namePart // of the current name
+	partCount      int         // 0: the last token is not part of a name
+	beforeName     token       // the token before the name
+	wordBeforeName string      // the keyword of beforeName, or ""
+	afterDot       bool        // the last token was a dot after a part of the name
 	partBuffers    [3][maxNameBytes]byte
 	wordBuffer     [maxNameBytes]byte
-	isSelect       bool
+	isReadVerb     bool // verb is one of readVerbs
 }
 
-// token processes the next token.
-func (s *scanner) token(token token) {
+// processToken processes the next token.
+func (s *scanner) processToken(token token) {
 	var keyword string
 	isReserved := false
 	switch token.kind {
@@ -58,7 +58,7 @@
 		s.addNamePart(token, name, isReserved)
 	case quoted:
 		var name []byte
-		if !token.special {
+		if !token.ambiguous {
 			name = unquoteName(&s.wordBuffer, s.sql[token.start:token.end])
 		}
 		s.addNamePart(token, name, false)
@@ -74,7 +74,7 @@
 	s.prev, s.prevWord = token, keyword
 }
 
-// trackPunctuation processes a bracket, a comma, a dot or a semicolon.
+// trackPunctuation processes a parenthesis, a bracket, a comma, a dot, a colon or a semicolon.
 func (s *scanner) trackPunctuation(token token) {
 	switch s.sql[token.start] {
 	case '.':
@@ -85,14 +85,14 @@
 		s.endName()
 	case '(':
 		if s.partCount > 0 {
-			s.call()
+			s.processCall()
 			s.partCount, s.afterDot = 0, false
 		}
 		s.depth++
-		here := depthBit(s.depth)
-		s.inFrom, s.aliasMayFollow, s.inWithList = s.inFrom&^here, s.aliasMayFollow&^here, s.inWithList&^here
-		if s.relationNext { // FROM (a JOIN b): the clause goes on within the brackets
-			s.inFrom, s.aliasMayFollow = s.inFrom|here, s.aliasMayFollow|here
+		bit := depthBit(s.depth)
+		s.inFrom, s.aliasMayFollow, s.inWithList = s.inFrom&^bit, s.aliasMayFollow&^bit, s.inWithList&^bit
+		if s.relationNext { // FROM (a JOIN b): the FROM clause continues within the parentheses
+			s.inFrom, s.aliasMayFollow = s.inFrom|bit, s.aliasMayFollow|bit
 		}
 	case ')':
 		s.endName()
@@ -121,14 +121,14 @@
 	}
 }
 
-// mayWrite notes that the text may write. Only the first reason is recorded.
+// mayWrite records that the text may write, with the first reason found.
 func (s *scanner) mayWrite(why Why, where Span) {
 	if !s.info.MayWrite {
 		s.info.MayWrite, s.info.Why, s.info.Where = true, why, where
 	}
 }
 
-// depthBit returns the bit of a depth in the scanner's sets of depths; none beyond maxClauseDepth.
+// depthBit returns the bit of a depth in the scanner's bit sets, or 0 from maxClauseDepth on.
 func depthBit(depth int) uint64 {
 	if depth >= maxClauseDepth {
 		return 0
--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -1,15 +1,14 @@
 // Package statement analyses SQL as far as routing needs it: whether a text certainly only reads, or may write, lock
 // or change the session; which relations and functions it names; and its fingerprint, the text without its values.
 //
-// It implements PostgreSQL's lexical rules completely, and of its grammar only what distinguishes reads. A text that
-// is not certainly a read counts as one that may write: if it is malformed, unknown or ambiguous. There is no
-// recursion, the time is linear in the length of the text, and an Analyser does not allocate once its buffers have
-// grown.
+// It implements all lexical rules of PostgreSQL, and only the part of its grammar that distinguishes reads from other
+// statements. A malformed, unknown or ambiguous text counts as one that may write. The analysis does not recurse, its
+// time is linear in the length of the text, and an Analyser does not allocate once its buffers have grown.
 package statement
 
 import "unicode/utf8"
 
-// Kind is the kind of a statement by its first words.
+// Kind is the kind of a statement, determined by its first words.
 type Kind uint8
 
 // The kinds of statements.
@@ -18,9 +17,9 @@
 	Read
 	Lock // a read that takes locks
 	Write
-	Define  // of tables, rights and so on
+	Define  // data definition and privileges: CREATE, ALTER, GRANT and so on
 	Control // of transactions or the session
-	Utility
+	Utility // SHOW, COPY, VACUUM and so on
 )
 
 // String returns the name of the kind.
@@ -31,19 +30,19 @@
 // MarshalText encodes the kind as its name.
 func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// Why is the reason why a statement may write.
+// Why is the reason why a statement may write, or OnlyReads.
 type Why uint8
 
-// The reasons why a statement may write.
+// The reasons why a statement may write. OnlyReads is the zero value.
 const (
-	Surely     Why = iota // it only reads
+	OnlyReads  Why = iota // it only reads
 	Unreadable            // malformed UTF-8, an unterminated string, nested too deeply, or empty
-	ByVerb                // its first word, or one of those after a semicolon
-	ByPart                // something within it inserts, updates, deletes, merges, or creates a table
-	ByLock                // FOR UPDATE or the like
+	ByVerb                // the first word of a statement
+	ByPart                // a part that inserts, updates, deletes, merges, creates a table or copies data
+	ByLock                // a locking clause: FOR UPDATE, FOR SHARE and so on
 	ByFunction            // a function that is known to write
-	ByUnknown             // a function that is not known
-	ByRelation            // a relation that writes by the operators' rules
+	ByUnknown             // a function in neither the operators' rules nor the catalogue
+	ByRelation            // a relation that the operators' rules list as writing
 )
 
 // String returns the reason in words.
@@ -56,38 +55,38 @@
 // MarshalText encodes the reason in words.
 func (w Why) MarshalText() ([]byte, error) { return []byte(w.String()), nil }
 
-// Span is a part of the text, as byte offsets.
+// Span is a part of a text, from Start to before End, in bytes.
 type Span struct{ Start, End int }
 
-// NamesMost is the number of relations, and of functions, that an Info can name.
-const NamesMost = 16
+// MaxNames is the maximum number of relations, and of functions, that an Info names.
+const MaxNames = 16
 
-// Nesting bounds the depth of brackets. PostgreSQL reaches its own stack limit at about this depth.
-const Nesting = 1000
+// MaxNesting is the maximum depth of parentheses. PostgreSQL reaches its own stack limit at about this depth.
+const MaxNesting = 1000
 
-// Info is the result of analysing a text. It holds no pointers: the spans refer to the text.
+// Info is the result of analysing a text. It contains no pointers: its spans are offsets in the text.
 type Info struct {
 	Kind     Kind
 	MayWrite bool
 	Why      Why
-	Where    Span // of what made it one that may write
-	Several  bool // the text holds several statements
-	Comment  Span // the last block comment outside of strings and other comments
+	Where    Span // the part of the text that is the reason Why
+	Several  bool // the text contains several statements
+	Comment  Span // the last block comment that is not part of a string or of another comment
 	Tail     bool // only white space and semicolons follow the comment
 
-	Relations, Functions   [NamesMost]Span
-	RelationsN, FunctionsN int // their number, including those beyond NamesMost
+	Relations, Functions         [MaxNames]Span
+	RelationCount, FunctionCount int // including those beyond MaxNames
 }
 
-// Rules are the operators' rules on their own functions and relations. Names are in lower case, with or without a
-// schema, such as "audit.note"; a name without a schema matches in every schema.
+// Rules are the operators' rules for functions and relations. Names are in lower case, with or without a schema, such
+// as "audit.note". A name without a schema matches in every schema.
 type Rules struct {
-	Writers, Readers map[string]bool // functions; they go before the built-in ones
-	Relations        map[string]bool // relations such as views that write when they are read
-	TrustUnknown     bool            // functions that are in neither list nor the catalogue only read
+	Writers, Readers map[string]bool // functions; these lists have precedence over the catalogue
+	Relations        map[string]bool // views and other relations that write when they are read
+	TrustUnknown     bool            // whether an unlisted function counts as one that only reads
 }
 
-// Analyser analyses texts. It is used by one goroutine at a time.
+// Analyser analyses texts. It is not safe for concurrent use.
 type Analyser struct {
 	rules       *Rules
 	fingerprint []byte
@@ -95,10 +94,10 @@
 	scan        scanner
 }
 
-// New returns an analyser with rules, which must not be changed afterwards.
+// New returns an analyser that uses the given rules. The caller must not change them afterwards.
 func New(rules *Rules) *Analyser { return &Analyser{rules: rules} }
 
-// Read analyses a text.
+// Read analyses a text, which may contain several statements.
 func (a *Analyser) Read(sql string) Info {
 	a.fingerprint, a.info = a.fingerprint[:0], Info{}
 	info := &a.info
@@ -114,14 +113,14 @@
 		if token.kind == endToken {
 			break
 		}
-		if token.kind == invalidToken || scan.depth > Nesting {
+		if token.kind == invalidToken || scan.depth > MaxNesting {
 			scan.mayWrite(Unreadable, Span{token.start, token.end})
 			break
 		}
-		if token.kind == stringToken && token.special { // with standard_conforming_strings off it would not end here
+		if token.kind == stringToken && token.ambiguous { // it ends elsewhere with standard_conforming_strings off
 			scan.mayWrite(Unreadable, Span{token.start, token.end})
 		}
-		scan.token(token)
+		scan.processToken(token)
 		a.fingerprint = appendToken(a.fingerprint, sql, token)
 	}
 	scan.finish()
@@ -137,10 +136,10 @@
 	return *info
 }
 
-// Fingerprint returns the fingerprint of the text that was read last. It is valid until the next call of Read.
+// Fingerprint returns the fingerprint of the last text that Read analysed. It is valid until the next call of Read.
 func (a *Analyser) Fingerprint() []byte { return a.fingerprint }
 
-// blank reports whether a text holds only white space and semicolons.
+// blank reports whether a text consists of white space and semicolons only.
 func blank(s string) bool {
 	for i := range len(s) {
 		if classes[s[i]]&space == 0 && s[i] != ';' {
--- a/internal/statement/statement_test.go
+++ b/internal/statement/statement_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// noRules are those of operators who configured none.
+// noRules are the rules of an empty configuration.
 var noRules = &Rules{}
 
-// plainReads contain words of writes in values, names and comments at the most.
+// plainReads only read. Any words of writes in them are values, names or comments.
 var plainReads = []string{
 	"SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655' /* " +
 		"id=9b1f03aa5c7e2d41,c=basket,d=480,cluster=2 */",
@@ -64,15 +64,15 @@
 	"SELECT date '2020-01-01', x.y.z, $1, -1.5e+3, 0x1F, 1_000 FROM a.b.c",
 }
 
-// Plain reads are recognised, whatever words their values, names and comments contain.
-func TestReads(t *testing.T) {
+// Plain reads are recognised, even if their values, names and comments contain words of writes.
+func TestRecognisesPlainReads(t *testing.T) {
 	for _, sql := range plainReads {
 		info := New(noRules).Read(sql)
 		require.False(t, info.MayWrite, "%s: %v: %s", sql, info.Why, sql[info.Where.Start:info.Where.End])
 	}
 }
 
-// possibleWrites are statements that may write, by the reason that is reported.
+// possibleWrites are statements that may write, by the reported reason.
 var possibleWrites = map[Why][]string{
 	ByVerb: {
 		"INSERT INTO t VALUES (1)",
@@ -152,13 +152,13 @@
 	},
 }
 
-// deeplyNested is a statement of a value in so many parentheses.
+// deeplyNested returns a statement with a value in the given number of nested parentheses.
 func deeplyNested(depth int) string {
 	return "SELECT " + strings.Repeat("(", depth) + "1" + strings.Repeat(")", depth)
 }
 
-// Everything that writes, locks or is unknown counts as a possible write, however it is hidden.
-func TestMayWrite(t *testing.T) {
+// Every statement that writes, locks or is unknown counts as a possible write, at any position in the text.
+func TestRecognisesPossibleWrites(t *testing.T) {
 	for why, statements := range possibleWrites {
 		t.Run(why.String(), func(t *testing.T) {
 			for _, sql := range statements {
@@ -170,8 +170,8 @@
 	}
 }
 
-// The operators' rules go before the catalogue, by name and by schema.
-func TestRules(t *testing.T) {
+// The operators' rules have precedence over the catalogue, for names with and without a schema.
+func TestRulesOverrideCatalogue(t *testing.T) {
 	rules := &Rules{
 		Writers:   wordSet("note audit.write lower"),
 		Readers:   wordSet("mine app.nextval"),
@@ -183,17 +183,17 @@
 		"SELECT audit.write(1)":                      ByFunction,
 		"SELECT lower('A')":                          ByFunction,
 		"SELECT write(1)":                            ByUnknown,
-		"SELECT mine(1), x.mine(2), app.nextval(3)":  Surely,
+		"SELECT mine(1), x.mine(2), app.nextval(3)":  OnlyReads,
 		"SELECT nextval(3)":                          ByFunction,
 		"SELECT t.note FROM t":                       ByFunction,
-		"SELECT t.other FROM t":                      Surely,
+		"SELECT t.other FROM t":                      OnlyReads,
 		"SELECT * FROM app.live":                     ByRelation,
-		"SELECT * FROM live":                         Surely,
+		"SELECT * FROM live":                         OnlyReads,
 		"SELECT * FROM (a JOIN \"counted\" ON true)": ByRelation,
 		"TABLE x.counted":                            ByRelation,
 		"SELECT * FROM a, counted c":                 ByRelation,
 		"SELECT * FROM a LEFT JOIN counted ON true":  ByRelation,
-		"SELECT counted FROM a":                      Surely,
+		"SELECT counted FROM a":                      OnlyReads,
 	} {
 		t.Run(sql, func(t *testing.T) {
 			require.Equal(t, why, New(rules).Read(sql).Why)
@@ -204,24 +204,24 @@
 	require.True(t, New(trusting).Read("SELECT setval('a', 1)").MayWrite)
 }
 
-// The names in a statement and its last real comment are found.
-func TestNames(t *testing.T) {
+// The relations, the functions and the last block comment of a statement are found.
+func TestFindsNamesAndLastComment(t *testing.T) {
 	sql := "SELECT lower(a), app.f(b) FROM app.t, u JOIN \"V\" ON true /* first */ /* id=1 */ ;"
 	info := New(noRules).Read(sql)
 	text := func(span Span) string { return sql[span.Start:span.End] }
-	require.Equal(t, 3, info.RelationsN)
+	require.Equal(t, 3, info.RelationCount)
 	relations := []string{text(info.Relations[0]), text(info.Relations[1]), text(info.Relations[2])}
 	require.Equal(t, []string{"app.t", "u", `"V"`}, relations)
-	require.Equal(t, 2, info.FunctionsN)
+	require.Equal(t, 2, info.FunctionCount)
 	require.Equal(t, "app.f", text(info.Functions[1]))
 	require.Equal(t, "/* id=1 */", text(info.Comment))
 	require.True(t, info.Tail)
 	nested := "SELECT 1 /* a /* id=2 */ */"
-	require.Equal(t, strings.Index(nested, "/*"), New(noRules).Read(nested).Comment.Start, "the outer one")
+	require.Equal(t, strings.Index(nested, "/*"), New(noRules).Read(nested).Comment.Start, "start of the outer comment")
 }
 
-// What looks like a last comment and is none is not taken for one.
-func TestForgedLastComments(t *testing.T) {
+// Text that only looks like a comment at the end of the statement is not reported as one.
+func TestRejectsForgedLastComments(t *testing.T) {
 	for name, sql := range map[string]string{
 		"in a string":                "SELECT 'x /* id=1 */'",
 		"in a line comment":          "SELECT 1 -- /* id=1 */",
@@ -234,8 +234,9 @@
 	}
 }
 
-// All values, and lists of any length, have one fingerprint; it contains everything that decides the route.
-func TestFingerprints(t *testing.T) {
+// Statements that differ only in values and in the lengths of lists have equal fingerprints. A difference that may
+// affect the route changes the fingerprint.
+func TestFingerprintIgnoresOnlyValuesAndListLengths(t *testing.T) {
 	analyzer := New(noRules)
 	fingerprint := func(sql string) string {
 		analyzer.Read(sql)
@@ -251,8 +252,8 @@
 	require.Equal(t, fingerprint("SELECT 'a'"), fingerprint("SELECT $$b$$"))
 }
 
-// Long texts take linear time and no memory of their own.
-func TestLongTexts(t *testing.T) {
+// The analysis of long texts does not allocate once the buffers have grown.
+func TestLongTextsDoNotAllocate(t *testing.T) {
 	analyzer := New(noRules)
 	long := "SELECT '" + strings.Repeat("x", 256<<10) + "'"
 	deep := deeplyNested(999)
