--- a/routing/attempts_test.go
+++ b/routing/attempts_test.go
@@ -6,9 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What may follow each outcome of a write's only attempt: it fails where it may have run, and waits for another
-// attempt where it never did.
-func TestWriteAfterItsFirstOutcome(t *testing.T) {
+// After its first attempt ends, a write fails if it may have run. If it never ran, it waits for another attempt.
+func TestWriteFailsOnlyIfItMayHaveRun(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		status Status
 		want   []ActionKind
@@ -18,8 +17,8 @@
 		"timed out":         {TimedOut, []ActionKind{Fail}},
 		"connection broken": {ConnectionBroken, []ActionKind{Fail}},
 		"cancelled":         {Cancelled, []ActionKind{Fail}},
-		"connect failed":    {ConnectFailed, nil}, // it never ran, and it waits as the primary is suspected
-		"node rejected":     {NodeRejected, nil},  // it waits until a primary is found
+		"connect failed":    {ConnectFailed, nil}, // it never ran: it waits until it may be sent to the primary again
+		"node rejected":     {NodeRejected, nil},  // it never ran: it waits for another primary
 		"node overloaded":   {NodeOverloaded, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -30,22 +29,22 @@
 	}
 }
 
-// A write with an idempotency key may be repeated inside its window, and only there; a rejection would promise too
-// much.
+// A write with an idempotency key is retried only within its DedupWindow. After it the write fails: a rejection would
+// allow the client to retry.
 func TestDeduplicatedWriteRepeatsWithinItsWindow(t *testing.T) {
 	harness := newHarness(t, defaultSettings())
 	harness.requireActions("write", harness.arrive(7, classKeyed), Send)
 	harness.now += 100 * ms
 	harness.done(7, 0, 1, NodeError, Evidence{})
-	harness.requireActions("inside the window", harness.wait(100*ms), Send)
+	harness.requireActions("within the window", harness.wait(100*ms), Send)
 	harness.now += 500 * ms
 	harness.done(7, 1, 1, NodeError, Evidence{})
-	harness.requireActions("past the window", harness.wait(1500*ms), Fail)
+	harness.requireActions("after the window", harness.wait(1500*ms), Fail)
 }
 
-// Incident i8c46d3: an attempt that much later ones overtook was lost; it must not count as in flight for the
-// seconds until its timeout, and a read is hedged.
-func TestOvertakenAttemptIsLostAndHedged(t *testing.T) {
+// Incident i8c46d3: an attempt counts as lost if attempts sent well after it were answered. It must not count as in
+// flight for the seconds until its timeout.
+func TestOvertakenAttemptDoesNotCountAsInFlight(t *testing.T) {
 	harness := newHarness(t, defaultSettings())
 	harness.requireActions("write", harness.arrive(7, classWrite), Send)
 	for id := RequestID(10); id < 40; id++ {
@@ -57,12 +56,12 @@
 		}})
 		harness.step(Event{Kind: TimerFired})
 	}
-	require.Zero(t, harness.router.byID[1].inFlight, "the lost write counts as in flight at the primary")
+	require.Zero(t, harness.router.byID[1].inFlight, "in flight at the primary while the lost write is pending")
 	harness.done(7, 0, 1, TimedOut, Evidence{})
-	require.Zero(t, harness.router.byID[1].inFlight, "after the lost write's timeout")
+	require.Zero(t, harness.router.byID[1].inFlight, "in flight at the primary after the lost write timed out")
 }
 
-// Where one node is overloaded, all may be: reads rejected so are not retried beyond the retry budget.
+// If one node is overloaded, all may be. Retries of reads that overloaded nodes reject stay within the retry budget.
 func TestRetriesAtOverloadedNodesStayWithinTheBudget(t *testing.T) {
 	harness := newHarness(t, defaultSettings())
 	sends, rejections := 0, 0
--- a/routing/control_test.go
+++ b/routing/control_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Slow answers shrink a node's bound, fast ones let it grow to the maximum and no further, and a bound that was at
-// the maximum comes down at once: the integral does not wind up.
-func TestControlLoop(t *testing.T) {
+// Fast answers raise a node's bound up to maxBound and slow answers lower it. A bound at its maximum falls after one
+// slow period: the integral does not wind up.
+func TestControlLoopMovesBoundWithoutWindup(t *testing.T) {
 	harness := newHarness(t, defaultSettings())
 	node := harness.router.byID[2]
 	feed := func(ratio float64, periods int) {
@@ -20,27 +20,27 @@
 	}
 	feed(0.3, 200)
 	require.EqualValues(t, maxBound, node.bound, "after fast answers")
-	require.Zero(t, node.delta, "stored change at the maximum")
+	require.Zero(t, node.delta, "last change at the maximum")
 	feed(1.5, 1)
-	require.Less(t, node.bound, float64(maxBound), "the first slow period left the bound at the maximum: wound up")
+	require.Less(t, node.bound, float64(maxBound), "integral windup: bound after one slow period")
 	feed(2, 100)
 	require.InDelta(t, minBoundShare*maxBound, node.bound, 0, "after slow answers")
-	require.Zero(t, node.delta, "stored change at the minimum")
+	require.Zero(t, node.delta, "last change at the minimum")
 	node.ratioSum, node.samples = 0.1, minSamples-1
 	harness.router.controlStep()
-	require.EqualValues(t, minSamples-1, node.samples, "too few samples were not carried over")
+	require.EqualValues(t, minSamples-1, node.samples, "samples carried over, since there were too few")
 }
 
-// roundTrips sends a router rounds of reads that all end together.
-type roundTrips struct {
+// readRounds passes reads to a router in rounds. The reads of a round end together.
+type readRounds struct {
 	*routerHarness
-	reportsQueue bool // the nodes report how many requests wait there
+	reportsQueue bool // the nodes report their queue length
 	nextID       RequestID
 }
 
-// play is one round: as many reads as the router sends at once, which then end with a report of the queue's length.
-// It returns how many were sent.
-func (r *roundTrips) play(queueLength float64) int {
+// run runs one round of 60 reads. The reads that the router sends end with a report of the queue length. It returns
+// how many were sent.
+func (r *readRounds) run(queueLength float64) int {
 	sent := map[RequestID]NodeID{}
 	var order []RequestID
 	for range 60 {
@@ -63,33 +63,33 @@
 	return len(order)
 }
 
-// playMany plays that many rounds, and one more whose count it returns.
-func (r *roundTrips) playMany(rounds int, queueLength float64) int {
+// runMany runs the given number of rounds and then one more. It returns how many reads were sent in the last one.
+func (r *readRounds) runMany(rounds int, queueLength float64) int {
 	for range rounds {
-		r.play(queueLength)
+		r.run(queueLength)
 	}
-	return r.play(queueLength)
+	return r.run(queueLength)
 }
 
-// Nodes that have as many requests in flight as they are estimated to work on, and report that none wait there, are
-// sent more; once many wait, less again. Without such reports they are sent what a small node takes.
-func TestSizeFromReports(t *testing.T) {
+// A node that reports an empty queue although it has as many requests in flight as expected of its size is sent more
+// reads. After reports of long queues it is sent fewer again. Without reports of the queue the size stays at 1.
+func TestSizeFollowsReportedQueueLength(t *testing.T) {
 	for name, reportsQueue := range map[string]bool{"queue not reported": false, "queue reported": true} {
 		t.Run(name, func(t *testing.T) {
-			rounds := &roundTrips{
+			rounds := &readRounds{
 				routerHarness: newHarness(t, defaultSettings()), reportsQueue: reportsQueue, nextID: 10,
 			}
-			few := rounds.playMany(50, 1) // neither growth nor shrinking, until the latency is known
-			many := rounds.playMany(300, 0)
-			require.Equal(t, reportsQueue, many > 2*few, "%d reads out at first, %d when none waited", few, many)
-			again := rounds.playMany(300, 1000)
-			require.LessOrEqual(t, again, few, "reads out when many waited")
+			few := rounds.runMany(50, 1) // a queue length that leaves the size unchanged, until the latency is known
+			many := rounds.runMany(300, 0)
+			require.Equal(t, reportsQueue, many > 2*few, "%d reads in flight at first, %d with empty queues", few, many)
+			again := rounds.runMany(300, 1000)
+			require.LessOrEqual(t, again, few, "reads in flight with long queues")
 		})
 	}
 }
 
-// The estimate of the requests in flight decays within seconds, however many routers there are: what one of them had
-// in flight for a while must not close a node for minutes.
+// The estimate of a node's in-flight requests decays within seconds for any number of routers. A request that one of
+// many routers had in flight for some seconds must not keep that router from the node for minutes.
 func TestEstimatedInFlightDecays(t *testing.T) {
 	harness := newHarnessWith(t, func(settings *Settings) { settings.Routers = 290 })
 	node := harness.router.byID[2]
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -7,7 +7,7 @@
 	"capercove/routing"
 )
 
-// A host passes the router what happened, in batches, and carries out its actions.
+// A host passes batches of events to the router and executes its actions.
 func Example() {
 	router := routing.New(routing.Settings{
 		Routers: 1, MaxAttempts: 3, CanProbe: true, DrainGrace: time.Second,
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Where nodes answer stale reads, only proven positions count as fresh.
+// If nodes answer stale reads, a replica counts as fresh only by the position that it has reported.
 func TestOnlyProvenPositionsAreFresh(t *testing.T) {
 	for name, testCase := range map[string]struct {
-		class     int
-		position  time.Duration // of the replicas, before now
-		lastWrite time.Duration // of the session, before now; 0: none
-		replica   bool          // a replica may answer
+		class       int
+		positionAge time.Duration // age of the replicas' positions
+		writeAge    time.Duration // age of the session's last write; 0: none
+		replica     bool          // the read goes to a replica
 	}{
 		"any read, stale replicas":     {classAny, time.Minute, 0, true},
 		"bounded read, just fresh":     {classBounded, 200 * ms, 0, true},
@@ -26,12 +26,12 @@
 		t.Run(name, func(t *testing.T) {
 			harness := newEmptyHarness(t, defaultSettings(), 1)
 			harness.list(Node{ID: 1, State: Ready}, Node{ID: 2, State: Ready}, Node{ID: 3, State: Ready})
-			harness.probed(1, Primary, harness.now)
-			harness.probed(2, Replica, harness.now-testCase.position)
-			harness.probed(3, Replica, harness.now-testCase.position)
+			harness.probeSucceeded(1, Primary, harness.now)
+			harness.probeSucceeded(2, Replica, harness.now-testCase.positionAge)
+			harness.probeSucceeded(3, Replica, harness.now-testCase.positionAge)
 			arrival := Arrival{Class: testCase.class, Session: 5, TimeLeft: time.Second}
-			if testCase.lastWrite > 0 {
-				arrival.LastWrite = harness.now - testCase.lastWrite
+			if testCase.writeAge > 0 {
+				arrival.LastWrite = harness.now - testCase.writeAge
 			}
 			node := harness.requireSend("read", harness.arriveAs(7, arrival))
 			require.Equal(t, testCase.replica, node != 1, "sent to node %d", node)
@@ -39,7 +39,7 @@
 	}
 }
 
-// Where the router remembers sessions, a read must see the write whose answer came before it.
+// If the router stores the sessions' positions, a session read must see the session's last answered write.
 func TestSessionReadSeesItsWrite(t *testing.T) {
 	harness := newHarnessWith(t, func(settings *Settings) { settings.KeepSessions = true })
 	harness.now += 10 * ms
@@ -47,23 +47,24 @@
 	harness.done(7, 0, 1, OK, Evidence{Role: Primary, Position: harness.now + 1})
 	node := harness.requireSend("the session's read",
 		harness.arriveAs(8, Arrival{Class: classSession, Session: 7, TimeLeft: time.Second}))
-	require.Equal(t, NodeID(1), node, "the node has not applied the session's write")
+	require.Equal(t, NodeID(1), node, "sent to a node that has not applied the session's write")
 }
 
-// A session's read that arrives while a write of it is in flight, or after the write's answer was lost, must see that
-// write: the node may have committed it, and reported it. Without a report of the commit the present stands for it.
+// A session read that arrives while a write of its session is in flight, or after the answer to that write was lost,
+// must see the write: it may have been committed. Without a reported commit position, the read must see all commits up
+// to the end of the write's attempt, or up to its own arrival while that attempt is pending.
 func TestSessionReadAfterAWriteWithoutAnAnswer(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		status  Status
 		note    Evidence
-		replica bool // a replica may answer the read
+		replica bool // the read goes to a replica
 	}{
 		"connection broken":          {ConnectionBroken, Evidence{}, false},
 		"timed out":                  {TimedOut, Evidence{}, false},
 		"node error":                 {NodeError, Evidence{}, false},
 		"answer without its commit":  {OK, Evidence{Role: Primary}, false},
 		"answer with its commit":     {OK, Evidence{Role: Primary, Position: start - time.Second}, true},
-		"rejected before it was run": {NodeOverloaded, Evidence{}, true},
+		"rejected without being run": {NodeOverloaded, Evidence{}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			harness := newHarnessWith(t, func(settings *Settings) { settings.KeepSessions = true })
@@ -80,32 +81,32 @@
 			outcome := Outcome{Node: 1, Status: testCase.status, Final: true, Note: testCase.note}
 			harness.step(Event{Kind: AttemptDone, Request: 1, Outcome: outcome})
 			node := read(3)
-			require.Equal(t, testCase.replica, node != 1, "after the write the read went to node %d", node)
+			require.Equal(t, testCase.replica, node != 1, "read after the write was sent to node %d", node)
 		})
 	}
 }
 
-// Where nodes check freshness, the most advanced replica is tried before the primary.
+// If nodes reject stale reads, the replica with the highest position is tried before the primary.
 func TestMostAdvancedReplicaFirst(t *testing.T) {
 	harness := newHarnessWith(t, func(settings *Settings) { settings.StaleReads = StaleRejected })
 	harness.now += 900 * ms
-	harness.probed(2, Replica, harness.now-400*ms)
-	harness.probed(3, Replica, harness.now-250*ms)
-	node := harness.requireSend("bounded read, none fresh", harness.arrive(7, classBounded))
+	harness.probeSucceeded(2, Replica, harness.now-400*ms)
+	harness.probeSucceeded(3, Replica, harness.now-250*ms)
+	node := harness.requireSend("bounded read without a fresh replica", harness.arrive(7, classBounded))
 	require.Equal(t, NodeID(3), node)
 	actions := harness.done(7, 0, 3, NodeRejected, Evidence{Role: Replica, Position: harness.now - 250*ms})
 	node = harness.requireSend("rejected by the node", actions)
-	require.NotEqual(t, NodeID(3), node, "sent again to the node that has just rejected it")
+	require.NotEqual(t, NodeID(3), node, "sent again to the node that rejected it")
 }
 
-// An old report does not take a proven position away.
+// A report of a lower position does not replace a higher one that was reported before.
 func TestPositionsNeverGoBack(t *testing.T) {
 	harness := newHarness(t, defaultSettings())
-	harness.probed(2, Replica, harness.now-time.Minute)
-	require.Equal(t, harness.now, harness.router.byID[2].position, "an old report took a proven position away")
+	harness.probeSucceeded(2, Replica, harness.now-time.Minute)
+	require.Equal(t, harness.now, harness.router.byID[2].position, "position after a report of a lower one")
 }
 
-// A read that must be current goes to the primary even where nodes check: no replica can be proven to have it all.
+// A fresh read goes to the primary even if nodes reject stale reads: no replica is known to have every commit.
 func TestFreshReadGoesToThePrimary(t *testing.T) {
 	harness := newHarnessWith(t, func(settings *Settings) { settings.StaleReads = StaleRejected })
 	harness.now += ms
@@ -113,13 +114,13 @@
 	require.Equal(t, NodeID(1), node)
 }
 
-// Where nodes check, a replica that was close behind in its last report keeps its keys, however long ago that was:
-// with many routers each gets few reports of it.
+// If nodes reject stale reads, a replica with little lag in its last report still receives its reads, however old that
+// report is: of many routers, each receives few reports.
 func TestReplicaIsPresumedFreshWhereNodesCheck(t *testing.T) {
 	harness := newHarnessWith(t, func(settings *Settings) { settings.StaleReads = StaleRejected })
 	harness.now += 900 * ms
-	harness.probed(2, Replica, harness.now-500*ms)
-	harness.probed(3, Replica, harness.now-50*ms)
+	harness.probeSucceeded(2, Replica, harness.now-500*ms)
+	harness.probeSucceeded(3, Replica, harness.now-50*ms)
 	harness.now += 900 * ms
 	for id := range RequestID(20) {
 		node := harness.requireSend("bounded read", harness.arrive(id+1, classBounded))
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// start is the router's time at which tests begin.
+// start is the time of the router's clock at which tests begin.
 const start = time.Hour
 
 // The classes of defaultSettings.
@@ -20,7 +20,7 @@
 	classKeyed
 )
 
-// defaultSettings are those of one router, with a class of each kind.
+// defaultSettings returns settings for one router, with a class of each kind.
 func defaultSettings() Settings {
 	return Settings{
 		Routers: 1, MaxAttempts: 6, MaxRetryAfter: time.Second, CanCancel: true,
@@ -46,20 +46,20 @@
 	}
 }
 
-// routerHarness drives a router by hand, on a clock of its own.
+// routerHarness drives a router with a simulated clock.
 type routerHarness struct {
 	t      testing.TB
 	router *Router
 	now    time.Duration
 }
 
-// newEmptyHarness starts a router that has no endpoint list yet.
+// newEmptyHarness returns a harness whose router has no endpoint list yet.
 func newEmptyHarness(t testing.TB, settings Settings, seed uint64) *routerHarness {
 	return &routerHarness{t: t, router: New(settings, seed), now: start}
 }
 
-// newHarness starts a router with a group of three ready nodes; node 1 has reported that it is the primary, and all
-// positions are proven as of now.
+// newHarness returns a harness whose router has a group of three ready nodes. Node 1 has reported that it is the
+// primary, and each node has reported the present as its position.
 func newHarness(t testing.TB, settings Settings) *routerHarness {
 	harness := newEmptyHarness(t, settings, 1)
 	harness.list(Node{ID: 1, State: Ready}, Node{ID: 2, State: Ready}, Node{ID: 3, State: Ready})
@@ -67,7 +67,7 @@
 	return harness
 }
 
-// newHarnessWith returns a harness as newHarness does, with the default settings and a change to them.
+// newHarnessWith is like newHarness, with the default settings after a change to them.
 func newHarnessWith(t testing.TB, change func(settings *Settings)) *routerHarness {
 	settings := defaultSettings()
 	change(&settings)
@@ -96,7 +96,7 @@
 	return probed
 }
 
-// countKind is how many of the actions are of a kind.
+// countKind returns how many of the actions are of the given kind.
 func countKind(actions []Action, kind ActionKind) (count int) {
 	for _, action := range actions {
 		if action.Kind == kind {
@@ -111,48 +111,48 @@
 	return h.step(Event{Kind: ListComplete, Nodes: nodes})
 }
 
-// probed ends a probe of the node with a report of its role and position.
-func (h *routerHarness) probed(id NodeID, role Role, position time.Duration) []Action {
+// probeSucceeded passes a successful probe of the node to the router, which reports its role and position.
+func (h *routerHarness) probeSucceeded(id NodeID, role Role, position time.Duration) []Action {
 	return h.step(Event{Kind: ProbeDone, Outcome: Outcome{Node: id, Report: Evidence{Role: role, Position: position}}})
 }
 
-// probeFailed ends a probe of the node without a report.
+// probeFailed passes a failed probe of the node to the router.
 func (h *routerHarness) probeFailed(id NodeID, status Status) {
 	h.step(Event{Kind: ProbeDone, Outcome: Outcome{Node: id, Status: status}})
 }
 
-// reportAll has the three nodes of newHarness report their roles and the present as their positions.
+// reportAll passes probes of the three nodes of newHarness, which report their roles and the present as position.
 func (h *routerHarness) reportAll() {
-	h.probed(1, Primary, h.now)
-	h.probed(2, Replica, h.now)
-	h.probed(3, Replica, h.now)
+	h.probeSucceeded(1, Primary, h.now)
+	h.probeSucceeded(2, Replica, h.now)
+	h.probeSucceeded(3, Replica, h.now)
 }
 
-// arrive passes a request of a session of its own, with its class's deadline.
+// arrive passes a request to the router. Its session has the same number as the request, and no other request uses it.
 func (h *routerHarness) arrive(id RequestID, class int) []Action {
 	return h.arriveAs(id, Arrival{
 		Class: class, Session: uint64(id), TimeLeft: h.router.settings.Classes[class].Deadline,
 	})
 }
 
-// arriveAs passes a request as given.
+// arriveAs passes a request with the given properties to the router.
 func (h *routerHarness) arriveAs(id RequestID, arrival Arrival) []Action {
 	return h.step(arrivalEvent(id, arrival))
 }
 
-// arrivalEvent is the event of a request's arrival.
+// arrivalEvent returns the event for a request's arrival.
 func arrivalEvent(id RequestID, arrival Arrival) Event {
 	return Event{Kind: RequestArrived, Request: id, Arrival: arrival}
 }
 
-// done ends an attempt; the request is over if the status is OK.
+// done ends an attempt. The request is over if the status is OK.
 func (h *routerHarness) done(id RequestID, attempt int, node NodeID, status Status, note Evidence) []Action {
 	return h.step(Event{Kind: AttemptDone, Request: id, Outcome: Outcome{
 		Node: node, Attempt: attempt, Status: status, Final: status == OK, Note: note,
 	}})
 }
 
-// wait lets time pass in ticks and returns the actions.
+// wait advances the clock in ticks, each with a timer event, and returns the actions.
 func (h *routerHarness) wait(duration time.Duration) (actions []Action) {
 	for end := h.now + duration; h.now < end; {
 		h.now += tickInterval
@@ -161,19 +161,19 @@
 	return actions
 }
 
-// requireActions requires actions of these kinds, in this order.
-func (h *routerHarness) requireActions(what string, actions []Action, kinds ...ActionKind) {
+// requireActions requires actions of the given kinds, in this order.
+func (h *routerHarness) requireActions(label string, actions []Action, kinds ...ActionKind) {
 	h.t.Helper()
 	var got []ActionKind
 	for _, action := range actions {
 		got = append(got, action.Kind)
 	}
-	require.Equal(h.t, kinds, got, "%s: %v", what, actions)
+	require.Equal(h.t, kinds, got, "%s: %v", label, actions)
 }
 
-// requireSend requires one action, the send of a request, and returns the node.
-func (h *routerHarness) requireSend(what string, actions []Action) NodeID {
+// requireSend requires a single action, which sends a request, and returns the node.
+func (h *routerHarness) requireSend(label string, actions []Action) NodeID {
 	h.t.Helper()
-	h.requireActions(what, actions, Send)
+	h.requireActions(label, actions, Send)
 	return actions[0].Node
 }
--- a/routing/health_test.go
+++ b/routing/health_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two connections in a row that break eject a node; one does not, nor one with an answer after it.
+// Two consecutive connection failures eject a node. A single one does not, nor do two with an answer between them.
 func TestTwoBrokenConnectionsEject(t *testing.T) {
 	harness := newHarness(t, defaultSettings())
 	node := harness.router.byID[1]
@@ -20,7 +20,7 @@
 	}
 }
 
-// Incident iee1e48: a node whose probes succeed while requests to it go unanswered is ejected all the same.
+// Incident iee1e48: a node that leaves requests unanswered is ejected even if its probes succeed.
 func TestUnresponsiveNodeIsEjected(t *testing.T) {
 	harness := newHarness(t, defaultSettings())
 	for id := RequestID(10); id < 16; id++ {
@@ -31,11 +31,11 @@
 		harness.wait(10 * ms)
 		harness.reportAll()
 	}
-	require.True(t, node.ejected, "node 2 answers no request and is still in service")
+	require.True(t, node.ejected, "node 2 answers no request and is not ejected")
 	require.True(t, node.unresponsive)
 }
 
-// Incident i10e2be: a few timeouts of clients are no evidence against a node that goes on answering.
+// Incident i10e2be: short timeouts of clients prove nothing about a node and must not eject it.
 func TestClientTimeoutsDoNotEject(t *testing.T) {
 	harness := newHarness(t, defaultSettings())
 	for id := RequestID(10); id < 20; id++ {
@@ -43,27 +43,27 @@
 		harness.now += ms
 		harness.done(id, 0, 1, TimedOut, Evidence{})
 	}
-	require.False(t, harness.router.byID[1].ejected, "short client timeouts ejected the primary")
+	require.False(t, harness.router.byID[1].ejected, "the primary was ejected after client timeouts")
 }
 
-// A report that may take seconds does not make its node look hung: while nothing else is in flight, it is still the
-// primary that a write goes to.
+// A read whose latency objective is several seconds does not eject its node while it runs, even if nothing else is
+// answered there. A write is still sent to the node.
 func TestLongReadDoesNotEject(t *testing.T) {
 	settings := defaultSettings()
-	reports := &settings.Classes[classAny]
-	reports.LatencyObjective, reports.Deadline = 5*time.Second, 10*time.Second
+	longReads := &settings.Classes[classAny]
+	longReads.LatencyObjective, longReads.Deadline = 5*time.Second, 10*time.Second
 	harness := newHarness(t, settings)
 	harness.list(Node{ID: 1, State: Ready})
-	harness.probed(1, Replica, harness.now)
-	harness.requireActions("report", harness.arrive(7, classAny), Send)
+	harness.probeSucceeded(1, Replica, harness.now)
+	harness.requireActions("long read", harness.arrive(7, classAny), Send)
 	harness.wait(2 * time.Second)
-	harness.probed(1, Primary, harness.now)
-	harness.requireActions("write while it runs", harness.arrive(8, classWrite), Send)
+	harness.probeSucceeded(1, Primary, harness.now)
+	harness.requireActions("write while the read runs", harness.arrive(8, classWrite), Send)
 }
 
-// Incident rude+garble+fleet: a node behind a partition has run on, and takes its share at once when it is back; one
-// whose process was not there starts slowly.
-func TestReadmissionAfterAPartition(t *testing.T) {
+// A node behind a network partition has not restarted: it receives its full share once it is readmitted. A node
+// without a listening process has restarted and goes through slow start.
+func TestPartitionedNodeSkipsSlowStart(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		status    Status
 		restarted bool
@@ -78,9 +78,9 @@
 			}
 			position := harness.now
 			node := harness.router.byID[2]
-			require.True(t, node.ejected, "node 2 is unreachable and in service")
+			require.True(t, node.ejected, "node 2 is unreachable and not ejected")
 			harness.now += 5 * time.Second
-			harness.probed(2, Replica, position) // it was cut off from its primary, too
+			harness.probeSucceeded(2, Replica, position) // its position has not advanced since then
 			require.False(t, node.ejected)
 			share := harness.router.capacityShare(node)
 			require.Equal(t, testCase.restarted, share < 1, "share of capacity %v", share)
@@ -88,11 +88,11 @@
 	}
 }
 
-// Nodes that take no more connections answer their probes and keep up with the log: back after seconds, they are not
-// taken to have restarted, but one whose position stood still meanwhile, with no process there, is. Without probes to
-// spare they get requests.
-func TestNodeWithoutFreeConnectionsIsNotTakenForRestarted(t *testing.T) {
-	for name, keptUp := range map[string]bool{"kept up with the log": true, "position stood still": false} {
+// A node that accepts no more connections also looks like one without a listening process. If its position kept up with
+// replication during the ejection, it does not count as restarted. If its position did not advance, it does. With an
+// empty probe budget the node is readmitted after its backoff without a probe.
+func TestNodeWithoutFreeConnectionsDoesNotCountAsRestarted(t *testing.T) {
+	for name, keptUp := range map[string]bool{"position kept up": true, "position did not advance": false} {
 		t.Run(name, func(t *testing.T) {
 			harness := newHarness(t, defaultSettings())
 			node := harness.router.byID[2]
@@ -104,13 +104,13 @@
 			if keptUp {
 				position = harness.now - 20*ms
 			}
-			harness.probed(2, Replica, position)
+			harness.probeSucceeded(2, Replica, position)
 			require.False(t, node.ejected)
 			require.Equal(t, keptUp, node.restartedAt == 0, "restarted at %v", node.restartedAt)
 			harness.router.eject(node, false)
 			harness.router.probeBudget = 0
 			harness.wait(5 * time.Second)
-			require.False(t, node.ejected, "neither probed nor tried for 5 s")
+			require.False(t, node.ejected, "still ejected after 5 s without a probe")
 		})
 	}
 }
--- a/routing/nodes_test.go
+++ b/routing/nodes_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A draining replica takes nothing new at once; a draining primary takes what only it can, for half the grace.
-func TestDrainingNodes(t *testing.T) {
+// A draining replica receives no new requests. A draining primary receives those that only it can serve, for half of
+// the drain grace.
+func TestDrainingPrimaryAcceptsWritesForHalfTheGrace(t *testing.T) {
 	harness := newHarness(t, defaultSettings())
 	harness.list(Node{ID: 1, State: Draining}, Node{ID: 2, State: Draining}, Node{ID: 3, State: Ready})
 	for id := RequestID(10); id < 30; id++ {
@@ -17,24 +18,25 @@
 			require.NotEqual(t, NodeID(2), actions[0].Node, "sent to the draining replica")
 		}
 	}
-	harness.requireActions("write within half the grace", harness.arrive(50, classWrite), Send)
+	harness.requireActions("write in the first half of the grace", harness.arrive(50, classWrite), Send)
 	harness.now += 600 * ms
-	harness.requireActions("write after it", harness.arrive(51, classWrite))
+	harness.requireActions("write in the second half of the grace", harness.arrive(51, classWrite))
 }
 
-// The drain grace counts from the first list that has a node draining or gone, also if no list had it ready before.
-func TestDrainCountsFromTheFirstList(t *testing.T) {
+// The drain grace starts with the first list in which a node is draining or gone, even if no earlier list had it ready.
+func TestDrainGraceStartsWithTheFirstList(t *testing.T) {
 	harness := newEmptyHarness(t, defaultSettings(), 1)
 	harness.list(Node{ID: 1, State: Gone}, Node{ID: 2, State: Ready})
 	harness.now += 3 * time.Second
 	harness.step(Event{Kind: ListUpdated, Nodes: []Node{{ID: 1, State: Draining}}})
-	harness.probed(1, Primary, harness.now)
-	harness.requireActions("write three seconds after that list", harness.arrive(7, classWrite))
+	harness.probeSucceeded(1, Primary, harness.now)
+	harness.requireActions("write three seconds after the first list", harness.arrive(7, classWrite))
 }
 
-// Where only draining binds, a node that the list merely lost may be tried; one that was listed as draining may not.
+// With OnlyDrainingBinds, requests may be sent to a node that is listed as gone, unless it was listed as draining
+// before.
 func TestGoneNodeMayBeTriedWhereOnlyDrainingBinds(t *testing.T) {
-	for name, drained := range map[string]bool{"never draining": false, "draining before": true} {
+	for name, drained := range map[string]bool{"not draining before": false, "draining before": true} {
 		t.Run(name, func(t *testing.T) {
 			settings := defaultSettings()
 			settings.OnlyDrainingBinds = true
@@ -50,9 +52,9 @@
 	}
 }
 
-// A node that is gone is remembered for a while, for what it reports if it comes back, and then no more: machines that
-// replace each other have ever new names. One that still answers, or has a request in flight, stays.
-func TestGoneNodesAreEvicted(t *testing.T) {
+// The record of a gone node is removed after goneRetention, since machines that replace others have new IDs and the
+// records would accumulate. A node that still answers or has a request in flight is not removed.
+func TestGoneNodesAreRemoved(t *testing.T) {
 	harness := newHarness(t, defaultSettings())
 	router := harness.router
 	harness.requireActions("a read", harness.arrive(1, classAny), Send)
@@ -61,41 +63,43 @@
 	for range 1000 {
 		harness.now += time.Minute
 		harness.step(Event{Kind: ListUpdated, Nodes: []Node{{ID: next, State: Gone}, {ID: next + 1, State: Ready}}})
-		require.True(t, router.Knows(next), "a node that has just gone is evicted")
-		require.True(t, router.Knows(next+1), "a node that has just come is unknown")
+		require.True(t, router.Knows(next), "a node that has just become gone is removed")
+		require.True(t, router.Knows(next+1), "a new node is unknown")
 		next++
 	}
 	require.LessOrEqual(t, len(router.nodes), 3+1+11)
 	require.Len(t, router.byID, len(router.nodes))
 
-	harness.list(Node{ID: next, State: Ready}) // the first three are gone, one of them with a read in flight
+	harness.list(Node{ID: next, State: Ready}) // the first three nodes are gone, and one of them has a read in flight
 	harness.now += time.Hour
 	harness.list(Node{ID: next, State: Ready})
-	require.True(t, router.Knows(busy), "the node with a request in flight is evicted")
+	require.True(t, router.Knows(busy), "the node with a request in flight is removed")
 	require.Len(t, router.nodes, 2)
 
 	harness.done(1, 0, busy, TimedOut, Evidence{})
 	harness.list(Node{ID: next, State: Ready})
-	require.False(t, router.Knows(busy), "the node is remembered though its request has ended")
+	require.False(t, router.Knows(busy), "the node is not removed after the end of its request")
 
 	harness.list(Node{ID: next, State: Ready}, Node{ID: busy, State: Ready, Started: harness.now})
 	node := router.byID[busy]
 	require.NotNil(t, node)
 	require.Equal(t, RoleUnknown, node.role)
 	require.Zero(t, node.position)
-	require.NotEqual(t, 1.0, float64(router.capacityShare(node)), "it starts slowly, as listed")
+	require.NotEqual(t, 1.0, float64(router.capacityShare(node)), "slow start after the listed start")
 }
 
-// A late list that names a deposed primary does not count over the node's own report.
+// The primary that a list names does not override the role that the node has reported: a late list may name a deposed
+// primary.
 func TestLateListDoesNotReinstateAPrimary(t *testing.T) {
 	harness := newHarnessWith(t, func(settings *Settings) { settings.ListHintsRole = true })
-	harness.probed(1, Replica, harness.now+1)
+	harness.probeSucceeded(1, Replica, harness.now+1)
 	harness.now += time.Minute
 	harness.list(Node{ID: 1, State: Ready, Primary: true}, Node{ID: 2, State: Ready}, Node{ID: 3, State: Ready})
 	harness.requireActions("write", harness.arrive(7, classWrite))
 }
 
-// Without probes a lost primary is found by the writes themselves: a member that is none rejects them untouched.
+// If probes are not possible, writes find the new primary: a member that is not the primary rejects them without
+// running them.
 func TestWritesFindThePrimaryWithoutProbes(t *testing.T) {
 	harness := newHarnessWith(t, func(settings *Settings) { settings.CanProbe = false })
 	node := harness.requireSend("write", harness.arrive(7, classWrite))
@@ -103,5 +107,5 @@
 		evidence := Evidence{Role: Replica, Position: harness.now}
 		node = harness.requireSend("rejected by the node", harness.done(7, attempt, node, NodeRejected, evidence))
 	}
-	require.NotEqual(t, NodeID(1), node, "the write came back to the old primary before the others were tried")
+	require.NotEqual(t, NodeID(1), node, "sent to the old primary again before all others were tried")
 }
--- a/routing/operators_test.go
+++ b/routing/operators_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Nodes that are readmitted together are probed in the order of their IDs: equal calls give equal actions.
+// Nodes whose exclusions end together are probed in the order of their IDs: equal calls give equal actions.
 func TestReadmittedNodesAreProbedInOrder(t *testing.T) {
 	const count = 20
 	harness := newEmptyHarness(t, defaultSettings(), 1)
--- a/routing/probes_test.go
+++ b/routing/probes_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A probe that was never sent, as the router's own machine lacked something, is no evidence on the node, however
-// often; one that could not connect is.
+// A probe that was never sent, because the router's machine lacked a resource, says nothing about the node, even if it
+// recurs. A probe that could not connect counts as a failure of the node.
 func TestProbesThatWereNeverSentAreNoEvidence(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		status Status
@@ -23,20 +23,20 @@
 			for range 8 {
 				harness.probeFailed(1, testCase.status)
 			}
-			harness.requireActions("a write after the probes", harness.arrive(7, classWrite), testCase.want...)
+			harness.requireActions("write after the probes", harness.arrive(7, classWrite), testCase.want...)
 		})
 	}
 }
 
-// probedFleet counts the probes and requests of routers before nodes that all answer requests, and answer probes or
-// time them out.
+// probedFleet simulates nodes that answer all requests and end all probes with probeStatus. It counts the probes and
+// requests of the routers.
 type probedFleet struct {
 	probes, requests int
 	probeStatus      Status
 }
 
-// playOneRouter runs one router, with ten requests a second, for that many seconds.
-func (f *probedFleet) playOneRouter(harness *routerHarness, nodes []Node, seconds int) {
+// runRouter runs one router with ten requests per second for the given number of seconds.
+func (f *probedFleet) runRouter(harness *routerHarness, nodes []Node, seconds int) {
 	events := []Event{{Kind: ListComplete, Nodes: nodes}}
 	for step := range seconds * 100 {
 		var next []Event
@@ -54,7 +54,7 @@
 	}
 }
 
-// results are what comes of an action.
+// results returns the events that result from an action.
 func (f *probedFleet) results(action Action, now time.Duration) []Event {
 	evidence := Evidence{Role: Replica, Position: now}
 	switch action.Kind {
@@ -71,9 +71,10 @@
 	return nil
 }
 
-// Routers that have little traffic must not probe more than they send: 90 of them, ten requests a second each, stay
-// within the share that requests pay for, on sound and on dead nodes. A start or a new list gives no more.
-func TestProbesOfAllRoutersTogether(t *testing.T) {
+// Routers with little traffic must not send more probes than requests. 90 routers with ten requests per second each
+// stay within the probe budget that their requests add, for healthy and for dead nodes. A start or a new list adds
+// nothing to the budget.
+func TestProbesOfAllRoutersStayWithinTheBudget(t *testing.T) {
 	for name, status := range map[string]Status{"nodes answer": OK, "nodes are dead": TimedOut} {
 		t.Run(name, func(t *testing.T) {
 			settings := defaultSettings()
@@ -84,8 +85,8 @@
 				nodes = append(nodes, Node{ID: NodeID(id + 1), State: Ready, Group: id / 5})
 			}
 			fleet := &probedFleet{probeStatus: status}
-			for seed := range uint64(3) { // every router acts alike but for its seed
-				fleet.playOneRouter(newEmptyHarness(t, settings, seed), nodes, seconds)
+			for seed := range uint64(3) { // a sample of the routers, which differ only in their seeds
+				fleet.runRouter(newEmptyHarness(t, settings, seed), nodes, seconds)
 			}
 			most := (probesPerRequest + extraProbesPerRequest/90) * float64(fleet.requests)
 			require.LessOrEqual(t, float64(fleet.probes), most, "probes for %d requests", fleet.requests)
@@ -94,14 +95,14 @@
 	}
 }
 
-// proofSearch is a read that waits for a replica's report.
-type proofSearch struct {
+// probeSearch records the probes that a waiting read triggers and the node to which it is sent.
+type probeSearch struct {
 	probes int
 	sentTo NodeID
 }
 
-// results are what comes of an action, where every node's position lags by as much.
-func (p *proofSearch) results(action Action, position time.Duration) []Event {
+// results returns the events that result from an action if every node reports the given position.
+func (p *probeSearch) results(action Action, position time.Duration) []Event {
 	switch action.Kind {
 	case Send:
 		p.sentTo = action.Node
@@ -116,12 +117,12 @@
 	return nil
 }
 
-// Where nodes do not check, a read that no replica is proven fresh for probes one and goes to it as soon as its report
-// proves it; after maxProbesPerRead reports that do not, the primary takes it.
-func TestReadProbesForAProof(t *testing.T) {
+// If nodes answer stale reads and no replica is known to be fresh, a read probes one. It is sent to that replica once a
+// report shows that it is fresh. After maxProbesPerRead reports that do not, the read is sent to the primary.
+func TestReadWaitsForAProbeOrGoesToThePrimary(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		lag   time.Duration // of the reported positions
-		fresh bool          // that is recent enough for the read
+		fresh bool          // the lag is within MaxAge
 	}{
 		"reports are fresh": {50 * ms, true},
 		"reports are stale": {time.Second, false},
@@ -130,7 +131,7 @@
 			harness := newHarness(t, defaultSettings())
 			harness.now += 2 * time.Second
 			events := []Event{arrivalEvent(7, Arrival{Class: classBounded, Session: 7, TimeLeft: time.Second})}
-			var search proofSearch
+			var search probeSearch
 			for range 20 {
 				var next []Event
 				for _, action := range harness.router.Step(harness.now, events, nil) {
@@ -141,73 +142,74 @@
 			}
 			require.Positive(t, search.probes)
 			if testCase.fresh {
-				require.Greater(t, search.sentTo, NodeID(1), "a replica")
+				require.Greater(t, search.sentTo, NodeID(1), "not sent to a replica")
 			} else {
-				require.Equal(t, NodeID(1), search.sentTo, "the primary")
+				require.Equal(t, NodeID(1), search.sentTo, "not sent to the primary")
 			}
 		})
 	}
 }
 
-// A group whose ring is empty must not be served by the replica that the search of another group found.
+// A read of a group whose ring is empty must not be sent to the probe candidate of another group's search.
 func TestProbeCandidateStaysInItsGroup(t *testing.T) {
 	harness := newHarnessWith(t, func(settings *Settings) {
 		settings.StaleReads, settings.CanProbe = StaleRejected, false
 	})
 	harness.now += 900 * ms
-	harness.probed(2, Replica, harness.now-500*ms)
-	harness.probed(3, Replica, harness.now-500*ms)
+	harness.probeSucceeded(2, Replica, harness.now-500*ms)
+	harness.probeSucceeded(3, Replica, harness.now-500*ms)
 	harness.step(
 		Event{Kind: ListUpdated, Nodes: []Node{{ID: 9, State: Ready, Group: 1}}},
 		Event{Kind: ListUpdated, Nodes: []Node{{ID: 9, State: Gone, Group: 1}}},
 	)
-	for id := range RequestID(4) { // in turn, so that a search of group 0 precedes each of group 1
+	for id := range RequestID(4) { // alternates: a search of group 0 precedes each search of group 1
 		actions := harness.arriveAs(id+1, Arrival{Class: classBounded, Group: int(id % 2), TimeLeft: time.Second})
 		for _, action := range actions {
 			toEmptyGroup := action.Request == 2 || action.Request == 4
 			require.False(t, action.Kind == Send && toEmptyGroup,
-				"a read of the empty group was sent to node %d", action.Node)
+				"read of the empty group sent to node %d", action.Node)
 		}
 	}
 }
 
-// A replica whose report has just proved that it lags is not probed again.
+// A replica that has just reported a lag beyond MaxAge is not probed again.
 func TestNoProbeRightAfterAReport(t *testing.T) {
 	harness := newHarness(t, defaultSettings())
 	harness.now += 2 * time.Second
-	harness.probed(2, Replica, harness.now-time.Second)
-	harness.probed(3, Replica, harness.now-time.Second)
+	harness.probeSucceeded(2, Replica, harness.now-time.Second)
+	harness.probeSucceeded(3, Replica, harness.now-time.Second)
 	probed := harness.probes(arrivalEvent(7, Arrival{Class: classBounded, TimeLeft: time.Second}))
-	require.Empty(t, probed, "replicas that have just reported")
+	require.Empty(t, probed, "probes of replicas that have just reported")
 }
 
-// Of replicas without proof, a read probes one that was close behind in its last report, whatever the ring says: many
-// routers that each probe the one far behind learn the same, each at its own price.
-func TestReadProbesTheReplicaThatWasCloseBehind(t *testing.T) {
-	for _, behind := range []NodeID{2, 3} {
+// Among replicas that are not known to be fresh, a read probes one with little lag in its last report, regardless of
+// their order on the ring. Otherwise, each of many routers would spend a probe on the lagging replica for the same
+// result.
+func TestReadProbesTheReplicaWithLittleLag(t *testing.T) {
+	for _, lagging := range []NodeID{2, 3} {
 		for session := range uint64(8) {
-			t.Run(fmt.Sprintf("node %d behind, session %d", behind, session+1), func(t *testing.T) {
+			t.Run(fmt.Sprintf("node %d lags, session %d", lagging, session+1), func(t *testing.T) {
 				harness := newHarness(t, defaultSettings())
 				harness.now += 10 * time.Second
 				for _, id := range []NodeID{2, 3} {
 					lag := 20 * ms
-					if id == behind {
+					if id == lagging {
 						lag = 2 * time.Second
 					}
-					harness.probed(id, Replica, harness.now-lag)
+					harness.probeSucceeded(id, Replica, harness.now-lag)
 				}
 				harness.now += 5 * time.Second
 				harness.router.nextTick = harness.now + time.Second // no other probes
 				arrival := Arrival{Class: classBounded, Session: session + 1, TimeLeft: time.Second}
-				require.NotContains(t, harness.probes(arrivalEvent(7, arrival)), behind)
+				require.NotContains(t, harness.probes(arrivalEvent(7, arrival)), lagging)
 			})
 		}
 	}
 }
 
-// A replica far behind is not probed again before part of its lag has passed: it cannot have caught up. Of many
-// routers none probes it before it may well have: they learn the same, each at its own price.
-func TestNoProbeOfAReplicaFarBehind(t *testing.T) {
+// A replica with a large lag is not probed again before a part of that lag has passed: it cannot have caught up. The
+// part grows with the number of routers: each of them would spend a probe for the same result.
+func TestLaggingReplicaIsNotProbedTooEarly(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		routers int
 		after   time.Duration // of the report
@@ -221,8 +223,8 @@
 		t.Run(name, func(t *testing.T) {
 			harness := newHarnessWith(t, func(settings *Settings) { settings.Routers = testCase.routers })
 			harness.now += 10 * time.Second
-			harness.probed(2, Replica, harness.now-4*time.Second)
-			harness.probed(3, Replica, harness.now-4*time.Second)
+			harness.probeSucceeded(2, Replica, harness.now-4*time.Second)
+			harness.probeSucceeded(3, Replica, harness.now-4*time.Second)
 			harness.now += testCase.after
 			harness.router.nextTick = harness.now + time.Second // no other probes
 			probed := harness.probes(arrivalEvent(7, Arrival{Class: classBounded, TimeLeft: time.Second}))
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -9,25 +9,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// trackedAttempt is an attempt that the router has sent.
+// trackedAttempt is an attempt that the router sent.
 type trackedAttempt struct {
 	node    NodeID
-	at      time.Duration
+	sentAt  time.Duration
 	pending bool
 }
 
-// trackedRequest is a request that the router was given.
+// trackedRequest is a request that was passed to the router.
 type trackedRequest struct {
-	class    Class
-	deadline time.Duration
-	need     time.Duration // the position that its read must see; 0: any
-	attempts []trackedAttempt
-	mayRun   bool // an ended attempt without proof that it never ran
-	over     bool
-	gone     time.Duration // when the client disconnected
+	class          Class
+	deadline       time.Duration
+	minPosition    time.Duration // the position that a read must see; 0: any
+	attempts       []trackedAttempt
+	mayHaveRun     bool // an ended attempt without proof that it never ran
+	done           bool
+	disconnectedAt time.Duration // when the client disconnected
 }
 
-// pending is how many attempts are in flight.
+// pending returns the number of pending attempts.
 func (r *trackedRequest) pending() (count int) {
 	for _, attempt := range r.attempts {
 		if attempt.pending {
@@ -37,33 +37,33 @@
 	return count
 }
 
-// randomWorld gives a router random events and checks its actions, as far as the rules show at the interface. The
-// events follow no model of a server: outcomes, lists and losses come at random.
-type randomWorld struct {
+// randomEnvironment passes random events to a router and checks its actions against the rules that can be observed from
+// outside. The events follow no model of a server: outcomes, lists and failures are random.
+type randomEnvironment struct {
 	t             *testing.T
 	settings      Settings
 	rng           *rand.Rand
 	now           time.Duration
-	next          RequestID
+	lastID        RequestID
 	requests      map[RequestID]*trackedRequest
 	open          []RequestID
-	position      map[NodeID]time.Duration // last proven
-	replica       map[NodeID]time.Duration // when an answer last reported it, unless it has been primary since
+	position      map[NodeID]time.Duration // highest one reported
+	replicaAt     map[NodeID]time.Duration // when an answer last had this role; deleted by primary
 	drainingSince map[NodeID]time.Duration
 	probes        []NodeID
 }
 
-// newRandomWorld draws settings and has no events yet.
-func newRandomWorld(t *testing.T, seed uint64) *randomWorld {
+// newRandomEnvironment returns a randomEnvironment with random settings and no events yet.
+func newRandomEnvironment(t *testing.T, seed uint64) *randomEnvironment {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	return &randomWorld{
+	return &randomEnvironment{
 		t: t, settings: randomSettings(rng), rng: rng, now: start, requests: map[RequestID]*trackedRequest{},
-		position: map[NodeID]time.Duration{}, replica: map[NodeID]time.Duration{},
+		position: map[NodeID]time.Duration{}, replicaAt: map[NodeID]time.Duration{},
 		drainingSince: map[NodeID]time.Duration{},
 	}
 }
 
-// randomSettings draws the settings that the rules depend on.
+// randomSettings returns the default settings with random values for those that the rules depend on.
 func randomSettings(rng *rand.Rand) Settings {
 	settings := defaultSettings()
 	settings.Routers, settings.MaxAttempts = 1+rng.IntN(4), 1+rng.IntN(6)
@@ -78,58 +78,58 @@
 	return settings
 }
 
-// duration draws one that is shorter than limit.
-func (w *randomWorld) duration(limit time.Duration) time.Duration {
-	return time.Duration(w.rng.Int64N(int64(limit)))
+// duration returns a random duration from 0 up to, but not including, limit.
+func (e *randomEnvironment) duration(limit time.Duration) time.Duration {
+	return time.Duration(e.rng.Int64N(int64(limit)))
 }
 
-// list draws an endpoint list and records which nodes it has draining.
-func (w *randomWorld) list() []Node {
+// list returns a random endpoint list and records which nodes are draining or gone in it.
+func (e *randomEnvironment) list() []Node {
 	var nodes []Node
 	for id := NodeID(1); id <= 8; id++ {
 		node := Node{ID: id, Group: int(id) % 2, State: Ready, Primary: id <= 2, Zone: int(id) % 3}
-		switch w.rng.IntN(12) {
+		switch e.rng.IntN(12) {
 		case 0:
 			node.State = Draining
 		case 1:
 			node.State = Gone
 		case 2:
-			node.Started = w.now - w.duration(20*time.Second)
+			node.Started = e.now - e.duration(20*time.Second)
 		}
 		nodes = append(nodes, node)
 	}
 	for _, node := range nodes {
 		if node.State == Ready {
-			delete(w.drainingSince, node.ID)
-		} else if _, known := w.drainingSince[node.ID]; !known {
-			w.drainingSince[node.ID] = w.now
+			delete(e.drainingSince, node.ID)
+		} else if _, known := e.drainingSince[node.ID]; !known {
+			e.drainingSince[node.ID] = e.now
 		}
 	}
 	return nodes
 }
 
-// evidence draws what a node reports, and records its position.
-func (w *randomWorld) evidence(id NodeID) Evidence {
-	evidence := Evidence{Role: Role(w.rng.IntN(3))}
-	if w.rng.IntN(4) > 0 {
-		evidence.Position = w.now - w.duration(3*time.Second)
+// evidence returns random evidence from a node and records its position.
+func (e *randomEnvironment) evidence(id NodeID) Evidence {
+	evidence := Evidence{Role: Role(e.rng.IntN(3))}
+	if e.rng.IntN(4) > 0 {
+		evidence.Position = e.now - e.duration(3*time.Second)
 	}
-	w.position[id] = max(w.position[id], evidence.Position)
+	e.position[id] = max(e.position[id], evidence.Position)
 	return evidence
 }
 
-// batch lets time pass and draws the next events.
-func (w *randomWorld) batch() []Event {
-	if w.rng.IntN(40) == 0 {
-		w.now += w.duration(3 * time.Second) // a clock jump
+// batch advances the clock at random and returns the next random events.
+func (e *randomEnvironment) batch() []Event {
+	if e.rng.IntN(40) == 0 {
+		e.now += e.duration(3 * time.Second) // a clock jump
 	} else {
-		w.now += w.duration(12 * ms)
+		e.now += e.duration(12 * ms)
 	}
-	events := append(w.listEvents(), w.probeEvents()...)
-	events = append(events, w.requestEvents()...)
-	events = append(events, w.arrivals()...)
-	if w.rng.IntN(50) == 0 { // for a request that the router no longer has, or never had
-		unknown := w.next + 1000
+	events := append(e.listEvents(), e.probeEvents()...)
+	events = append(events, e.requestEvents()...)
+	events = append(events, e.arrivals()...)
+	if e.rng.IntN(50) == 0 { // for a request that never arrived
+		unknown := e.lastID + 1000
 		events = append(events,
 			Event{Kind: AttemptDone, Request: unknown, Outcome: Outcome{Node: 99, Attempt: 3}},
 			Event{Kind: ClientGone, Request: unknown})
@@ -137,206 +137,208 @@
 	return append(events, Event{Kind: TimerFired})
 }
 
-// listEvents draws lists and the loss of the subscription.
-func (w *randomWorld) listEvents() (events []Event) {
-	if w.rng.IntN(60) == 0 {
-		nodes := w.list()
+// listEvents returns random endpoint lists and failures of the subscription.
+func (e *randomEnvironment) listEvents() (events []Event) {
+	if e.rng.IntN(60) == 0 {
+		nodes := e.list()
 		kind := ListUpdated
-		if w.rng.IntN(2) == 0 {
+		if e.rng.IntN(2) == 0 {
 			kind = ListComplete
 		}
 		events = append(events, Event{Kind: kind, Nodes: nodes})
 	}
-	if w.rng.IntN(80) == 0 {
+	if e.rng.IntN(80) == 0 {
 		events = append(events, Event{Kind: ListFailed})
 	}
 	return events
 }
 
-// probeEvents ends all probes.
-func (w *randomWorld) probeEvents() (events []Event) {
-	for _, id := range w.probes {
+// probeEvents returns random outcomes for all pending probes.
+func (e *randomEnvironment) probeEvents() (events []Event) {
+	for _, id := range e.probes {
 		outcome := Outcome{Node: id, Status: TimedOut}
-		if w.rng.IntN(3) != 0 {
-			outcome.Status, outcome.Report = OK, w.evidence(id)
-			if outcome.Report.Role == Primary && outcome.Report.Position >= w.replica[id] {
-				delete(w.replica, id)
+		if e.rng.IntN(3) != 0 {
+			outcome.Status, outcome.Report = OK, e.evidence(id)
+			if outcome.Report.Role == Primary && outcome.Report.Position >= e.replicaAt[id] {
+				delete(e.replicaAt, id)
 			}
 		}
 		events = append(events, Event{Kind: ProbeDone, Outcome: outcome})
 	}
-	w.probes = w.probes[:0]
+	e.probes = e.probes[:0]
 	return events
 }
 
-// requestEvents ends attempts and disconnects clients of the open requests.
-func (w *randomWorld) requestEvents() (events []Event) {
+// requestEvents ends random attempts of the open requests and disconnects random clients.
+func (e *randomEnvironment) requestEvents() (events []Event) {
 	var open []RequestID
-	for _, id := range w.open {
-		request := w.requests[id]
+	for _, id := range e.open {
+		request := e.requests[id]
 		for i := range request.attempts {
 			attempt := &request.attempts[i]
-			due := w.now >= request.deadline
-			if attempt.pending && (due || w.rng.IntN(5) == 0) {
-				outcome := w.endAttempt(request, i, due)
+			overdue := e.now >= request.deadline
+			if attempt.pending && (overdue || e.rng.IntN(5) == 0) {
+				outcome := e.endAttempt(request, i, overdue)
 				events = append(events, Event{Kind: AttemptDone, Request: id, Outcome: outcome})
 			}
 		}
-		if !request.over && w.rng.IntN(200) == 0 {
-			request.over, request.gone = true, w.now
+		if !request.done && e.rng.IntN(200) == 0 {
+			request.done, request.disconnectedAt = true, e.now
 			events = append(events, Event{Kind: ClientGone, Request: id})
 		}
-		if !request.over || request.pending() > 0 {
+		if !request.done || request.pending() > 0 {
 			open = append(open, id)
 		}
 	}
-	w.open = open
+	e.open = open
 	return events
 }
 
-// endAttempt draws an outcome of an attempt; one past the deadline is a timeout.
-func (w *randomWorld) endAttempt(request *trackedRequest, index int, due bool) Outcome {
+// endAttempt returns a random outcome for an attempt, which is a timeout if the request's deadline has passed.
+func (e *randomEnvironment) endAttempt(request *trackedRequest, index int, overdue bool) Outcome {
 	attempt := &request.attempts[index]
 	outcome := Outcome{
-		Node: attempt.node, Attempt: index, Duration: w.now - attempt.at, Note: w.evidence(attempt.node),
-		Status: Status(w.rng.IntN(int(NodeRejected) + 1)),
+		Node: attempt.node, Attempt: index, Duration: e.now - attempt.sentAt, Note: e.evidence(attempt.node),
+		Status: Status(e.rng.IntN(int(NodeRejected) + 1)),
 	}
-	if due {
+	if overdue {
 		outcome.Status = TimedOut
 	}
 	attempt.pending = false
-	request.mayRun = request.mayRun || !outcome.Status.NeverRan()
-	outcome.Final = request.over || outcome.Status == OK
-	request.over = outcome.Final
+	request.mayHaveRun = request.mayHaveRun || !outcome.Status.NeverRan()
+	outcome.Final = request.done || outcome.Status == OK
+	request.done = outcome.Final
 	switch outcome.Note.Role {
 	case Primary:
-		delete(w.replica, attempt.node)
+		delete(e.replicaAt, attempt.node)
 	case Replica:
-		w.replica[attempt.node] = w.now
+		e.replicaAt[attempt.node] = e.now
 	}
 	return outcome
 }
 
-// arrivals draws new requests.
-func (w *randomWorld) arrivals() (events []Event) {
-	for range w.rng.IntN(3) {
-		w.next++
-		class := w.rng.IntN(len(w.settings.Classes))
+// arrivals returns the arrivals of new random requests.
+func (e *randomEnvironment) arrivals() (events []Event) {
+	for range e.rng.IntN(3) {
+		e.lastID++
+		class := e.rng.IntN(len(e.settings.Classes))
 		arrival := Arrival{
-			Class: class, Group: w.rng.IntN(2), Session: uint64(w.rng.IntN(20)),
-			TimeLeft: time.Duration(50+w.rng.IntN(1500)) * ms,
+			Class: class, Group: e.rng.IntN(2), Session: uint64(e.rng.IntN(20)),
+			TimeLeft: time.Duration(50+e.rng.IntN(1500)) * ms,
 		}
-		request := &trackedRequest{class: w.settings.Classes[class], deadline: w.now + arrival.TimeLeft}
-		if request.class.Read == SessionRead && w.rng.IntN(2) == 0 {
-			arrival.LastWrite = w.now - w.duration(time.Second)
-			request.need = arrival.LastWrite
+		request := &trackedRequest{class: e.settings.Classes[class], deadline: e.now + arrival.TimeLeft}
+		if request.class.Read == SessionRead && e.rng.IntN(2) == 0 {
+			arrival.LastWrite = e.now - e.duration(time.Second)
+			request.minPosition = arrival.LastWrite
 		}
 		if request.class.Read == FreshRead {
-			request.need = w.now
+			request.minPosition = e.now
 		}
-		w.requests[w.next] = request
-		w.open = append(w.open, w.next)
-		events = append(events, arrivalEvent(w.next, arrival))
+		e.requests[e.lastID] = request
+		e.open = append(e.open, e.lastID)
+		events = append(events, arrivalEvent(e.lastID, arrival))
 	}
 	return events
 }
 
-// check checks an action and carries it out.
-func (w *randomWorld) check(action Action) {
+// check checks an action and records its effect.
+func (e *randomEnvironment) check(action Action) {
 	switch action.Kind {
 	case Probe:
-		w.probes = append(w.probes, action.Node)
+		e.probes = append(e.probes, action.Node)
 	case Send, Reject, Fail, Cancel:
-		request := w.requests[action.Request]
+		request := e.requests[action.Request]
 		if request == nil {
-			require.Failf(w.t, "an action for a request that never arrived", "%+v", action)
+			require.Failf(e.t, "action for a request that never arrived", "%+v", action)
 		}
-		w.checkRequestAction(action, request)
+		e.checkRequestAction(action, request)
 	}
 }
 
 // checkRequestAction checks an action for a request.
-func (w *randomWorld) checkRequestAction(action Action, request *trackedRequest) {
+func (e *randomEnvironment) checkRequestAction(action Action, request *trackedRequest) {
 	if action.Kind == Cancel {
 		if action.Attempt >= len(request.attempts) {
-			require.Failf(w.t, "a cancel of an attempt that was never sent", "%+v", action)
+			require.Failf(e.t, "cancellation of an attempt that was never sent", "%+v", action)
 		}
 		return
 	}
-	if action.Kind != Send && request.gone == w.now {
-		return // an answer from before the client disconnected in the same batch is ignored
+	if action.Kind != Send && request.disconnectedAt == e.now {
+		return // the router decided before it processed the client's disconnect in the same batch
 	}
-	if request.over {
-		require.Failf(w.t, "an action for a request that is over", "%+v", action)
+	if request.done {
+		require.Failf(e.t, "action for a request that is over", "%+v", action)
 	}
 	if action.Kind == Send {
-		w.checkSend(action, request)
-		request.attempts = append(request.attempts, trackedAttempt{action.Node, w.now, true})
+		e.checkSend(action, request)
+		request.attempts = append(request.attempts, trackedAttempt{action.Node, e.now, true})
 		return
 	}
-	request.over = true
-	mayRun := request.mayRun || request.pending() > 0
-	if action.Kind == Reject && request.class.Effect != Idempotent && mayRun {
-		require.Failf(w.t, "a request that may have run is rejected", "%+v", action)
+	request.done = true
+	mayHaveRun := request.mayHaveRun || request.pending() > 0
+	if action.Kind == Reject && request.class.Effect != Idempotent && mayHaveRun {
+		require.Failf(e.t, "rejection of a request that may have run and is not idempotent", "%+v", action)
 	}
 }
 
-// checkSend checks that an attempt may be sent, and to this node.
-func (w *randomWorld) checkSend(action Action, request *trackedRequest) {
+// checkSend checks that an attempt of the request may be sent to the action's node.
+func (e *randomEnvironment) checkSend(action Action, request *trackedRequest) {
 	pending := request.pending()
-	if request.class.Effect == NonIdempotent && (request.mayRun || pending > 0) {
-		require.Failf(w.t, "an unsafe request that may have run is sent again", "%+v", action)
+	if request.class.Effect == NonIdempotent && (request.mayHaveRun || pending > 0) {
+		require.Failf(e.t, "repeated send of a non-idempotent request that may have run", "%+v", action)
 	}
-	if pending > 0 && !w.settings.CanHedge || len(request.attempts) >= w.settings.MaxAttempts {
-		require.Failf(w.t, "one attempt too many", "%+v", action)
+	if pending > 0 && !e.settings.CanHedge || len(request.attempts) >= e.settings.MaxAttempts {
+		require.Failf(e.t, "send beyond the limit of attempts", "%+v", action)
 	}
-	if since, listed := w.drainingSince[action.Node]; listed && w.now > since+w.settings.DrainGrace {
-		require.Failf(w.t, "sent to a draining node", "%+v, %v after the list", action, w.now-since)
+	if since, listed := e.drainingSince[action.Node]; listed && e.now > since+e.settings.DrainGrace {
+		require.Failf(e.t, "send to a node after its drain grace",
+			"%+v, %v after the list", action, e.now-since)
 	}
-	if _, replica := w.replica[action.Node]; replica && w.settings.StaleReads == StaleAnswered {
-		if !w.isFresh(request, w.position[action.Node]) {
-			require.Failf(w.t, "a read at a replica not proven fresh", "%+v, kind %d", action, request.class.Read)
+	if _, replica := e.replicaAt[action.Node]; replica && e.settings.StaleReads == StaleAnswered {
+		if !e.isFresh(request, e.position[action.Node]) {
+			require.Failf(e.t, "read sent to a replica that is not known to be fresh",
+				"%+v, kind %d", action, request.class.Read)
 		}
 	}
 }
 
-// isFresh reports whether a replica of this position may answer the request.
-func (w *randomWorld) isFresh(request *trackedRequest, position time.Duration) bool {
+// isFresh reports whether a replica with the given position may answer the request.
+func (e *randomEnvironment) isFresh(request *trackedRequest, position time.Duration) bool {
 	switch request.class.Read {
 	case BoundedRead:
-		return w.now-position <= request.class.MaxAge
+		return e.now-position <= request.class.MaxAge
 	case SessionRead, FreshRead:
-		return position >= request.need
+		return position >= request.minPosition
 	}
 	return true
 }
 
-// checkDeadlines checks that every request has its final answer by its deadline.
-func (w *randomWorld) checkDeadlines() {
-	for _, id := range w.open {
-		if request := w.requests[id]; !request.over && w.now >= request.deadline {
-			require.Failf(w.t, "no final answer at the deadline", "request %d", id)
+// checkDeadlines checks that every request has received its final answer by its deadline.
+func (e *randomEnvironment) checkDeadlines() {
+	for _, id := range e.open {
+		if request := e.requests[id]; !request.done && e.now >= request.deadline {
+			require.Failf(e.t, "no final answer at the deadline", "request %d", id)
 		}
 	}
 }
 
-// The rules, checked on random events under random settings; and equal events give equal actions.
+// Under random settings and events, every action complies with the rules, and equal events give equal actions.
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			world := newRandomWorld(t, seed)
-			router, twin := New(world.settings, seed), New(world.settings, seed)
-			events := []Event{{Kind: ListComplete, Nodes: world.list()}}
+			environment := newRandomEnvironment(t, seed)
+			router, second := New(environment.settings, seed), New(environment.settings, seed)
+			events := []Event{{Kind: ListComplete, Nodes: environment.list()}}
 			for round := range 1500 {
 				if round > 0 {
-					events = world.batch()
+					events = environment.batch()
 				}
-				actions := router.Step(world.now, events, nil)
-				require.Equal(t, actions, twin.Step(world.now, events, nil), "equal events")
+				actions := router.Step(environment.now, events, nil)
+				require.Equal(t, actions, second.Step(environment.now, events, nil), "equal events")
 				for _, action := range actions {
-					world.check(action)
+					environment.check(action)
 				}
-				world.checkDeadlines()
+				environment.checkDeadlines()
 			}
 		})
 	}
--- a/routing/remotetime_test.go
+++ b/routing/remotetime_test.go
@@ -10,10 +10,11 @@
 	"capercove/internal/clockoffset"
 )
 
-// offsetError is how far the bounds of the tests are off the true offset, each way.
+// offsetError is the distance of each bound of the offset from the true offset.
 const offsetError = 10 * ms
 
-// newSkewedHarness is a router whose clock is behind the nodes' by an offset, and knows it to within offsetError.
+// newSkewedHarness returns a harness whose router's clock is behind the nodes' clock by an offset. The router knows the
+// offset to within offsetError, or has no estimate if it is 0.
 func newSkewedHarness(t *testing.T, settings Settings, offset time.Duration) *routerHarness {
 	harness := newEmptyHarness(t, settings, 1)
 	harness.now = 2 * start
@@ -21,11 +22,11 @@
 	if offset != 0 {
 		harness.learnOffset(offset)
 	}
-	harness.probed(1, Primary, harness.now+offset)
+	harness.probeSucceeded(1, Primary, harness.now+offset)
 	return harness
 }
 
-// learnOffset passes bounds of the offset to the router.
+// learnOffset passes the bounds of an offset to the router.
 func (h *routerHarness) learnOffset(offset time.Duration) {
 	h.step(Event{Kind: ClockOffset, Clock: clockoffset.Bounds{
 		Earliest: offset - offsetError, Latest: offset + offsetError,
@@ -40,23 +41,23 @@
 	}
 }
 
-// offsetRead is a read beside two replicas of the same position.
+// offsetRead is a read that arrives while two replicas have the same position.
 type offsetRead struct {
-	class     int
-	age       time.Duration // of the replicas' positions
-	lastWrite time.Duration // before now; 0: none
-	replica   bool          // a replica may answer
+	class    int
+	age      time.Duration // of the replicas' positions
+	writeAge time.Duration // age of the session's last write; 0: none
+	replica  bool          // the read goes to a replica
 }
 
-// What may go to replicas does not depend on the router's own clock: of bounded reads (200 ms here), fresh reads, and
-// reads of a session that has written.
-func TestReadsUnderAnOffset(t *testing.T) {
+// Which reads may go to a replica does not depend on the offset between the clocks. This applies to bounded reads,
+// which here accept data up to 200 ms old, to fresh reads, and to session reads after a write.
+func TestReadsGoOnlyToFreshReplicasUnderAnOffset(t *testing.T) {
 	reads := map[string]offsetRead{
 		"bounded, recent":                   {class: classBounded, age: 150 * ms, replica: true},
 		"bounded, too old":                  {class: classBounded, age: 201 * ms},
 		"fresh, position before it arrived": {class: classFresh, age: ms},
-		"session, write applied":            {class: classSession, age: 300 * ms, lastWrite: 400 * ms, replica: true},
-		"session, write not applied":        {class: classSession, age: 300 * ms, lastWrite: 200 * ms},
+		"session, write applied":            {class: classSession, age: 300 * ms, writeAge: 400 * ms, replica: true},
+		"session, write not applied":        {class: classSession, age: 300 * ms, writeAge: 200 * ms},
 		"session without a write":           {class: classSession, age: time.Hour / 2, replica: true},
 	}
 	forEachOffset(t, func(t *testing.T, offset time.Duration) {
@@ -66,17 +67,17 @@
 	})
 }
 
-// requireOffsetRead requires that the read goes to a replica if one may answer, and else to the primary if anywhere.
+// requireOffsetRead requires that the read is sent to a replica if read.replica is set, and to no replica otherwise.
 func requireOffsetRead(t *testing.T, offset time.Duration, read offsetRead) {
 	t.Helper()
 	harness := newSkewedHarness(t, defaultSettings(), offset)
 	for _, id := range []NodeID{2, 3} {
-		harness.probed(id, Replica, harness.now+offset-read.age)
+		harness.probeSucceeded(id, Replica, harness.now+offset-read.age)
 	}
 	arrived := harness.now
 	arrival := Arrival{Class: read.class, Session: 7, TimeLeft: time.Second}
-	if read.lastWrite > 0 {
-		arrival.LastWrite = arrived + offset - read.lastWrite
+	if read.writeAge > 0 {
+		arrival.LastWrite = arrived + offset - read.writeAge
 	}
 	actions := append(harness.arriveAs(7, arrival), harness.wait(100*ms)...)
 	for _, action := range actions {
@@ -88,40 +89,40 @@
 		harness.requireActions("read", actions, Send)
 	}
 	if read.replica && read.class == classBounded {
-		// The proof's end by the router's clock.
+		// The time of the router's clock at which the position becomes too old.
 		end := arrived - read.age + harness.router.settings.Classes[classBounded].MaxAge
 		require.LessOrEqual(t, actions[0].WriteBy, end)
 		require.GreaterOrEqual(t, actions[0].WriteBy, end-2*offsetError)
 	}
 }
 
-// A session's write whose answer was lost may have been committed up to now, by whatever clock; what is remembered of
-// it stays right when the offset becomes known later.
-func TestLostWriteUnderAnOffset(t *testing.T) {
+// A session's write whose answer was lost may have been committed until the attempt ended. The stored position is still
+// correct if the offset becomes known later.
+func TestSessionReadSeesLostWriteUnderAnOffset(t *testing.T) {
 	forEachOffset(t, func(t *testing.T, offset time.Duration) {
 		settings := defaultSettings()
 		settings.KeepSessions = true
 		harness := newSkewedHarness(t, settings, 0)
 		harness.arriveAs(1, Arrival{Class: classWrite, Session: 7, TimeLeft: 2 * time.Second})
 		harness.done(1, 0, 1, TimedOut, Evidence{})
-		lost := harness.now
+		lostAt := harness.now
 		harness.wait(500 * ms)
 		harness.learnOffset(offset)
-		harness.probed(1, Primary, harness.now+offset)
-		harness.probed(2, Replica, lost+offset-20*ms)
-		harness.probed(3, Replica, lost+offset-20*ms)
+		harness.probeSucceeded(1, Primary, harness.now+offset)
+		harness.probeSucceeded(2, Replica, lostAt+offset-20*ms)
+		harness.probeSucceeded(3, Replica, lostAt+offset-20*ms)
 		read := Arrival{Class: classSession, Session: 7, TimeLeft: time.Second}
 		for _, action := range harness.arriveAs(2, read) {
 			if action.Kind == Send {
-				require.Equal(t, NodeID(1), action.Node, "a session's read at a replica that may lack its write")
+				require.Equal(t, NodeID(1), action.Node, "session read at a replica that may lack the write")
 			}
 		}
 	})
 }
 
-// A node that started a second ago is warming up, whatever the router's own clock, also when it was listed before the
-// offset was known; one that started long ago is warm.
-func TestSlowStartUnderAnOffset(t *testing.T) {
+// A node that started a second ago is warming up, and one that started 11 s ago is warm. The offset between the clocks
+// makes no difference, nor does it matter whether the node was listed before the offset was known.
+func TestSlowStartIsIndependentOfTheOffset(t *testing.T) {
 	forEachOffset(t, func(t *testing.T, offset time.Duration) {
 		for name, listedFirst := range map[string]bool{"listed after": false, "listed before": true} {
 			t.Run(name, func(t *testing.T) {
@@ -135,7 +136,7 @@
 				if listedFirst {
 					harness.learnOffset(offset)
 				}
-				// A share of 0.2, which grows to 1 in 10 s.
+				// The share starts at 0.2 and grows to 1 in 10 s.
 				for id, want := range map[NodeID]float64{1: 1, 2: 0.28, 3: 1} {
 					share := harness.router.capacityShare(harness.router.byID[id])
 					require.LessOrEqual(t, share, want, "node %d", id)
@@ -146,9 +147,9 @@
 	})
 }
 
-// The newest evidence of a node's role counts, whether its time is of the router's own clock, as of answers, or of the
-// nodes', as of reports.
-func TestRolesUnderAnOffset(t *testing.T) {
+// The newest evidence of a node's role applies. The time of an answer is by the router's clock and that of a report by
+// the nodes' clock.
+func TestNewestRoleEvidenceAppliesUnderAnOffset(t *testing.T) {
 	forEachOffset(t, func(t *testing.T, offset time.Duration) {
 		harness := newSkewedHarness(t, defaultSettings(), offset)
 		requireRole := func(want Role, when string) {
@@ -159,25 +160,25 @@
 		harness.now += 100 * ms
 		harness.done(1, 0, 1, NodeRejected, Evidence{Role: Replica, Position: harness.now + offset - 10*ms})
 		requireRole(Replica, "after an answer")
-		harness.probed(1, Primary, harness.now+offset-50*ms)
-		requireRole(Replica, "after a report from before the answer")
+		harness.probeSucceeded(1, Primary, harness.now+offset-50*ms)
+		requireRole(Replica, "after a report that is older than the answer")
 		harness.now += 100 * ms
-		harness.probed(1, Primary, harness.now+offset)
-		requireRole(Primary, "after a report from after the answer")
+		harness.probeSucceeded(1, Primary, harness.now+offset)
+		requireRole(Primary, "after a report that is newer than the answer")
 	})
 }
 
-// Before the offset is known, a position that lies in the future of the router's own clock proves nothing; and if the
-// bounds say that it can't be known, no replica is fresh for any read that needs fresh data.
+// Before the first estimate of the offset, a position in the future of the router's clock is ignored. If the bounds say
+// that the offset is unknown, no replica counts as fresh for a read that requires fresh data.
 func TestNothingIsFreshWhileTheOffsetIsUnknown(t *testing.T) {
-	for name, reported := range map[string]bool{"no bounds yet": false, "bounds report it unknown": true} {
+	for name, reportsUnknown := range map[string]bool{"no estimate yet": false, "estimate is unknown": true} {
 		t.Run(name, func(t *testing.T) {
 			harness := newSkewedHarness(t, defaultSettings(), 0)
-			if reported {
+			if reportsUnknown {
 				harness.step(Event{Kind: ClockOffset, Clock: clockoffset.Bounds{Latest: clockoffset.Unknown}})
 			}
-			harness.probed(2, Replica, harness.now+time.Hour-5*time.Second)
-			harness.probed(3, Replica, harness.now+time.Hour-5*time.Second)
+			harness.probeSucceeded(2, Replica, harness.now+time.Hour-5*time.Second)
+			harness.probeSucceeded(3, Replica, harness.now+time.Hour-5*time.Second)
 			for _, class := range []int{classBounded, classSession, classFresh} {
 				arrival := Arrival{
 					Class: class, Session: 7, TimeLeft: time.Second, LastWrite: harness.now + time.Hour,
@@ -185,7 +186,7 @@
 				actions := harness.arriveAs(RequestID(class+1), arrival)
 				for _, action := range append(actions, harness.wait(100*ms)...) {
 					if action.Kind == Send {
-						require.Equal(t, NodeID(1), action.Node, "a read of class %d", class)
+						require.Equal(t, NodeID(1), action.Node, "read of class %d", class)
 					}
 				}
 			}
@@ -193,9 +194,9 @@
 	}
 }
 
-// An offset of zero is as none: the same actions on the same events.
+// An estimated offset of 0 gives the same actions as no estimate.
 func TestOffsetOfZeroChangesNothing(t *testing.T) {
-	play := func(event ...Event) (actions [][]Action) {
+	run := func(event ...Event) (actions [][]Action) {
 		harness := newHarness(t, defaultSettings())
 		for id := RequestID(1); id < 200; id++ {
 			harness.step(event...)
@@ -206,14 +207,14 @@
 		}
 		return actions
 	}
-	require.Equal(t, play(), play(Event{Kind: ClockOffset}))
+	require.Equal(t, run(), run(Event{Kind: ClockOffset}))
 }
 
-// The status of how far a node was behind is by the nodes' clock.
-func TestStatusUnderAnOffset(t *testing.T) {
+// NodeStatus.Behind accounts for the offset between the clocks.
+func TestStatusReportsLagUnderAnOffset(t *testing.T) {
 	forEachOffset(t, func(t *testing.T, offset time.Duration) {
 		harness := newSkewedHarness(t, defaultSettings(), offset)
-		harness.probed(2, Replica, harness.now+offset-700*ms)
+		harness.probeSucceeded(2, Replica, harness.now+offset-700*ms)
 		for _, status := range harness.router.NodeStatuses(nil) {
 			if status.ID == 2 {
 				require.GreaterOrEqual(t, status.Behind, 700*ms)
@@ -223,9 +224,9 @@
 	})
 }
 
-// Answers count towards a warming node's budget only from the start of its present process on, which the list reports
-// by the nodes' clock.
-func TestAnswersOfTheProcessBeforeAStart(t *testing.T) {
+// Only answers received since the start of its present process count towards the budget of a node that is warming up.
+// The list reports that start by the nodes' clock, and processStart converts it to the router's clock.
+func TestProcessStartIsConvertedToTheRoutersClock(t *testing.T) {
 	for name, offset := range map[string]time.Duration{
 		"clocks agree":                 0,
 		"the router's clock is ahead":  -time.Hour,
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A router with nothing to place wakes a few times a second, not a hundred: so many of them, idle, would keep their
-// machine busy for nothing. With a request open it is back at once.
+// An idle router wakes up about 20 times per second instead of 100: many idle routers would otherwise load their
+// machine. With an open request it wakes up 100 times per second.
 func TestIdleRouterWakesRarely(t *testing.T) {
 	harness := newHarness(t, defaultSettings())
 	harness.now += time.Second
@@ -20,19 +20,19 @@
 			}
 		}
 	}
-	wakesInASecond := func() (wakes int) {
+	wakeupsInASecond := func() (wakeups int) {
 		for end := harness.now + time.Second; harness.now < end; harness.now += ms {
 			if harness.now >= due {
 				step(Event{Kind: TimerFired})
-				wakes++
+				wakeups++
 			}
 		}
-		return wakes
+		return wakeups
 	}
-	require.LessOrEqual(t, wakesInASecond(), int(time.Second/retrySpacing)+1, "idle")
+	require.LessOrEqual(t, wakeupsInASecond(), int(time.Second/retrySpacing)+1, "wakeups while idle")
 	harness.router.byID[1].role = Replica // no primary
 	step(arrivalEvent(7, Arrival{Class: classWrite, TimeLeft: time.Minute}))
-	require.GreaterOrEqual(t, wakesInASecond(), int(time.Second/tickInterval)-1, "with a request open")
+	require.GreaterOrEqual(t, wakeupsInASecond(), int(time.Second/tickInterval)-1, "wakeups with an open request")
 }
 
 // BenchmarkRequest measures one request, from its arrival to its answer.
--- a/routing/shedding_test.go
+++ b/routing/shedding_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Incident i10e2be: with no replica fresh, the reads that the primary takes are bounded.
+// Incident i10e2be: while no replica is fresh, the number of reads in flight at the primary is bounded.
 func TestReadsAtThePrimaryAreBounded(t *testing.T) {
 	harness := newHarnessWith(t, func(settings *Settings) { settings.CanProbe = false })
-	harness.now += 500 * ms // every position is too old now
+	harness.now += 500 * ms // every position is too old by now
 	for id := RequestID(10); id < 200; id++ {
 		harness.arrive(id, classBounded)
 	}
--- a/routing/slowstart_budget_test.go
+++ b/routing/slowstart_budget_test.go
@@ -10,16 +10,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newWarmingHarness starts a router whose only node is a primary that has just started.
+// newWarmingHarness returns a harness whose router has one node, a primary that has just started.
 func newWarmingHarness(t *testing.T) *routerHarness {
 	harness := newHarness(t, defaultSettings())
 	harness.list(Node{ID: 1, State: Ready, Started: harness.now}, Node{ID: 2, State: Gone}, Node{ID: 3, State: Gone})
-	harness.probed(1, Primary, harness.now+1)
+	harness.probeSucceeded(1, Primary, harness.now+1)
 	return harness
 }
 
-// burst has that many writes arrive, beginning with the request first, and returns how many were sent. If answered,
-// each ends at once.
+// burst passes writes with consecutive IDs from first to the router and returns how many were sent. If answered is
+// true, each one is answered at once.
 func (h *routerHarness) burst(first RequestID, writes int, answered bool) (sent int) {
 	for id := first; id < first+RequestID(writes); id++ {
 		for _, action := range h.arrive(id, classWrite) {
@@ -35,10 +35,10 @@
 	return sent
 }
 
-// Sends to a node that is warming up, within one overload window, stay within the budget, for writes to a primary that
-// is warming up too. What it answers in the window pays for more of them, and expires with the window: a router that
-// has seen no other answer, as one just started, would otherwise never send it more than the least.
-func TestSlowStartBudget(t *testing.T) {
+// Writes to a primary that is warming up stay within the budget of an overload window. Answers in the window raise the
+// budget and expire with the window. Without them, a router that has received no other answers, such as one that has
+// just started, would never send more than minSlowStartSends.
+func TestSlowStartBudgetGrowsWithAnswers(t *testing.T) {
 	t.Run("no answers", func(t *testing.T) {
 		sent := newWarmingHarness(t).burst(10, 50, false)
 		require.Positive(t, sent)
@@ -51,16 +51,16 @@
 		harness := newWarmingHarness(t)
 		answered := harness.burst(10, 8, true)
 		require.Equal(t, 8, answered)
-		most := int(math.Ceil(0.5 * harness.router.settings.OverloadMultiple * float64(answered)))
-		require.Equal(t, most, answered+harness.burst(20, 50, false), "sends in a window with 8 answers")
+		maxSends := int(math.Ceil(0.5 * harness.router.settings.OverloadMultiple * float64(answered)))
+		require.Equal(t, maxSends, answered+harness.burst(20, 50, false), "sends in a window with 8 answers")
 		harness.wait(2 * harness.router.settings.OverloadWindow) // the writes that wait meanwhile are rejected
 		sent := harness.burst(100, 50, false)
-		require.LessOrEqual(t, float64(sent), float64(minSlowStartSends), "a window after the last answer")
+		require.LessOrEqual(t, float64(sent), float64(minSlowStartSends), "sends after the answers expired")
 	})
 }
 
-// A start that becomes known late: what was sent in the window before counts, and what an earlier process answered is
-// no evidence of what the new one can do.
+// If the router learns of a restart late, what it sent in the window before counts towards the budget. Answers of the
+// earlier process do not raise the budget of the new one.
 func TestSlowStartBudgetOfAStartLearnedLate(t *testing.T) {
 	harness := newHarness(t, defaultSettings())
 	harness.list(Node{ID: 1, State: Ready}, Node{ID: 2, State: Gone}, Node{ID: 3, State: Gone})
@@ -69,22 +69,22 @@
 		return len(actions) == 1 && actions[0].Kind == Send
 	}
 	for id := RequestID(10); id < 20; id++ {
-		require.True(t, isSent(id), "write %d at a warm primary waits", id)
+		require.True(t, isSent(id), "write %d to a warm primary was not sent", id)
 		harness.done(id, 0, 1, OK, Evidence{Role: Primary, Position: harness.now})
 	}
 	harness.now += 500 * ms
 	started := harness.now - 100*ms
 	harness.list(Node{ID: 1, State: Ready, Started: started}, Node{ID: 2, State: Gone}, Node{ID: 3, State: Gone})
-	harness.probed(1, Primary, harness.now)
+	harness.probeSucceeded(1, Primary, harness.now)
 	for id := RequestID(30); id < 35; id++ {
-		require.False(t, isSent(id), "write %d at a warming primary beside the ten of the same window", id)
+		require.False(t, isSent(id), "write %d to a warming primary was sent after ten others in the window", id)
 	}
 	harness.wait(2 * harness.router.settings.OverloadWindow) // the writes that wait meanwhile are rejected
-	require.True(t, isSent(40), "a write waits though a window has passed")
+	require.True(t, isSent(40), "a write was not sent after the window had passed")
 }
 
-// newWarmingRouter is one of many routers before a node that has just started and, when warm, completes that many
-// requests a second.
+// newWarmingRouter returns one of many routers with a node that has just started. Once warm, the node completes perNode
+// requests per second.
 func newWarmingRouter(settings Settings, index int, perNode float64) *Router {
 	router := New(settings, uint64(index)*7919+1)
 	router.now = start
@@ -93,7 +93,7 @@
 	return router
 }
 
-// trySlowStartSend sends the warming node a request if the budget allows it, and reports whether it did.
+// trySlowStartSend sends the warming node a request of mean work if the budget allows it. It reports whether it did.
 func trySlowStartSend(router *Router) bool {
 	node := router.byID[1]
 	if !router.withinSlowStart(node, &openRequest{class: &router.settings.Classes[classAny]}) {
@@ -103,16 +103,16 @@
 	return true
 }
 
-// One node is warming up; 90 routers with one send each to spare must not add up to 90 sends. All routers together
-// keep to the stated multiple of what the node can do at that moment.
+// If each of 90 routers always had one send left for a node that is warming up, they could send 90 requests at once.
+// All routers together must stay within OverloadMultiple times the node's current capacity.
 func TestSlowStartBudgetHoldsForAllRoutersTogether(t *testing.T) {
 	for _, routers := range []int{1, 3, 30, 90, 290} {
 		t.Run(fmt.Sprintf("%d routers", routers), func(t *testing.T) {
 			settings := defaultSettings()
 			settings.Routers = routers
-			const perNode = 60.0 // completions a second on a warm node
-			grown := float64(settings.OverloadWindow/2) / float64(settings.SlowStartTime)
-			share := settings.SlowStartShare + (1-settings.SlowStartShare)*grown
+			const perNode = 60.0 // completions per second of a warm node
+			elapsedShare := float64(settings.OverloadWindow/2) / float64(settings.SlowStartTime)
+			share := settings.SlowStartShare + (1-settings.SlowStartShare)*elapsedShare
 			sent := 0
 			for i := range routers {
 				router := newWarmingRouter(settings, i, perNode)
@@ -130,14 +130,14 @@
 	}
 }
 
-// Requests arrive at each of many routers now and then only. What a warming node can take is used all the same: the
-// chance to send it one must not be over before there is a request to send, nor may all routers have it at once.
+// Many routers with sparse requests still use the budget of a warming node. A router's random permission to send must
+// last until a request arrives, and the routers must not all have it at the same time.
 func TestSlowStartBudgetIsUsedBySparseRequests(t *testing.T) {
 	settings := defaultSettings()
 	settings.Routers = 300
 	const (
-		perNode     = 60.0 // completions a second on a warm node
-		arrivalRate = 0.7  // requests a second at each router
+		perNode     = 60.0 // completions per second of a warm node
+		arrivalRate = 0.7  // requests per second at each router
 	)
 	var routers []*Router
 	for i := range settings.Routers {
@@ -147,7 +147,7 @@
 	window := int(settings.OverloadWindow / tickInterval)
 	steps := int(settings.SlowStartTime * 4 / 5 / tickInterval)
 	sends := make([]int, steps)
-	total, mostUsed := 0, 0.0
+	total, maxUsed := 0, 0.0
 	for step := range steps {
 		for _, router := range routers {
 			router.now = start + time.Duration(step)*tickInterval
@@ -162,10 +162,10 @@
 		}
 		share := float64(routers[0].capacityShare(routers[0].byID[1]))
 		budget := settings.OverloadMultiple * share * perNode * settings.OverloadWindow.Seconds()
-		mostUsed = max(mostUsed, float64(inWindow)/budget)
+		maxUsed = max(maxUsed, float64(inWindow)/budget)
 	}
 	duration := float64(steps) * tickInterval.Seconds()
 	allowed := float64(settings.SlowStartShare+1) / 2 * perNode * settings.OverloadMultiple * duration
-	require.GreaterOrEqual(t, float64(total)/allowed, 0.2, "share of what the node can take that is sent")
-	require.LessOrEqual(t, mostUsed, 0.8, "in the worst window")
+	require.GreaterOrEqual(t, float64(total)/allowed, 0.2, "share of the budget that is used")
+	require.LessOrEqual(t, maxUsed, 0.8, "share of the budget that is used in the worst window")
 }
--- a/routing/slowstart_fleet_test.go
+++ b/routing/slowstart_fleet_test.go
@@ -7,58 +7,58 @@
 	"time"
 )
 
-// This file simulates the slow start of a fleet: many routers on one virtual clock and databases that take time for
-// their work. What a warming database is sent in any overload window, in work of the mean request, has to stay within
-// what the settings allow then.
+// This file simulates the slow start of a fleet: routers and databases on one virtual clock. The databases need time
+// for each request. The work sent to a warming database in any overload window must stay within the limit that the
+// settings set for its current capacity. Work is counted in units of the mean request's work.
 
-// workload is a class's share of the requests and its work, as a multiple of the lightest class's.
+// workload is a class's share of the requests and its mean work, as a multiple of the lightest class's.
 type workload struct {
 	class       int
 	share, work float64
 }
 
-// spread is how requests are distributed over the routers.
+// spread is the distribution of requests over the routers.
 type spread int
 
 const (
 	evenSpread  spread = iota
-	oneHasMost         // one router has nine tenths
-	tenthActive        // nine in ten routers have no request
+	oneHasMost         // one router receives nine tenths of the requests
+	tenthActive        // nine tenths of the routers receive no requests
 )
 
-// The databases of a fleet, and the time that it runs for.
+// The databases of a fleet and the duration of its phases.
 const (
-	fleetDatabases        = 5 // of the group; the first is the primary
+	fleetDatabases        = 5 // in one group; the first is the primary
 	fleetCores            = 3
 	fleetMeanWork         = 80 * ms
-	fleetQueue            = 12 // requests for each core, running or waiting; more are rejected
+	fleetQueue            = 12 // running and waiting requests per core; more are rejected
 	fleetWarmUp           = 4 * time.Second
 	fleetColdPhase        = 6 * time.Second // after the restart
 	fleetSlowStartTime    = 10 * time.Second
 	fleetOverloadMultiple = 2.5
 )
 
-// database has cores that work through a queue, as fast as it is warm.
+// database simulates cores that serve a queue of requests, at a speed proportional to the database's capacity share.
 type database struct {
 	id          NodeID
-	freeAt      [fleetCores]time.Duration // when each core has done its work
+	freeAt      [fleetCores]time.Duration // when each core has completed its work
 	started     time.Duration             // 0: long ago
-	sends       []weightedSend            // since the start
-	inWindow    float64                   // work of sends
-	worst       float64                   // the most work sent in a window, as a share of what it can take
+	sends       []weightedSend            // in the current window, while warming up
+	windowWork  float64                   // total work of sends
+	worst       float64                   // the most work sent in a window, as a share of the limit
 	inFlight    int
-	overloaded  bool    // sent too much by routers that could not know of the start
-	sentWork    float64 // while cold
-	allowedWork float64 // while cold, by the multiple
+	overloaded  bool    // exceeded the limit before the routers could know of the start
+	sentWork    float64 // total work sent while warming up
+	allowedWork float64 // total work that OverloadMultiple allows while warming up
 }
 
-// weightedSend is a request's send, with its work.
+// weightedSend is the time and the work of a request that was sent.
 type weightedSend struct {
 	at   time.Duration
 	work float64
 }
 
-// result is an event that reaches a router later.
+// result is an event that reaches a router at a later time.
 type result struct {
 	at       time.Duration
 	order    int
@@ -67,7 +67,7 @@
 	database *database
 }
 
-// results are ordered by time, and then by the order in which they were made.
+// results is a heap, ordered by time and then by the order of creation.
 type results []result
 
 func (r results) Len() int { return len(r) }
@@ -82,36 +82,36 @@
 	return last
 }
 
-// slowFleet is routers and databases on one virtual clock.
+// slowFleet simulates the routers and databases of a scenario.
 type slowFleet struct {
 	slowStartScenario
 	settings  Settings
 	rng       *rand.Rand
 	now       time.Duration
 	running   []*Router
-	due       []time.Duration // of each router's timer
+	wakeAt    []time.Duration // when each router's next step is due
 	events    [][]Event       // of each router's next step
 	databases map[NodeID]*database
 	queue     results
 	order     int
-	next      RequestID
+	lastID    RequestID
 	work      map[RequestID]float64 // in units of the mean request
 	attempts  map[RequestID]int
 }
 
-// newSlowFleet starts the routers of a scenario.
+// newSlowFleet returns the fleet of a scenario with all routers started.
 func newSlowFleet(scenario slowStartScenario) *slowFleet {
 	settings := defaultSettings()
 	settings.Routers = scenario.statedRouters
 	settings.CanHedge = false
 	settings.SlowStartShare, settings.SlowStartTime = scenario.coldShare, fleetSlowStartTime
 	settings.OverloadMultiple, settings.OverloadWindow = fleetOverloadMultiple, scenario.window
-	reports := &settings.Classes[classAny]
-	reports.LatencyObjective, reports.Deadline = 5*time.Second, 10*time.Second
+	longReads := &settings.Classes[classAny]
+	longReads.LatencyObjective, longReads.Deadline = 5*time.Second, 10*time.Second
 	fleet := &slowFleet{
 		slowStartScenario: scenario, settings: settings, rng: rand.New(rand.NewPCG(scenario.seed, 11)), now: start,
 		databases: map[NodeID]*database{}, work: map[RequestID]float64{}, attempts: map[RequestID]int{},
-		events: make([][]Event, scenario.routers), due: make([]time.Duration, scenario.routers),
+		events: make([][]Event, scenario.routers), wakeAt: make([]time.Duration, scenario.routers),
 	}
 	for id := NodeID(1); id <= fleetDatabases; id++ {
 		fleet.databases[id] = &database{id: id}
@@ -122,14 +122,14 @@
 	return fleet
 }
 
-// newRouter starts the router of that index with a complete list.
+// newRouter starts the router with the given index and passes a complete list to its next step.
 func (f *slowFleet) newRouter(index int) *Router {
 	f.events[index] = []Event{{Kind: ListComplete, Nodes: f.list()}}
-	f.due[index] = f.now
+	f.wakeAt[index] = f.now
 	return New(f.settings, f.seed+uint64(index)*7919+1)
 }
 
-// list is the endpoint list as of now.
+// list returns the current endpoint list.
 func (f *slowFleet) list() (list []Node) {
 	for id := NodeID(1); id <= fleetDatabases; id++ {
 		list = append(list, Node{ID: id, State: Ready, Started: f.databases[id].started})
@@ -137,7 +137,7 @@
 	return list
 }
 
-// capacityShare is the share of its capacity that a database has at a time.
+// capacityShare returns the share of its full capacity that a database has at a time.
 func (f *slowFleet) capacityShare(target *database, at time.Duration) float64 {
 	if target.started == 0 || at >= target.started+fleetSlowStartTime {
 		return 1
@@ -145,7 +145,7 @@
 	return f.coldShare + (1-f.coldShare)*float64(at-target.started)/float64(fleetSlowStartTime)
 }
 
-// evidence is what a database reports of itself.
+// evidence returns what a database reports about itself.
 func (f *slowFleet) evidence(target *database) Evidence {
 	if target.id == 1 {
 		return Evidence{Role: Primary, Position: f.now}
@@ -157,8 +157,8 @@
 	return Evidence{Role: Replica, Position: position}
 }
 
-// take has a database take a request; it returns when the request ends and how.
-func (f *slowFleet) take(target *database, work float64) (time.Duration, Status) {
+// serve passes a request to a database. It returns the time at which the request ends and its status.
+func (f *slowFleet) serve(target *database, work float64) (time.Duration, Status) {
 	if target.started > 0 && f.now < target.started+fleetSlowStartTime {
 		f.recordSend(target, work)
 	}
@@ -172,56 +172,57 @@
 			core = i
 		}
 	}
-	from := max(f.now, target.freeAt[core])
-	target.freeAt[core] = from + time.Duration(work*float64(fleetMeanWork)/f.capacityShare(target, from))
+	begin := max(f.now, target.freeAt[core])
+	target.freeAt[core] = begin + time.Duration(work*float64(fleetMeanWork)/f.capacityShare(target, begin))
 	return target.freeAt[core] + ms, OK
 }
 
-// recordSend compares what a warming database is sent in a window with what it can take, by its capacity at the middle
-// of the window. Some standard deviations are allowed for, as the work of requests is random.
+// recordSend compares the work sent to a warming database in a window with its limit, which is computed from the
+// capacity in the middle of the window. The limit includes two or three standard deviations: the work of requests is
+// random.
 func (f *slowFleet) recordSend(target *database, work float64) {
 	window := f.settings.OverloadWindow
 	target.sends = append(target.sends, weightedSend{f.now, work})
-	target.inWindow += work
+	target.windowWork += work
 	target.sentWork += work
 	for f.now-target.sends[0].at > window {
-		target.inWindow -= target.sends[0].work
+		target.windowWork -= target.sends[0].work
 		target.sends = target.sends[1:]
 	}
 	capacity := f.capacityShare(target, max(target.started, f.now-window/2)) * fleetCores / fleetMeanWork.Seconds()
 	mean := fleetOverloadMultiple * capacity * window.Seconds()
-	bound := mean + 2*math.Sqrt(mean) + 2
+	limit := mean + 2*math.Sqrt(mean) + 2
 	if mean < 30 {
-		bound = mean + 3*math.Sqrt(mean) + 3
+		limit = mean + 3*math.Sqrt(mean) + 3
 	}
-	if target.inWindow > bound && f.now < target.started+f.listDelay {
+	if target.windowWork > limit && f.now < target.started+f.listDelay {
 		target.overloaded = true
 	}
 	if !target.overloaded {
-		target.worst = max(target.worst, target.inWindow/bound)
+		target.worst = max(target.worst, target.windowWork/limit)
 	}
 }
 
-// later has an event reach a router at a time.
-func (f *slowFleet) later(at time.Duration, router int, event Event, target *database) {
+// schedule schedules an event for a router at a time. target is the database that it is from, or nil.
+func (f *slowFleet) schedule(at time.Duration, router int, event Event, target *database) {
 	f.order++
 	heap.Push(&f.queue, result{at: at, order: f.order, router: router, event: event, database: target})
 }
 
-// act carries out an action of a router.
-func (f *slowFleet) act(router int, action Action) {
+// execute executes an action of a router.
+func (f *slowFleet) execute(router int, action Action) {
 	switch action.Kind {
 	case SetTimer:
-		f.due[router] = f.now + action.Delay
+		f.wakeAt[router] = f.now + action.Delay
 	case Probe:
 		target := f.databases[action.Node]
-		f.later(f.now+tickInterval, router, Event{Kind: ProbeDone, Outcome: Outcome{
+		f.schedule(f.now+tickInterval, router, Event{Kind: ProbeDone, Outcome: Outcome{
 			Node: action.Node, Report: f.evidence(target),
 		}}, target)
 	case Send:
 		target := f.databases[action.Node]
-		end, status := f.take(target, f.work[action.Request])
-		f.later(end, router, Event{Kind: AttemptDone, Request: action.Request, Outcome: Outcome{
+		end, status := f.serve(target, f.work[action.Request])
+		f.schedule(end, router, Event{Kind: AttemptDone, Request: action.Request, Outcome: Outcome{
 			Node: action.Node, Attempt: f.attempts[action.Request],
 			Status: status, Duration: end - f.now, Final: status == OK,
 		}}, target)
@@ -229,7 +230,7 @@
 	}
 }
 
-// arrivals draws the requests of one tick.
+// arrivals adds the random requests of one tick to the routers' next steps.
 func (f *slowFleet) arrivals() {
 	meanWork := 0.0
 	for _, load := range f.mix {
@@ -238,17 +239,17 @@
 	mean := f.load * fleetDatabases * fleetCores / fleetMeanWork.Seconds() * tickInterval.Seconds()
 	for range f.poisson(mean) {
 		load := f.drawWorkload()
-		f.next++
-		f.work[f.next] = load.work / meanWork * f.rng.ExpFloat64()
+		f.lastID++
+		f.work[f.lastID] = load.work / meanWork * f.rng.ExpFloat64()
 		router := f.drawRouter()
-		f.events[router] = append(f.events[router], arrivalEvent(f.next, Arrival{
-			Class: load.class, Session: uint64(f.next), TimeLeft: f.settings.Classes[load.class].Deadline,
+		f.events[router] = append(f.events[router], arrivalEvent(f.lastID, Arrival{
+			Class: load.class, Session: uint64(f.lastID), TimeLeft: f.settings.Classes[load.class].Deadline,
 		}))
-		f.due[router] = f.now
+		f.wakeAt[router] = f.now
 	}
 }
 
-// drawWorkload draws one of the mix by its share.
+// drawWorkload returns a random workload of the mix, by the shares.
 func (f *slowFleet) drawWorkload() workload {
 	left := f.rng.Float64()
 	for _, load := range f.mix {
@@ -259,7 +260,7 @@
 	return f.mix[len(f.mix)-1]
 }
 
-// drawRouter draws the router that a request arrives at.
+// drawRouter returns the index of the router at which a request arrives, at random by the spread.
 func (f *slowFleet) drawRouter() int {
 	switch {
 	case f.spread == oneHasMost && f.rng.Float64() < 0.9:
@@ -270,7 +271,7 @@
 	return f.rng.IntN(f.routers)
 }
 
-// poisson draws a number of events by their mean.
+// poisson returns a random number from the Poisson distribution with the given mean.
 func (f *slowFleet) poisson(mean float64) (n int) {
 	for left := math.Exp(-mean); ; n++ {
 		if left /= max(f.rng.Float64(), 1e-12); left >= 1 {
@@ -279,7 +280,8 @@
 	}
 }
 
-// restartDatabases restarts the databases, and routers that start with them; the others' lists follow.
+// restartDatabases restarts the databases. Routers restart too if this is the first restart and the scenario restarts
+// them. Other routers receive a new list after listDelay.
 func (f *slowFleet) restartDatabases(first bool) {
 	for _, id := range f.restart {
 		old := f.databases[id]
@@ -288,15 +290,15 @@
 		}
 	}
 	for i := range f.running {
-		if first && f.freshRouters {
+		if first && f.restartRouters {
 			f.running[i] = f.newRouter(i)
 		} else {
-			f.later(f.now+f.listDelay, i, Event{Kind: ListUpdated, Nodes: f.list()}, nil)
+			f.schedule(f.now+f.listDelay, i, Event{Kind: ListUpdated, Nodes: f.list()}, nil)
 		}
 	}
 }
 
-// deliver passes the routers the results that are due. What was sent to a process that has ended is broken off.
+// deliver passes the due results to the routers. Attempts at a process that has ended have a broken connection.
 func (f *slowFleet) deliver() {
 	for len(f.queue) > 0 && f.queue[0].at <= f.now {
 		due := heap.Pop(&f.queue).(result)
@@ -311,13 +313,13 @@
 			}
 		}
 		f.events[due.router] = append(f.events[due.router], event)
-		f.due[due.router] = f.now
+		f.wakeAt[due.router] = f.now
 	}
 }
 
-// play runs the fleet. It returns the most that a warming database was sent in a window, as a share of what it can
-// take, and what they were sent in total, as a share of what the multiple allows.
-func (f *slowFleet) play() (worst, used float64) {
+// run runs the fleet. It returns worst, the most work that a warming database was sent in a window as a share of the
+// limit, and used, the work sent in total as a share of the work that OverloadMultiple allows.
+func (f *slowFleet) run() (worst, used float64) {
 	for end := start + fleetWarmUp + fleetColdPhase; f.now < end; f.now += tickInterval {
 		sinceRestart := f.now - start - fleetWarmUp
 		again := f.restartEvery > 0 && sinceRestart > 0 && sinceRestart%f.restartEvery == 0
@@ -337,21 +339,21 @@
 	return worst, used
 }
 
-// stepRouters runs the routers that have events or whose timers are due.
+// stepRouters steps the routers that have events or whose timers are due.
 func (f *slowFleet) stepRouters() {
 	for i, router := range f.running {
-		if f.due[i] > f.now {
+		if f.wakeAt[i] > f.now {
 			continue
 		}
 		events := append(f.events[i], Event{Kind: TimerFired})
-		f.events[i], f.due[i] = nil, f.now+time.Second
+		f.events[i], f.wakeAt[i] = nil, f.now+time.Second
 		for _, action := range router.Step(f.now, events, nil) {
-			f.act(i, action)
+			f.execute(i, action)
 		}
 	}
 }
 
-// addAllowedWork adds what the multiple allows the restarted databases to be sent in this tick.
+// addAllowedWork adds the work that OverloadMultiple allows for this tick to each restarted database.
 func (f *slowFleet) addAllowedWork() {
 	const perSecond = fleetOverloadMultiple * fleetCores
 	for _, id := range f.restart {
--- a/routing/subscription_test.go
+++ b/routing/subscription_test.go
@@ -8,17 +8,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// listCallTimeout is how long a caller waits for the discovery service.
+// listCallTimeout is the timeout of a call to the discovery service.
 const listCallTimeout = 2 * time.Second
 
-// newPolledSettings are those of routers that poll the endpoint list, which binds after 6 s.
+// newPolledSettings returns settings for routers that poll the endpoint list. Lists bind after 6 s.
 func newPolledSettings(routers int) Settings {
 	settings := defaultSettings()
 	settings.Routers, settings.ListIsPolled, settings.ListBindsAfter = routers, true, 6*time.Second
 	return settings
 }
 
-// Where the list is polled, a failed call is repeated, ever later.
+// If the list is polled, a call is repeated after a failure, but not while it is pending or after it has succeeded.
 func TestFailedListCallIsRepeated(t *testing.T) {
 	settings := defaultSettings()
 	settings.ListIsPolled = true
@@ -31,13 +31,13 @@
 	harness.requireActions("subscribed", harness.wait(20*time.Second))
 }
 
-// listResult is how a router's call for the list ends.
+// listResult is the result of a router's call for the list.
 type listResult struct {
 	router int
 	failed bool
 }
 
-// event is what the router is passed.
+// event returns the event that the router receives.
 func (r listResult) event() Event {
 	if r.failed {
 		return Event{Kind: ListFailed}
@@ -45,16 +45,16 @@
 	return Event{Kind: ListComplete, Nodes: []Node{{ID: 1, State: Ready}}}
 }
 
-// serialListService answers calls for the list one after the other, also those whose callers have timed out.
+// serialListService answers calls for the list one after another, even those that have timed out.
 type serialListService struct {
 	workPerCall time.Duration
 	calls       int
-	freeAt      time.Duration                  // when all calls so far are done
-	results     map[time.Duration][]listResult // by the tick at which they arrive
-	lastList    time.Duration                  // when the last list arrived
+	freeAt      time.Duration                  // when all calls so far are completed
+	results     map[time.Duration][]listResult // by the tick at which the router receives them
+	lastList    time.Duration                  // when a router last received the list
 }
 
-// call takes a router's call; the result arrives at a later tick.
+// call queues a router's call. The result arrives at a later tick.
 func (s *serialListService) call(router int, now time.Duration) {
 	s.calls++
 	s.freeAt = max(s.freeAt, now) + s.workPerCall
@@ -67,7 +67,7 @@
 	s.results[tick] = append(s.results[tick], listResult{router, failed})
 }
 
-// events are each router's at a tick: the result of its call, or else the timer.
+// events returns one event for each router at a tick: the result of its call or, without one, TimerFired.
 func (s *serialListService) events(routers int, now time.Duration) []Event {
 	events := make([]Event, routers)
 	for i := range events {
@@ -82,11 +82,11 @@
 	return events
 }
 
-// Routers that lose the list together, as when its service restarts, must not call for it together again and again: a
-// service that takes calls in turn and works for callers that have timed out would never answer one. This one takes
-// 150 a second; a caller waits 2 s. Every router has its list again before the list binds it, and one call for each is
-// nearly enough.
-func TestListCallsOfAllRoutersTogether(t *testing.T) {
+// Routers that lose the list together, for example when its service restarts, must not repeat their calls together: a
+// service that handles calls one after another, even those that have timed out, would never answer one in time. The
+// service here handles 150 calls per second, and calls time out after 2 s. Every router must receive the list before it
+// binds, with little more than one call per router.
+func TestEveryRouterReceivesTheListFromASerialService(t *testing.T) {
 	for _, count := range []int{3, 80, 300} {
 		t.Run(fmt.Sprintf("%d routers", count), func(t *testing.T) {
 			settings := newPolledSettings(count)
@@ -108,23 +108,23 @@
 				}
 			}
 			require.LessOrEqual(t, service.lastList, start+settings.ListBindsAfter+settings.DrainGrace,
-				"the last list, after %d calls", service.calls)
+				"time of the last list, after %d calls", service.calls)
 			require.GreaterOrEqual(t, service.calls, count)
 			require.LessOrEqual(t, service.calls, count*5/4)
 		})
 	}
 }
 
-// busyListService answers calls one after the other, and rejects at once those that would wait too long.
+// busyListService answers calls one after another and rejects those at once that would wait too long.
 type busyListService struct {
 	workPerCall time.Duration
 	calls       int
-	freeAt      time.Duration         // when all calls so far are done
+	freeAt      time.Duration         // when all calls so far are completed
 	firstCall   map[int]time.Duration // by router
-	listAt      map[int]time.Duration // by router: when it has the list
+	listAt      map[int]time.Duration // by router: when the list is received
 }
 
-// call takes a router's call.
+// call queues or rejects a router's call.
 func (s *busyListService) call(index int, harness *routerHarness) {
 	s.calls++
 	if _, before := s.firstCall[index]; !before {
@@ -139,11 +139,12 @@
 	s.listAt[index] = s.freeAt
 }
 
-// Subscriptions break at all routers at once, as when the service drops its connections or falls silent. No calls
-// wait at the service yet, so no router backs off first: each calls within a sixth of the time after which the list
-// binds. This service takes as many calls as there are routers in four seconds, one after the other, and rejects at
-// once those that would wait over two: it is never idle, and every router has the list hardly later than it can.
-func TestBrokenSubscriptionsAreReopenedAtOnce(t *testing.T) {
+// The subscriptions of all routers break at the same time, for example because the service closes its connections or
+// stops answering. The service has no backlog of calls yet: each router calls without a backoff, within a sixth of
+// ListBindsAfter. The service here needs at most four seconds for one call of each router and rejects calls at once
+// that would wait for more than two. It must not become idle, and the last list must arrive little later than the
+// service allows.
+func TestBrokenSubscriptionsAreReopenedWithoutBackoff(t *testing.T) {
 	for _, count := range []int{1, 5, 32, 300} {
 		t.Run(fmt.Sprintf("%d routers", count), func(t *testing.T) {
 			settings := newPolledSettings(count)
@@ -155,12 +156,12 @@
 			for i := range count {
 				harness := newEmptyHarness(t, settings, uint64(i)*7919+1)
 				harness.list(Node{ID: 1, State: Ready})
-				harness.list(Node{ID: 1, State: Ready}) // the answer to its call
+				harness.list(Node{ID: 1, State: Ready}) // the answer to the router's call
 				harness.step(Event{Kind: ListFailed})
 				harnesses = append(harnesses, harness)
 			}
 			for now := start; len(service.listAt) < count; now += tickInterval {
-				require.LessOrEqual(t, now, start+time.Minute, "only %d have the list", len(service.listAt))
+				require.LessOrEqual(t, now, start+time.Minute, "only %d routers have the list", len(service.listAt))
 				for i, harness := range harnesses {
 					for range countKind(harness.wait(tickInterval), Subscribe) {
 						service.call(i, harness)
@@ -172,15 +173,15 @@
 			lastList := start + spread + time.Duration(count)*service.workPerCall + time.Second
 			for i := range count {
 				require.LessOrEqual(t, service.firstCall[i], start+spread+retrySpacing+tickInterval, "first call")
-				require.LessOrEqual(t, service.listAt[i], lastList, "in %d calls of all", service.calls)
+				require.LessOrEqual(t, service.listAt[i], lastList, "list, after %d calls in all", service.calls)
 			}
 		})
 	}
 }
 
-// After a call that timed out there is a backoff, for as long as the calls are then spread; one that is rejected at
-// once is repeated in half of that. Both end well before the list binds, and do not grow with the failures: a service
-// that comes back is called by all in that time.
+// After a call that timed out, a router waits for the length of the spread and then calls within the spread. After a
+// call that was rejected at once, it calls within half of the spread. Both waits end well before the list binds and do
+// not grow with further failures: all routers call a service that has recovered within that time.
 func TestFailedListCallsBackOffFirst(t *testing.T) {
 	for _, testCase := range []struct {
 		routers int
@@ -194,15 +195,15 @@
 					harness.requireActions("unanswered", harness.wait(2*time.Second))
 					harness.step(Event{Kind: ListFailed})
 					harness.requireActions("during the backoff", harness.wait(testCase.spread-retrySpacing))
-					harness.requireActions("after it", harness.wait(testCase.spread+3*retrySpacing), Subscribe)
+					harness.requireActions("after the backoff", harness.wait(testCase.spread+3*retrySpacing), Subscribe)
 				}
 				harness.list(Node{ID: 1, State: Ready})
-				for range 6 { // each is rejected in the moment in which it is made
+				for range 6 { // each call is rejected at once
 					harness.step(Event{Kind: ListFailed})
 					var actions []Action
 					for failed := harness.now; len(actions) == 0; actions = harness.wait(tickInterval) {
 						require.LessOrEqual(t, harness.now, failed+testCase.spread/2+2*retrySpacing,
-							"rejected at once, and not repeated")
+							"a call that was rejected at once was not repeated in time")
 					}
 					harness.requireActions("repeated", actions, Subscribe)
 				}
@@ -211,7 +212,7 @@
 	}
 }
 
-// However many routers there are and however often it failed, a router calls again before the list binds it unheard.
+// For any number of routers and of failures, a router calls again before a list binds that it has not received.
 func TestListCallsEndBeforeTheListBinds(t *testing.T) {
 	for _, bindsAfter := range []time.Duration{6 * time.Second, 2 * time.Second} {
 		for _, routers := range []int{1, 3, 80, 300, 5000} {
@@ -224,8 +225,8 @@
 					harness.list(Node{ID: 1, State: Ready})
 					for failure := range 6 {
 						harness.step(Event{Kind: ListFailed})
-						what := fmt.Sprint("after failure ", failure+1)
-						harness.requireActions(what, harness.wait(bindsAfter), Subscribe)
+						label := fmt.Sprint("after failure ", failure+1)
+						harness.requireActions(label, harness.wait(bindsAfter), Subscribe)
 					}
 				})
 			}
