--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -111,7 +111,7 @@
 	return h.step(Event{Kind: ListComplete, Nodes: nodes})
 }
 
-// probeSucceeded passes a successful probe of the node to the router, which reports its role and position.
+// probeSucceeded passes a successful probe to the router, with the role and the position that the node reports.
 func (h *routerHarness) probeSucceeded(id NodeID, role Role, position time.Duration) []Action {
 	return h.step(Event{Kind: ProbeDone, Outcome: Outcome{Node: id, Report: Evidence{Role: role, Position: position}}})
 }
@@ -121,7 +121,7 @@
 	h.step(Event{Kind: ProbeDone, Outcome: Outcome{Node: id, Status: status}})
 }
 
-// reportAll passes probes of the three nodes of newHarness, which report their roles and the present as position.
+// reportAll passes a successful probe of each node of newHarness. The position of each report is the present.
 func (h *routerHarness) reportAll() {
 	h.probeSucceeded(1, Primary, h.now)
 	h.probeSucceeded(2, Replica, h.now)
--- a/routing/nodes_test.go
+++ b/routing/nodes_test.go
@@ -57,7 +57,7 @@
 func TestGoneNodesAreRemoved(t *testing.T) {
 	harness := newHarness(t, defaultSettings())
 	router := harness.router
-	harness.requireActions("a read", harness.arrive(1, classAny), Send)
+	harness.requireActions("read", harness.arrive(1, classAny), Send)
 	busy := router.requests[1].attempts[0].node.ID
 	next := NodeID(10)
 	for range 1000 {
--- a/routing/probes_test.go
+++ b/routing/probes_test.go
@@ -118,7 +118,7 @@
 }
 
 // If nodes answer stale reads and no replica is known to be fresh, a read probes one. It is sent to that replica once a
-// report shows that it is fresh. After maxProbesPerRead reports that do not, the read is sent to the primary.
+// report shows that it is fresh. After maxProbesPerRead reports of stale data, it is sent to the primary.
 func TestReadWaitsForAProbeOrGoesToThePrimary(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		lag   time.Duration // of the reported positions
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -22,7 +22,7 @@
 	deadline       time.Duration
 	minPosition    time.Duration // the position that a read must see; 0: any
 	attempts       []trackedAttempt
-	mayHaveRun     bool // an ended attempt without proof that it never ran
+	mayHaveRun     bool // an attempt ended with an outcome that does not prove that it never ran
 	done           bool
 	disconnectedAt time.Duration // when the client disconnected
 }
--- a/routing/slowstart_fleet_test.go
+++ b/routing/slowstart_fleet_test.go
@@ -61,7 +61,7 @@
 // result is an event that reaches a router at a later time.
 type result struct {
 	at       time.Duration
-	order    int
+	order    int // sequence number, which orders results of the same time
 	router   int
 	event    Event
 	database *database
@@ -203,7 +203,7 @@
 	}
 }
 
-// schedule schedules an event for a router at a time. target is the database that it is from, or nil.
+// schedule adds an event that reaches a router at the given time. target is the database that sends it, or nil.
 func (f *slowFleet) schedule(at time.Duration, router int, event Event, target *database) {
 	f.order++
 	heap.Push(&f.queue, result{at: at, order: f.order, router: router, event: event, database: target})
