--- a/internal/maintenance/commands.go
+++ b/internal/maintenance/commands.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Start starts a plan. Its machines are ordered as in the dry run. A repeated call with the same ID changes nothing.
-// The error says why the plan cannot be started.
+// Start proposes a new plan with its machines in the order of the dry run. A repeated call with the ID of the current
+// plan proposes nothing. wall is the Unix time for the history. The error states why the plan cannot be started.
 func Start(
 	wall time.Duration, record Record, id, operator string, spec PlanSpec, snapshot Snapshot,
 ) (proposal Proposal, err error) {
@@ -34,7 +34,7 @@
 		proposal.Steps[step.Machine] = Step{Machine: step.Machine}
 	}
 	for name := range record.Steps {
-		if _, again := proposal.Steps[name]; !again {
+		if _, inPlan := proposal.Steps[name]; !inPlan {
 			proposal.Drop = append(proposal.Drop, name)
 		}
 	}
@@ -43,27 +43,27 @@
 	return proposal, nil
 }
 
-// Command is what operators may do about a plan or one machine of it.
+// Command is an operator's command about a plan, one of its machines or a pooler.
 type Command string
 
-// The commands, by the words that operators type.
+// The commands, as operators type them.
 const (
 	Pause        Command = "pause"
 	Resume       Command = "resume"
 	AbortPlan    Command = "abort"
-	SkipMachine  Command = "skip"   // a machine that waits
-	BeginWork    Command = "begin"  // a person works on a machine that is drained
-	EndWork      Command = "end"    // the work is over
-	ForgetPooler Command = "forget" // a pooler that is gone for good, and never left
+	SkipMachine  Command = "skip"   // skips a waiting machine
+	BeginWork    Command = "begin"  // a person begins the work on a drained machine
+	EndWork      Command = "end"    // the work on a machine has ended
+	ForgetPooler Command = "forget" // removes a pooler that is gone for good and never announced that it leaves
 )
 
-// OfMachine reports whether the command takes the name of a machine, or of a pooler.
+// OfMachine reports whether the command takes the name of a machine or, for ForgetPooler, of a pooler.
 func (c Command) OfMachine() bool {
 	return slices.Contains([]Command{SkipMachine, BeginWork, EndWork, ForgetPooler}, c)
 }
 
-// Execute returns what a command of an operator changes. Name is of the machine, if the command takes one. The
-// error says why the command cannot be done.
+// Execute returns the proposal for an operator's command. name is the machine or pooler, and is ignored by commands
+// about the whole plan. wall is the Unix time for the history. The error states why the command cannot be executed.
 func Execute(wall time.Duration, record Record, command Command, name, operator string) (Proposal, error) {
 	switch {
 	case command == ForgetPooler:
@@ -105,8 +105,8 @@
 	return proposal, nil
 }
 
-// changeStep skips a machine, or says that a person's work on it begins or has ended. No count of hook calls limits
-// what a person may say.
+// changeStep skips a machine, or records that a person begins or has ended the work on it. The limit on hook calls does
+// not apply to the work of a person.
 func changeStep(
 	wall time.Duration, record Record, command Command, name, operator string,
 ) (proposal Proposal, err error) {
--- a/internal/maintenance/dryrun.go
+++ b/internal/maintenance/dryrun.go
@@ -9,12 +9,12 @@
 // DryRunStep is one step of a dry run.
 type DryRunStep struct {
 	Machine  string
-	HandOver string  // of a primary: the replica that takes over first
-	Leaves   float64 // what its group could do beyond its load meanwhile
+	HandOver string  // for a primary: the replica that takes over first
+	Leaves   float64 // spare capacity of its group while the machine is out, in the unit of the load
 }
 
-// DryRun simulates the plan as if all went well, one machine after the other, and returns the order. If the plan cannot
-// be done, the error names each machine that is left with its constraint, and the order is as far as the plan gets.
+// DryRun simulates the plan as if each step succeeds, one machine at a time, and returns the order. If the plan cannot
+// be completed, the error names each remaining machine with its constraint, and order has the steps before that.
 func DryRun(spec PlanSpec, snapshot Snapshot) (order []DryRunStep, err error) {
 	now := snapshot.clone()
 	states := map[string]State{}
@@ -27,7 +27,7 @@
 			from, to := now.Machines[decision.HandOver.From], now.Machines[decision.HandOver.To]
 			from.Primary, from.Fresh, to.Primary = false, true, true
 			order = append(order, DryRunStep{Machine: from.Name, HandOver: to.Name, Leaves: p.spare(from)})
-			states[from.Name] = Done // it was the last of its group
+			states[from.Name] = Done // a primary is the last machine of its group
 		case decision.Take != "":
 			machine := now.Machines[decision.Take]
 			order = append(order, DryRunStep{Machine: machine.Name, Leaves: p.spare(machine)})
@@ -36,10 +36,10 @@
 			return order, notPossible(spec, decision.Reasons)
 		}
 	}
-	return order, errors.New("the plan does not end") // a fault of this program
+	return order, errors.New("the plan does not end") // only if the planner has a bug
 }
 
-// clone returns a copy whose machines can be changed.
+// clone returns a copy whose machines can be changed. The copy shares the load.
 func (s Snapshot) clone() Snapshot {
 	copied := Snapshot{Machines: map[string]*Machine{}, Load: s.Load}
 	for name, machine := range s.Machines {
@@ -49,7 +49,7 @@
 	return copied
 }
 
-// notPossible is the error that names the constraint of each machine that is left.
+// notPossible returns the error that names the constraint of each remaining machine.
 func notPossible(spec PlanSpec, reasons map[string]string) error {
 	var lines []string
 	for _, name := range spec.Machines {
--- a/internal/maintenance/event.go
+++ b/internal/maintenance/event.go
@@ -2,35 +2,35 @@
 
 import "fmt"
 
-// Event is what happens to a step.
+// Event is an event that is applied to a step.
 type Event struct {
 	Kind     EventKind
-	Number   uint64   // of the attempt that it is about
-	Instance Instance // PoolerStopped: who reports it; HookStarted: who calls the hook
-	OK       bool     // HookFinished: the work was done
+	Number   uint64   // fencing number of the attempt to which it belongs
+	Instance Instance // PoolerStopped: the pooler that reports it; HookStarted: the pooler that calls the hook
+	OK       bool     // HookFinished: the work succeeded
 }
 
-// EventKind is what kind of event happens to a step.
+// EventKind is the kind of an event.
 type EventKind uint8
 
 // The kinds of events.
 const (
-	Take          EventKind = iota // the planner has chosen the machine; Number is a new one
-	PoolerStopped                  // a pooler has stopped sending to it
-	Reevaluate                     // time has passed, or the poolers that are live have changed
-	HookStarted                    // the hook is about to be called, or a person says that the work begins
+	Take          EventKind = iota // the machine is taken out of service; Number is new
+	PoolerStopped                  // a pooler has stopped sending to the machine
+	Reevaluate                     // time has passed, or the set of live poolers has changed
+	HookStarted                    // the hook is about to be called, or a person begins the work
 	HookFinished                   // the work has ended
-	Ready                          // the machine is warm, has caught up, and is seen healthy
-	Skip                           // the operators skip the machine
-	Abort                          // the operators give up the plan
-	PutBack                        // the group needs the machine: it is put back, and taken again later
+	Ready                          // the machine is warm, has caught up and is seen healthy
+	Skip                           // operators skip the machine
+	Abort                          // operators abort the plan
+	PutBack                        // the group needs the machine: it returns to service and is taken again later
 )
 
 var eventNames = [...]string{
 	"take", "pooler stopped", "reevaluate", "hook started", "hook finished", "ready", "skip", "abort", "put back",
 }
 
-// String returns the name of the kind, for errors.
+// String returns the name of the kind, for error messages.
 func (k EventKind) String() string {
 	if int(k) >= len(eventNames) {
 		return fmt.Sprintf("event %d", uint8(k))
@@ -38,12 +38,12 @@
 	return eventNames[k]
 }
 
-// EventError is the error of an event that does not fit the step to which it was applied.
+// EventError reports an event that does not fit the step to which it was applied.
 type EventError struct {
 	Machine string
 	Kind    EventKind
 	State   State  // of the step
-	Reason  string // empty: events of this kind do not fit the state
+	Reason  string // empty: no event of this kind fits the state
 }
 
 // Error names the machine, the event, the state and the reason.
--- a/internal/maintenance/follower.go
+++ b/internal/maintenance/follower.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Follower is a pooler's view of the record: it decides where the pooler may send, by what it has read. It knows
-// its own lease alone, and calls nobody on a request's path.
+// Follower is a pooler's view of the record. It decides to which machines the pooler may send, from the steps that the
+// pooler has read and from its own lease. It does no I/O, so it can be used on the path of requests.
 type Follower struct {
 	rules      Rules
 	startedAt  time.Duration
 	renewedAt  time.Duration // when the newest read was requested
-	known      bool          // it has read the record since it started
-	revision   uint64        // the newest that it has observed
+	known      bool          // whether the record has been read since the start
+	revision   uint64        // the newest observed
 	steps      map[string]Step
 	unfinished []string // machines of the plan that are not finished, in the plan's order
 }
 
-// NewFollower returns the follower of a pooler that has just started, which knows nothing.
+// NewFollower returns the follower of a pooler that has just started and has not read the record.
 func NewFollower(now time.Duration, rules Rules) *Follower {
 	return &Follower{rules: rules, startedAt: now}
 }
 
-// Refresh applies the record as a majority stored it at a moment after it was requested, and renews the lease. The
-// lease counts from the request: the answer may lack what has been agreed since. Steps are in the order of the plan.
+// Refresh applies the steps that a majority had stored at some time after requestedAt, and renews the lease. The lease
+// counts from the request, because the answer may lack later changes. Steps are in the order of the plan.
 func (f *Follower) Refresh(requestedAt time.Duration, revision uint64, steps []Step) {
 	f.renewedAt = max(f.renewedAt, requestedAt)
 	f.known = true
 	f.Observe(revision, steps)
 }
 
-// Observe applies what has been agreed up to a revision. It renews no lease: more may have been agreed since.
+// Observe applies the steps of a revision. It does not renew the lease, because later revisions may exist.
 func (f *Follower) Observe(revision uint64, steps []Step) {
 	if revision < f.revision { // A late answer must not replace a newer one.
 		return
@@ -45,10 +45,10 @@
 	}
 }
 
-// Known reports whether the record has been read.
+// Known reports whether the record has been read since the start.
 func (f *Follower) Known() bool { return f.known }
 
-// LeaseEnd is when the lease runs out, if nothing is read before.
+// LeaseEnd returns when the lease expires if no read renews it.
 func (f *Follower) LeaseEnd() time.Duration {
 	if !f.known {
 		return f.startedAt + f.rules.Lease
@@ -56,40 +56,41 @@
 	return f.renewedAt + f.rules.Lease
 }
 
-// MaySend reports whether anything new may be sent to a machine. The others are those of its group that could serve
-// in its place. Blind means that this is the one case in which a request can reach a machine in maintenance.
+// MaySend reports whether a new request may be sent to a machine. others are the machines of its group that could serve
+// the request instead. blind reports the only case in which a request can reach a machine in maintenance.
 //
-// While the lease holds, all machines that are not blocked may be sent to. Once it has run out, every machine that the
-// plan has not finished could be in maintenance, and only the others may be sent to. If no machine of a group is
-// left then, or no record has been read since the start, one has to serve nevertheless: of the machines not known to
-// be blocked the one that the plan takes last, or any if no record was read. That is blind.
+// While the lease is valid, requests may be sent to each machine that is not blocked. After it has expired, each
+// machine that the plan has not finished could be in maintenance, and requests may be sent only to the other machines.
+// If a group has no other machine, or no record has been read since the start, a machine has to serve nevertheless. It
+// is the machine that the plan takes last among those not known to be blocked. Without a record, it is any machine.
+// This is the blind case.
 func (f *Follower) MaySend(now time.Duration, machine string, others []string) (may, blind bool) {
 	switch {
 	case f.blocked(machine):
 		return false, false
 	case now < f.LeaseEnd():
-		return f.known, false // a follower that has just started reads the record in a moment
+		return f.known, false // after a start, sends nothing before the first read or the lease's end
 	case !f.known:
 		return true, true
 	}
-	place := slices.Index(f.unfinished, machine)
-	if place < 0 {
+	index := slices.Index(f.unfinished, machine)
+	if index < 0 {
 		return true, false
 	}
 	for _, other := range others {
-		otherPlace := slices.Index(f.unfinished, other)
-		if otherPlace < 0 || otherPlace > place && !f.blocked(other) {
+		otherIndex := slices.Index(f.unfinished, other)
+		if otherIndex < 0 || otherIndex > index && !f.blocked(other) {
 			return false, false
 		}
 	}
 	return true, true
 }
 
-// blocked reports whether the record forbids to send to a machine.
+// blocked reports whether the record forbids new requests to a machine.
 func (f *Follower) blocked(machine string) bool { return f.steps[machine].State.Blocked() }
 
-// Stopped returns the numbers of the attempts for which this pooler is to report that it has stopped, by machine:
-// of those that are draining and where it has no request in flight any more.
+// Stopped returns the attempts for which this pooler has to report that it has stopped, as fencing numbers by machine:
+// those of machines that are draining and to which it has no request in flight.
 func (f *Follower) Stopped(inFlight func(machine string) int) map[string]uint64 {
 	stopped := map[string]uint64{}
 	for name, step := range f.steps {
--- a/internal/maintenance/hookresult.go
+++ b/internal/maintenance/hookresult.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// HookResult returns what the pooler that called a hook writes when the call has ended; no other pooler knows the
-// result. Failed is the reason if it failed, and empty if it did not. The hook is to be called again if the proposal's
-// Calls say so. A call of an attempt that is over changes nothing.
+// HookResult returns the proposal of the pooler that called a hook, when the call has ended. Only this pooler knows the
+// result. failed is the reason of a failure, and empty after a success. If the proposal has Calls, the hook has to be
+// called again. The result of an attempt that has ended changes nothing. now is this pooler's clock, and wall the Unix
+// time.
 func (p Policy) HookResult(now, wall time.Duration, record Record, call Call, failed string) Proposal {
 	result := &hookResult{policy: p, now: now, wall: wall, plan: record.Plan, call: call, failed: failed}
 	if call.To != "" {
-		result.ofHandOver()
+		result.endHandOverCall()
 	} else {
-		result.ofWork(record.step(call.Machine))
+		result.endWorkCall(record.step(call.Machine))
 	}
 	return result.proposal
 }
 
-// hookResult builds the proposal at the end of a call.
+// hookResult builds the proposal after the end of a hook call.
 type hookResult struct {
 	policy   Policy
 	now      time.Duration
@@ -29,16 +30,17 @@
 	proposal Proposal
 }
 
-// ofHandOver handles the end of a call for a hand-over. Success changes nothing here: it is seen by observations.
-func (h *hookResult) ofHandOver() {
+// endHandOverCall handles the end of a call for a hand-over. A success changes nothing: the leader acts once it
+// observes the new primary.
+func (h *hookResult) endHandOverCall() {
 	handOver := h.plan.HandOver
 	if handOver == nil || handOver.Number != h.call.Number || handOver.HookCaller != h.policy.Self || h.failed == "" {
 		return
 	}
 	h.proposal.Plan = &h.plan
 	if handOver.HookCalls < h.policy.maxCalls() {
-		again := handOver.calledBy(h.policy.Self)
-		h.plan.HandOver = &again
+		repeated := handOver.calledBy(h.policy.Self)
+		h.plan.HandOver = &repeated
 		h.proposal.Calls = append(h.proposal.Calls, h.call)
 		return
 	}
@@ -46,16 +48,16 @@
 	h.pausePlan(fmt.Sprintf("%s did not take over from %s: %s", handOver.To, handOver.From, h.failed))
 }
 
-// ofWork handles the end of a call for the maintenance of a machine.
-func (h *hookResult) ofWork(step Step) {
+// endWorkCall handles the end of a call for the maintenance of a machine.
+func (h *hookResult) endWorkCall(step Step) {
 	if step.Number != h.call.Number || step.HookCaller != h.policy.Self {
 		return
 	}
 	self, before := h.policy.Self, step.State
 	progress := &progress{step: step, now: h.now, rules: Rules{Calls: h.policy.Calls}}
-	again := h.failed != "" && before == InMaintenance
+	retryable := h.failed != "" && before == InMaintenance
 	switch {
-	case again && progress.apply(Event{Kind: HookStarted, Instance: self}):
+	case retryable && progress.apply(Event{Kind: HookStarted, Instance: self}):
 		h.proposal.Calls = append(h.proposal.Calls, h.call)
 		h.proposal.putStep(self.Name, h.wall, before, progress.step, "")
 		h.addHistory("called again, as the work failed: " + h.failed)
@@ -67,7 +69,7 @@
 	}
 }
 
-// pausePlan pauses the plan, so that no further machine is taken while the outcome of the work is unknown.
+// pausePlan pauses the plan: no further machine is taken while the outcome of the work is unknown.
 func (h *hookResult) pausePlan(reason string) {
 	if h.plan.State == Running {
 		h.plan.State, h.plan.Why = Paused, reason
@@ -76,7 +78,7 @@
 	h.addHistory(reason)
 }
 
-// addHistory adds an entry about the call.
+// addHistory adds a history entry about the call.
 func (h *hookResult) addHistory(text string) {
 	h.proposal.addHistory(h.policy.Self.Name, h.wall, h.call.Machine, h.call.Number, "%s", text)
 }
--- a/internal/maintenance/leader.go
+++ b/internal/maintenance/leader.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-// Observation is what the leader sees now.
+// Observation is the state of the machines and poolers as the leader sees it now.
 type Observation struct {
 	Snapshot
-	// Incarnations has the incarnation of each pooler known to membership that is live, or that failed without
-	// announcing that it leaves.
+	// Incarnations holds the incarnation of each pooler that membership knows as live, or as failed without an
+	// announcement that it leaves.
 	Incarnations map[string]uint64
-	// Live are those of them that are live.
+	// Live lists the live poolers among Incarnations.
 	Live []string
-	// Left are the poolers that reported that they leave, with their incarnation.
+	// Left holds the incarnation of each pooler that announced that it leaves.
 	Left map[string]uint64
-	// Heard is when each database last gave evidence of its state, on this pooler's clock.
+	// Heard holds when each database last gave evidence of its state, on this pooler's clock.
 	Heard map[string]time.Duration
 }
 
-// live reports whether an instance of a pooler still runs, as far as can be seen.
+// live reports whether an instance of a pooler is observed as running.
 func (o Observation) live(instance Instance) bool {
 	return o.Incarnations[instance.Name] <= instance.Incarnation && slices.Contains(o.Live, instance.Name)
 }
 
-// Policy is how an installation carries out maintenance.
+// Policy is the configuration by which an installation carries out maintenance.
 type Policy struct {
 	Self      Instance
-	Hook      bool          // a hook does the work; otherwise a person says when it begins and ends
-	HandsOver bool          // a hook lets a replica take over; otherwise a person does
-	Calls     int           // greatest number of calls of a hook that fails, or whose caller is gone
-	Lease     time.Duration // at the least; poolers report their own
-	Skew      time.Duration // greatest difference that two clocks develop in a lease
-	Settle    time.Duration // for how long a machine that is back has to be seen healthy
+	Hook      bool          // a hook does the work; otherwise a person reports its beginning and end
+	HandsOver bool          // a hook performs hand-overs; otherwise a person does
+	Calls     int           // maximum number of calls for one piece of work, if the hook fails or its caller is gone
+	Lease     time.Duration // minimum; poolers report their leases, and the longest one binds
+	Skew      time.Duration // maximum difference that two clocks develop during a lease
+	Settle    time.Duration // for how long a recovering machine has to be seen healthy
 }
 
-// maxCalls is how often a hook may be called for one piece of work.
+// maxCalls returns how often a hook may be called for one piece of work.
 func (p Policy) maxCalls() int { return max(1, p.Calls) }
 
-// Call is one call of a hook. It has the same number each time it is made for the same work.
+// Call is one call of a hook. All calls for the same work have the same number.
 type Call struct {
-	Machine string // or the primary that hands over
-	To      string // the replica that takes over; empty: it is maintenance work
-	Number  uint64
+	Machine string // the machine to be maintained, or the primary that hands over
+	To      string // the replica that takes over; empty: the call is for maintenance work
+	Number  uint64 // fencing number of the attempt or hand-over
 }
 
-// Leader carries out a plan, one proposal after the other. It holds what only this pooler knows: since when it has
-// observed each state, by its own clock, as the times of another's clock cannot be compared with it. A new leader
-// begins without any of that, and waits again.
+// Leader carries out a plan, one proposal at a time. It stores since when it has observed each state. These times are
+// on its own clock, because the clocks of two poolers cannot be compared. A new leader begins without them, and each
+// wait starts again.
 type Leader struct {
 	policy  Policy
 	tracked map[string]stepTrack // by machine
@@ -57,35 +57,36 @@
 
 // window is the time within which machines of a plan may be taken.
 type window struct {
-	plan   string
-	opened time.Duration // when this leader first saw the plan
-	left   time.Duration // from then on, by the wall clock as it was then
+	plan      string        // ID
+	opened    time.Duration // when this leader first saw the plan
+	remaining time.Duration // from then on, by the wall clock at that time
 }
 
-// stepTrack is since when a step has been in its state.
+// stepTrack records since when a step has been in its state.
 type stepTrack struct {
 	number       uint64
 	state        State
 	since        time.Duration
-	healthySince time.Duration // without a break; 0: the machine is not healthy
+	healthySince time.Duration // start of the uninterrupted healthy time; 0: the machine is not healthy
 }
 
-// NewLeader returns a leader that has seen nothing yet.
+// NewLeader returns a leader that has observed nothing yet.
 func NewLeader(policy Policy) *Leader {
 	return &Leader{policy: policy, tracked: map[string]stepTrack{}}
 }
 
 const (
-	// evidenceAge is the age from which on evidence of a database is requested.
+	// evidenceAge is the age above which the evidence of a database is refreshed by a probe.
 	evidenceAge = 2 * time.Second
 
-	// refutedGrowth is by how much an instance's incarnation, in ms, may have grown since its status: others took
-	// it for gone, and it refuted that.
-	refutedGrowth = uint64(2 * time.Minute / time.Millisecond)
+	// maxRefutedGrowth limits, in ms, by how much the incarnation of an instance may have grown since it wrote its
+	// status. It grows when other poolers suspect the instance to be gone, and the instance refutes that.
+	maxRefutedGrowth = uint64(2 * time.Minute / time.Millisecond)
 )
 
-// Propose decides what to do next. Wall is the Unix time, which operators see, and which says how much of the plan's
-// time is left when the plan is first seen. No step of the wall clock changes anything else.
+// Propose returns the next proposal. now is this pooler's clock. wall is the Unix time that operators see. It also
+// gives the remaining time of the plan when this leader first sees the plan. Steps of the wall clock have no other
+// effect.
 func (l *Leader) Propose(now, wall time.Duration, record Record, observation Observation) Proposal {
 	proposing := &round{
 		leader:      l,
@@ -107,7 +108,7 @@
 	proposing.poolers = knownPoolers(record, observation, proposing.proposal.Forget)
 	proposing.advanceSteps()
 	proposing.advanceHandOver()
-	if len(proposing.proposal.Steps) == 0 { // one thing after the other, each on what was agreed before
+	if len(proposing.proposal.Steps) == 0 { // one change at a time, each based on agreed steps
 		proposing.schedule()
 	}
 	proposing.proposeChangedPlan()
@@ -115,33 +116,35 @@
 	return proposing.proposal
 }
 
-// leftSince reports whether the instance that wrote a status is the one that has left by now, given both
-// incarnations. They begin with the Unix time: a status whose incarnation is far lower is that of a process which
-// came later, after its machine's clock was stepped back, and which may send. If that one is gone all the same, the
-// operators have to forget it.
-func leftSince(reported, left uint64) bool { return left >= reported && left-reported <= refutedGrowth }
+// sameInstanceLeft reports whether the instance that wrote a status is the instance that has left, given both
+// incarnations. An incarnation begins as the Unix time. A status with a far lower incarnation is from a later process,
+// which started after the clock of its machine was stepped back. This process may send. If it is gone too, operators
+// have to run the forget command.
+func sameInstanceLeft(reported, left uint64) bool {
+	return left >= reported && left-reported <= maxRefutedGrowth
+}
 
-// openWindow begins to count the time that a plan has left, once.
+// openWindow records the remaining time of a plan when this leader first sees the plan.
 func (l *Leader) openWindow(now, wall time.Duration, plan Plan) {
 	if l.window.plan == plan.ID {
 		return
 	}
-	left := plan.Spec.Until.Sub(time.Unix(0, int64(wall)))
-	l.window = window{plan: plan.ID, opened: now, left: left}
+	remaining := plan.Spec.Until.Sub(time.Unix(0, int64(wall)))
+	l.window = window{plan: plan.ID, opened: now, remaining: remaining}
 }
 
-// windowOver reports whether the time of a plan is over.
+// windowOver reports whether the time window of a plan has ended.
 func (l *Leader) windowOver(now time.Duration, plan Plan) bool {
-	return !plan.Spec.Until.IsZero() && now-l.window.opened > l.window.left
+	return !plan.Spec.Until.IsZero() && now-l.window.opened > l.window.remaining
 }
 
-// knownPoolers returns the poolers that could send to a machine: all that have ever written a status and have not
-// left, whether membership still knows them or not, and all that membership knows.
-func knownPoolers(record Record, observation Observation, left []string) Poolers {
+// knownPoolers returns the poolers that could send to a machine: those that membership knows, and those that have
+// written a status and have not left, even if membership has forgotten them.
+func knownPoolers(record Record, observation Observation, departed []string) Poolers {
 	poolers := Poolers{Incarnations: map[string]uint64{}, PlanReadBy: map[string]uint64{}}
 	maps.Copy(poolers.Incarnations, observation.Incarnations)
 	for name, status := range record.Statuses {
-		if slices.Contains(left, name) {
+		if slices.Contains(departed, name) {
 			continue
 		}
 		poolers.Incarnations[name] = max(poolers.Incarnations[name], status.Incarnation)
@@ -152,7 +155,7 @@
 	return poolers
 }
 
-// rules returns those that bind all poolers: the lease is the longest of any.
+// rules returns the rules that bind all poolers, with the longest lease of any pooler.
 func (l *Leader) rules(record Record) Rules {
 	lease := l.policy.Lease
 	for _, status := range record.Statuses {
@@ -166,7 +169,7 @@
 	}
 }
 
-// track records since when a step has been in its state, and its machine healthy.
+// track records since when a step has been in its state, and since when its machine has been healthy.
 func (l *Leader) track(now time.Duration, step Step, observation Observation) stepTrack {
 	last := l.tracked[step.Machine]
 	if last.number != step.Number || last.state != step.State {
@@ -181,8 +184,8 @@
 	return last
 }
 
-// healthyAgain reports whether the machine of a step is ready, by evidence from after a time: a pooler has a later
-// incarnation than the one that was taken out, a database has been heard since.
+// healthyAgain reports whether the machine of a step is ready, by evidence that is newer than a time. A pooler must
+// have a later incarnation than the one that was taken out. A database must have given evidence since that time.
 func (o Observation) healthyAgain(step Step, after time.Duration) bool {
 	machine := o.Machines[step.Machine]
 	if machine == nil || !machine.ready() {
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -1,6 +1,6 @@
-// Package maintenance decides in what order machines are taken out of service for maintenance, and takes each through
-// the states of its maintenance. It is pure: no clock, goroutine or I/O. The agreed state is stored in a replicated
-// record, which is passed in and returned as a value.
+// Package maintenance decides the order in which machines are taken out of service for maintenance, and moves each
+// machine through the states of its maintenance. It is pure: no clock, goroutine or I/O. The agreed state is stored in
+// a replicated record. Callers pass in the record as a value and write the changes that the package proposes.
 package maintenance
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Kind is what a machine is.
+// Kind is the kind of a machine.
 type Kind uint8
 
 // The kinds of machines.
@@ -18,19 +18,19 @@
 	Pooler
 )
 
-// Machine is one that may be taken out of service, as enough poolers see it now.
+// Machine is the state of a machine that may be taken out of service, as enough poolers see it now.
 type Machine struct {
 	Name        string  `json:"name"`
 	Kind        Kind    `json:"kind"`
 	Group       int     `json:"group"` // of a database
 	Zone        string  `json:"zone,omitempty"`
-	Size        float64 `json:"size"` // what it can do when warm, in the unit of the load
-	Up          bool    `json:"up"`   // it is seen healthy
+	Size        float64 `json:"size"` // capacity when warm, in the unit of the load
+	Up          bool    `json:"up"`   // seen healthy
 	Warm        bool    `json:"warm"`
-	Fresh       bool    `json:"fresh,omitempty"`   // a replica that keeps up: it can serve all classes, and take over
-	Primary     bool    `json:"primary,omitempty"` // of a database
-	Leads       bool    `json:"leads,omitempty"`   // of a pooler: it is the record's leader
-	Unreachable bool    `json:"cut,omitempty"`     // its zone cannot be reached: what is seen of it says nothing
+	Fresh       bool    `json:"fresh,omitempty"`   // a replica that keeps up: it can serve all classes and take over
+	Primary     bool    `json:"primary,omitempty"` // a database that is the primary of its group
+	Leads       bool    `json:"leads,omitempty"`   // a pooler that is the record's leader
+	Unreachable bool    `json:"cut,omitempty"`     // its zone cannot be reached: observations of it mean nothing
 	Incarnation uint64  `json:"life,omitempty"`    // of a pooler: its present incarnation
 }
 
@@ -41,27 +41,27 @@
 
 // PlanSpec is the specification of a plan, as operators write it.
 type PlanSpec struct {
-	// Machines are in the order that the operators prefer among machines that nothing else puts in order.
+	// Machines are in the operators' order, which decides only between machines that no other rule orders.
 	Machines []string `toml:"machines" json:"machines"`
-	// PerGroup, PerZone and InAll bound how many machines of a kind are out of service at once, those that failed by
-	// themselves included; 0: one.
+	// PerGroup, PerZone and InAll limit how many machines of one kind are out of service at once, including machines
+	// that failed; 0: one.
 	PerGroup int `toml:"per_group" json:"per_group,omitempty"`
 	PerZone  int `toml:"per_zone" json:"per_zone,omitempty"`
 	InAll    int `toml:"in_all" json:"in_all,omitempty"`
 	// Margin is the share of the remaining capacity that must stay free, such as 0.2.
 	Margin float64 `toml:"margin" json:"margin,omitempty"`
-	// Fresh is the least number of replicas that keep up which remain in each group.
+	// Fresh is the minimum number of replicas that keep up in each group while a machine is out.
 	Fresh int `toml:"fresh" json:"fresh,omitempty"`
-	// Capacity is how many requests a second one database can do; 0: the load does not count.
+	// Capacity is how many requests per second one database can serve; 0: the load is ignored.
 	Capacity float64 `toml:"bears" json:"bears,omitempty"`
 	// Until is the time after which no further machine is taken; zero: no end.
 	Until time.Time `toml:"until" json:"until,omitzero"`
-	// IgnoreUnreachable lets the plan go on without poolers that do not report, once their lease must have run out.
+	// IgnoreUnreachable lets the plan continue without poolers that do not report, once their lease must have expired.
 	IgnoreUnreachable bool `toml:"go_on" json:"go_on,omitempty"`
 }
 
-// Check returns what is wrong with a specification; the error names the key. Known are the machines that exist; nil:
-// names are not checked.
+// Check validates a specification; the error names the key. known has the machines that exist; nil: names are not
+// checked.
 func (s PlanSpec) Check(known map[string]*Machine) error {
 	if err := s.checkMachines(known); err != nil {
 		return err
@@ -79,7 +79,7 @@
 			return fmt.Errorf("%s: %d is under 0", count.key, count.value)
 		}
 	}
-	if !(s.Capacity >= 0) { // also if it is not a number
+	if !(s.Capacity >= 0) { // negated, so that NaN fails too
 		return fmt.Errorf("bears: %v is under 0", s.Capacity)
 	}
 	if !(s.Margin >= 0 && s.Margin < 1) {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// checkMachines finds machines that are unknown or listed twice.
+// checkMachines rejects an empty list, and machines that are unknown or listed twice.
 func (s PlanSpec) checkMachines(known map[string]*Machine) error {
 	listed := map[string]bool{}
 	for i, name := range s.Machines {
@@ -106,9 +106,9 @@
 	return nil
 }
 
-// Snapshot is what is known of all machines now.
+// Snapshot is the observed state of all machines at one moment.
 type Snapshot struct {
 	Machines map[string]*Machine `json:"machines"`
-	// Load is what is expected of each group during the maintenance, and not less than its present load.
+	// Load is the expected load of each group during the maintenance. It is not less than the present load.
 	Load map[int]float64 `json:"load"`
 }
--- a/internal/maintenance/planner.go
+++ b/internal/maintenance/planner.go
@@ -7,23 +7,23 @@
 	"slices"
 )
 
-// Decision is what may be done next. The zero value is nothing.
+// Decision is the next action of a plan. The zero value is no action.
 type Decision struct {
-	Take     string            // may be taken out now; empty: none
-	HandOver Succession        // of a primary that is next; zero: none
-	PutBack  string            // is out, and is put back as its group has become too small
-	Reasons  map[string]string // why each of the others is not taken
-	Complete bool              // nothing is left to be done
+	Take     string            // the machine that may be taken out now; empty: none
+	HandOver Succession        // from a primary that is next; zero: none
+	PutBack  string            // the machine that returns to service because its group is too small; empty: none
+	Reasons  map[string]string // why a machine is not taken now, by machine
+	Complete bool              // all machines are finished
 }
 
-// Succession is a primary, and the replica that is to take over from it.
+// Succession is a primary and the replica that has to take over from it.
 type Succession struct {
 	From string
 	To   string
 }
 
-// Decide decides what may be done, given how far each machine of the plan is. It is to be called again at each
-// change, as taking out one machine changes what holds for all others. Equal inputs give equal decisions.
+// Decide returns the next action, given the state of each machine of the plan. Call it again after each change, because
+// the constraints of a machine depend on all other machines. Equal inputs give equal decisions.
 func Decide(spec PlanSpec, states map[string]State, snapshot Snapshot) Decision {
 	decision := Decision{Reasons: map[string]string{}, Complete: true}
 	planning := &planner{spec: spec, states: states, snapshot: snapshot}
@@ -63,21 +63,21 @@
 	return decision
 }
 
-// planner holds what a decision is made by.
+// planner holds the inputs of a decision.
 type planner struct {
 	spec     PlanSpec
 	states   map[string]State
 	snapshot Snapshot
 }
 
-// unavailable reports whether a machine is out of service, because of the plan or by itself. One that recovers counts
-// as available only once its step is done and it is ready.
+// unavailable reports whether a machine is out of service, because of the plan or a failure. A recovering machine
+// counts as available only once its step is done and it is ready.
 func (p *planner) unavailable(machine *Machine) bool {
 	return p.states[machine.Name].Unavailable() || !machine.ready()
 }
 
-// compare orders the machines that wait: databases before poolers, replicas before their primary, the record's leader
-// last, groups with the most spare capacity first, then by group. The sort keeps the operators' order among equals.
+// compare orders waiting machines: databases before poolers, replicas before primaries, the record's leader last,
+// groups with the most spare capacity first, then by group. The sort keeps the operators' order among equals.
 func (p *planner) compare(a, b *Machine) int {
 	return cmp.Or(
 		cmp.Compare(a.Kind, b.Kind),
@@ -87,7 +87,7 @@
 	)
 }
 
-// leadership is 1 for a machine that others follow, and 0 for all others.
+// leadership returns 1 for a primary or the record's leader, and 0 for other machines.
 func leadership(machine *Machine) int {
 	if machine.Primary || machine.Leads {
 		return 1
@@ -95,8 +95,8 @@
 	return 0
 }
 
-// group returns the machines that share the work of one, itself among them: the databases of its group, or all
-// poolers.
+// group returns the machines that share the work of a machine, including that machine: the databases of its group, or
+// all poolers.
 func (p *planner) group(machine *Machine) (members []*Machine) {
 	for _, name := range slices.Sorted(maps.Keys(p.snapshot.Machines)) {
 		if other := p.snapshot.Machines[name]; sameGroup(machine, other) {
@@ -111,7 +111,8 @@
 	return a.Kind == b.Kind && (a.Kind == Pooler || a.Group == b.Group)
 }
 
-// spare returns what the group of a machine could do beyond its load without that machine.
+// spare returns the capacity that the group of a machine has without that machine. For a database the margin and the
+// group's load are subtracted.
 func (p *planner) spare(machine *Machine) float64 {
 	capacity := 0.0
 	for _, other := range p.group(machine) {
@@ -125,8 +126,8 @@
 	return capacity*(1-p.spec.Margin) - p.snapshot.Load[machine.Group]
 }
 
-// constraint names what keeps a machine from being taken now, or else, of a primary, the replica that is to take over
-// first.
+// constraint names the reason why a machine cannot be taken now; empty: none. For a primary without such a reason it
+// names the replica that has to take over first.
 func (p *planner) constraint(machine *Machine, waiting []*Machine) (reason, successor string) {
 	if machine.Unreachable {
 		return fmt.Sprintf("zone %s cannot be reached", machine.Zone), ""
@@ -140,8 +141,8 @@
 	return p.databaseConstraint(machine, waiting)
 }
 
-// limitReached names the limit on unavailable machines that is reached without this one. Each kind is counted
-// separately: unavailable poolers do not keep a database from being taken, nor the other way round.
+// limitReached names a limit on unavailable machines that the other machines have already reached; empty: none. Each
+// kind is counted separately: unavailable poolers do not block a database, and unavailable databases block no pooler.
 func (p *planner) limitReached(machine *Machine) string {
 	inAll, inZone, inGroup := 0, 0, 0
 	for _, other := range p.snapshot.Machines {
@@ -157,21 +158,21 @@
 		}
 	}
 	for _, limit := range []struct {
-		where       string
-		count, most int
+		scope          string
+		count, maximum int
 	}{
 		{"in all", inAll, p.spec.InAll},
 		{"of zone " + machine.Zone, inZone, p.spec.PerZone},
 		{fmt.Sprintf("of group %d", machine.Group), inGroup, p.spec.PerGroup},
 	} {
-		if most := max(1, limit.most); limit.count >= most {
-			return fmt.Sprintf("%d %s are out, %d at the most", limit.count, limit.where, most)
+		if maximum := max(1, limit.maximum); limit.count >= maximum {
+			return fmt.Sprintf("%d %s are out, %d at the most", limit.count, limit.scope, maximum)
 		}
 	}
 	return ""
 }
 
-// poolerConstraint names what keeps a pooler from being taken.
+// poolerConstraint names the reason why a pooler cannot be taken; empty: none.
 func (p *planner) poolerConstraint(machine *Machine, waiting []*Machine) string {
 	if p.spare(machine) <= 0 {
 		return "no other pooler is left"
@@ -183,7 +184,7 @@
 	return ""
 }
 
-// databaseConstraint names what keeps a database from being taken, or else the successor of a primary.
+// databaseConstraint names the reason why a database cannot be taken, or else the successor of a primary.
 func (p *planner) databaseConstraint(machine *Machine, waiting []*Machine) (reason, successor string) {
 	fresh, successor := p.freshReplicas(machine)
 	needed := p.spec.Fresh
@@ -207,7 +208,7 @@
 	return "", successor
 }
 
-// primaryConstraint names what keeps a primary from being handed over.
+// primaryConstraint names the reason why a primary cannot hand over; empty: none.
 func primaryConstraint(machine *Machine, waiting []*Machine, successor string) string {
 	for _, other := range waiting {
 		if other != machine && sameGroup(machine, other) {
@@ -220,8 +221,8 @@
 	return ""
 }
 
-// freshReplicas counts the other replicas of a database's group that keep up, and names the preferred successor: one
-// whose own maintenance is done, so that no second hand-over follows, or else the first by name.
+// freshReplicas counts the other replicas of a database's group that keep up, and names the preferred successor. A
+// replica whose own maintenance is finished is preferred, because it avoids a second hand-over; then the first by name.
 func (p *planner) freshReplicas(machine *Machine) (count int, successor string) {
 	for _, other := range p.group(machine) {
 		if other == machine || other.Primary || p.unavailable(other) {
@@ -235,8 +236,8 @@
 	return count, successor
 }
 
-// putBack names the machine to put back where a group has become too small since it was taken; empty: none. Of
-// those that can still come back it prefers one whose work has not begun, then the first by name.
+// putBack names a machine that has to return to service because its group has become too small; empty: none. Among
+// blocked machines it prefers those whose work has not begun, then the first by name.
 func (p *planner) putBack() string {
 	var notBegun, inMaintenance string
 	for _, name := range slices.Sorted(maps.Keys(p.states)) {
@@ -253,8 +254,8 @@
 	return cmp.Or(notBegun, inMaintenance)
 }
 
-// groupTooSmall reports whether more members of a machine's group are unavailable than the plan allows, or the others
-// cannot serve the load.
+// groupTooSmall reports whether more members of a machine's group are unavailable than the plan allows, or the other
+// members cannot serve the load.
 func (p *planner) groupTooSmall(machine *Machine) bool {
 	unavailable := 0
 	for _, other := range p.group(machine) {
--- a/internal/maintenance/proposal.go
+++ b/internal/maintenance/proposal.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// Proposal is what is to be agreed on, if the record is still as it was read, and to be done once it is.
+// Proposal is a change of the record, which applies only if the record has not changed since it was read, and the
+// actions to take after the change is agreed on.
 type Proposal struct {
-	Plan    *Plan           // changed; nil: it stays
-	Steps   map[string]Step // changed
-	Drop    []string        // machines whose steps belong to an earlier plan
-	Forget  []string        // poolers that left, or that operators know to be gone for good
-	History []HistoryEntry  // to be added
+	Plan    *Plan           // new value; nil: unchanged
+	Steps   map[string]Step // changed steps, by machine
+	Drop    []string        // machines whose steps of an earlier plan are deleted
+	Forget  []string        // poolers whose statuses are deleted: they left, or operators removed them
+	History []HistoryEntry  // new entries
 	Calls   []Call          // hooks to call
-	Resign  bool            // another pooler is to lead the record, as this one is next
-	Probe   []string        // databases of which no evidence came of late
+	Resign  bool            // this pooler is next: another pooler has to lead the record
+	Probe   []string        // databases without recent evidence, to be probed
 }
 
-// Change returns the change of the record: the revisions at which keys must still be, the values to set and the
-// keys to delete. All are nil if nothing is to be changed. The plan is always a condition: operators and leaders
-// change it one after the other.
+// Change returns the change of the record: the revisions that keys must still have, the values to set and the keys to
+// delete. All are nil if nothing changes. The plan's revision is always a condition, which serializes the changes of
+// operators and leaders.
 func (p *Proposal) Change(record Record) (
 	revisions map[string]uint64, set map[string]json.RawMessage, deleted []string,
 ) {
@@ -33,7 +34,7 @@
 	put := func(key string, value any) {
 		text, err := json.Marshal(value)
 		if err != nil {
-			panic(err) // a fault of this program: all values of the record can be written
+			panic(err) // a bug: all values of the record can be encoded
 		}
 		revisions[key], set[key] = record.revisions[key], text
 	}
@@ -60,7 +61,7 @@
 	return revisions, set, deleted
 }
 
-// addHistory adds an entry to the history.
+// addHistory adds a history entry. wall is the Unix time.
 func (p *Proposal) addHistory(
 	author string, wall time.Duration, machine string, number uint64, format string, args ...any,
 ) {
@@ -73,7 +74,7 @@
 	})
 }
 
-// putStep adds a changed step, with an entry in the history if its state has changed.
+// putStep adds a changed step, with a history entry if its state differs from the state before.
 func (p *Proposal) putStep(author string, wall time.Duration, before State, step Step, reason string) {
 	if p.Steps == nil {
 		p.Steps = map[string]Step{}
--- a/internal/maintenance/round.go
+++ b/internal/maintenance/round.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// round is the making of one proposal.
+// round computes one proposal.
 type round struct {
 	leader      *Leader
 	policy      Policy
@@ -18,27 +18,27 @@
 	poolers     Poolers
 	rules       Rules
 
-	plan     Plan             // as it will be proposed
-	states   map[string]State // of the plan's machines, as they will be proposed
+	plan     Plan             // as proposed so far
+	states   map[string]State // of the plan's machines, as proposed so far
 	proposal Proposal
 }
 
-// forgetDeparted proposes to forget the statuses of poolers that have left.
+// forgetDeparted proposes to delete the statuses of poolers that have left.
 func (r *round) forgetDeparted() {
 	for _, name := range slices.Sorted(maps.Keys(r.record.Statuses)) {
 		_, known := r.observation.Incarnations[name]
-		if !known && leftSince(r.record.Statuses[name].Incarnation, r.observation.Left[name]) {
+		if !known && sameInstanceLeft(r.record.Statuses[name].Incarnation, r.observation.Left[name]) {
 			r.proposal.Forget = append(r.proposal.Forget, name)
 		}
 	}
 }
 
-// advanceSteps takes each step as far as it can go now.
+// advanceSteps advances each step as far as possible now.
 func (r *round) advanceSteps() {
 	for _, step := range r.record.PlanSteps() {
 		track := r.leader.track(r.now, step, r.observation)
 		before := step.State
-		step.Since = track.since // counted from when this leader saw it, as another's clock cannot be compared
+		step.Since = track.since // on this leader's clock: the stored time is on the author's clock
 		progress := r.progress(step)
 		if reason, changed := r.advance(progress, track); changed {
 			r.proposal.putStep(r.policy.Self.Name, r.wall, before, progress.step, reason)
@@ -47,12 +47,12 @@
 	}
 }
 
-// progress returns the means to apply events to a step in this round.
+// progress returns a step to which this round applies events.
 func (r *round) progress(step Step) *progress {
 	return &progress{step: step, now: r.now, poolers: r.poolers, rules: r.rules}
 }
 
-// progress is a step to which events are applied.
+// progress is a step to which events are applied, with the arguments for that.
 type progress struct {
 	step    Step
 	now     time.Duration
@@ -60,7 +60,7 @@
 	rules   Rules
 }
 
-// apply applies an event of the step's present attempt, and reports whether it fitted.
+// apply applies an event of the step's present attempt, and reports whether the event fits.
 func (p *progress) apply(event Event) bool {
 	event.Number = p.step.Number
 	next, err := p.step.Apply(event, p.now, p.poolers, p.rules)
@@ -70,7 +70,7 @@
 	return err == nil
 }
 
-// advance takes one step as far as it can go now, and reports whether anything has changed, and for what reason.
+// advance advances one step as far as possible now. It reports whether the step has changed, and the reason.
 func (r *round) advance(progress *progress, track stepTrack) (reason string, changed bool) {
 	if r.plan.State == Aborting && progress.apply(Event{Kind: Abort}) {
 		return "given up by the operators", true
@@ -81,7 +81,7 @@
 	case Drained:
 		return "", r.plan.State == Running && r.callHook(progress)
 	case InMaintenance:
-		// The instance that called the hook writes how it ended; one that is gone does not.
+		// The caller of the hook reports the result. If it is gone, the hook has to be called again.
 		caller := progress.step.HookCaller
 		return "", caller != Instance{} && !r.observation.live(caller) && r.callHook(progress)
 	case Recovering:
@@ -92,11 +92,11 @@
 	}
 }
 
-// advanceDraining records which poolers have stopped, and lets the work begin once all have.
+// advanceDraining records which poolers have stopped. Once all have stopped, the machine is drained.
 func (r *round) advanceDraining(progress *progress) (reason string, changed bool) {
 	name := progress.step.Machine
 	if machine := r.observation.Machines[name]; machine != nil && machine.Kind == Pooler {
-		progress.poolers = Poolers{} // poolers do not send to it
+		progress.poolers = Poolers{} // poolers send no requests to a pooler
 	}
 	for _, pooler := range slices.Sorted(maps.Keys(r.record.Statuses)) {
 		status := r.record.Statuses[pooler]
@@ -116,7 +116,7 @@
 	return reason, true
 }
 
-// callHook proposes to call the hook for a step, if there is one and it may be called.
+// callHook proposes to call the hook for a step, and reports whether there is a hook that may be called.
 func (r *round) callHook(progress *progress) bool {
 	if !r.policy.Hook || !progress.apply(Event{Kind: HookStarted, Instance: r.policy.Self}) {
 		return false
@@ -125,7 +125,7 @@
 	return true
 }
 
-// advanceHandOver takes the hand-over from a primary that is next as far as it can go now.
+// advanceHandOver advances the hand-over in progress, if any, as far as possible now.
 func (r *round) advanceHandOver() {
 	handOver := r.plan.HandOver
 	if handOver == nil {
@@ -144,14 +144,14 @@
 	}
 }
 
-// endHandOver ends the hand-over; the format of the history's entry takes the name of the replica.
+// endHandOver ends the hand-over. The name of the replica is inserted into the format of the history entry.
 func (r *round) endHandOver(format string) {
 	handOver := r.plan.HandOver
 	r.plan.HandOver = nil
 	r.addHistory(handOver.From, handOver.Number, format, handOver.To)
 }
 
-// mayCallHandOver reports whether the hook that hands over may be called now.
+// mayCallHandOver reports whether the hook may be called for the hand-over now.
 func (r *round) mayCallHandOver(handOver *HandOver) bool {
 	if !r.policy.HandsOver || r.plan.State != Running || handOver.HookCalls >= r.policy.maxCalls() {
 		return false
@@ -159,7 +159,8 @@
 	return handOver.HookCaller == Instance{} || !r.observation.live(handOver.HookCaller)
 }
 
-// schedule takes, hands over or puts back what the planner names.
+// schedule carries out the decision of the planner: it finishes or pauses the plan, puts a machine back, begins a
+// hand-over or takes a machine.
 func (r *round) schedule() {
 	unavailable := func(name string) bool { return r.states[name].Unavailable() }
 	rolledBack := r.plan.State == Aborting && !slices.ContainsFunc(r.plan.Spec.Machines, unavailable)
@@ -182,7 +183,7 @@
 	}
 }
 
-// putBack puts back a machine that its group needs.
+// putBack returns a machine to service because its group needs it.
 func (r *round) putBack(name string) {
 	progress := r.progress(r.record.step(name))
 	if progress.apply(Event{Kind: PutBack}) {
@@ -191,14 +192,14 @@
 	}
 }
 
-// beginHandOver lets a replica take over from a primary that is next.
+// beginHandOver begins a hand-over from a primary that is next.
 func (r *round) beginHandOver(next Succession) {
 	r.plan.Number++
 	r.plan.HandOver = &HandOver{From: next.From, To: next.To, Number: r.plan.Number}
 	r.addHistory(next.From, r.plan.Number, "%s is to take over", next.To)
 }
 
-// take takes a machine out of service. A pooler that leads the record lets another lead first.
+// take takes a machine out of service. A pooler that leads the record resigns first.
 func (r *round) take(name string) {
 	machine := r.observation.Machines[name]
 	if machine.Leads {
@@ -223,7 +224,7 @@
 	}
 }
 
-// proposeProbes names the databases whose evidence has become old, but those that are blocked.
+// proposeProbes proposes to probe the databases whose evidence is old, except blocked ones.
 func (r *round) proposeProbes() {
 	for _, name := range slices.Sorted(maps.Keys(r.observation.Heard)) {
 		if r.now-r.observation.Heard[name] > evidenceAge && !r.states[name].Blocked() {
@@ -232,7 +233,7 @@
 	}
 }
 
-// addHistory adds an entry by this pooler.
+// addHistory adds a history entry of this pooler.
 func (r *round) addHistory(machine string, number uint64, format string, args ...any) {
 	r.proposal.addHistory(r.policy.Self.Name, r.wall, machine, number, format, args...)
 }
