--- a/internal/maintenance/commands.go
+++ b/internal/maintenance/commands.go
@@ -35,7 +35,7 @@
 	}
 	for name := range record.Steps {
 		if _, inPlan := proposal.Steps[name]; !inPlan {
-			proposal.Drop = append(proposal.Drop, name)
+			proposal.DeleteSteps = append(proposal.DeleteSteps, name)
 		}
 	}
 	proposal.Plan = &Plan{ID: id, Spec: spec, State: Running, Number: record.Plan.Number}
@@ -82,7 +82,7 @@
 	if _, known := record.Statuses[name]; !known {
 		return proposal, fmt.Errorf("no pooler %q has said anything", name)
 	}
-	proposal.Forget = []string{name}
+	proposal.DeleteStatuses = []string{name}
 	proposal.addHistory(operator, wall, name, 0, "forgotten: it is gone for good")
 	return proposal, nil
 }
--- a/internal/maintenance/dryrun.go
+++ b/internal/maintenance/dryrun.go
@@ -23,7 +23,7 @@
 		switch decision := Decide(spec, states, now); {
 		case decision.Complete:
 			return order, nil
-		case decision.HandOver != Succession{}:
+		case decision.HandOver != PlannedHandOver{}:
 			from, to := now.Machines[decision.HandOver.From], now.Machines[decision.HandOver.To]
 			from.Primary, from.Fresh, to.Primary = false, true, true
 			order = append(order, DryRunStep{Machine: from.Name, HandOver: to.Name, Leaves: p.spare(from)})
--- a/internal/maintenance/fixture_test.go
+++ b/internal/maintenance/fixture_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeRecord is a record without processes: values with revisions, changed on conditions.
+// fakeRecord is an in-memory record: values with revisions, which change under conditions.
 type fakeRecord struct {
 	revision  uint64
 	values    map[string]json.RawMessage
@@ -29,7 +29,7 @@
 	return record
 }
 
-// write applies a proposal that was made on a record as it was read; false: the record has changed since.
+// write applies a proposal that was made from a record. It returns false if the record has changed since it was read.
 func (f *fakeRecord) write(record Record, proposal Proposal) bool {
 	revisions, set, deleted := proposal.Change(record)
 	for key, revision := range revisions {
@@ -57,7 +57,7 @@
 	f.values[key], f.revisions[key] = text, f.revision
 }
 
-// writeStopped lets a pooler report that it has stopped for all that is draining, and returns its status.
+// writeStopped reports for a pooler that it has stopped for all draining machines, and returns its status.
 func (f *fakeRecord) writeStopped(t *testing.T, pooler string, incarnation uint64) PoolerStatus {
 	t.Helper()
 	record := f.read(t)
@@ -74,10 +74,10 @@
 // sec is the unit of times in these tests, most of which are clock readings.
 const sec = time.Second
 
-// testOperator hands in plans and runs commands.
+// testOperator is the operator who starts plans and runs commands.
 const testOperator = "ann"
 
-// testPolicy is of a pooler whose hook is called once.
+// testPolicy returns the policy of a pooler whose hook is called once at most.
 func testPolicy(name string, incarnation uint64) Policy {
 	return Policy{
 		Self:   Instance{Name: name, Incarnation: incarnation},
@@ -89,7 +89,7 @@
 	}
 }
 
-// healthyView is an observation of a group of healthy databases, and of poolers with their incarnations.
+// healthyView returns an observation of a group of healthy databases, and of poolers with their incarnations.
 func healthyView(now time.Duration, databases int, poolers map[string]uint64) Observation {
 	view := Observation{
 		Snapshot:     Snapshot{Machines: groupOf(1, "a", databases), Load: map[int]float64{}},
@@ -114,20 +114,20 @@
 	return view
 }
 
-// leaderTest is a leader alone, proposal by proposal, with poolers that report at once that they have stopped.
+// leaderTest runs one leader, proposal by proposal, with poolers that report at once that they have stopped.
 type leaderTest struct {
-	t       *testing.T
-	record  *fakeRecord
-	leader  *Leader
-	now     time.Duration
-	stepped time.Duration // by which the wall clock is ahead
-	poolers map[string]uint64
-	change  func(*Observation) // what is observed otherwise
-	calls   []Call
+	t         *testing.T
+	record    *fakeRecord
+	leader    *Leader
+	now       time.Duration
+	wallAhead time.Duration // how far the wall clock is ahead
+	poolers   map[string]uint64
+	change    func(*Observation) // changes the observation before the leader gets it
+	calls     []Call
 }
 
-// seesNoChange observes that all is healthy.
-func seesNoChange(*Observation) {}
+// unchanged leaves the observation unchanged: all machines are healthy.
+func unchanged(*Observation) {}
 
 func newLeaderTest(t *testing.T, policy Policy, spec PlanSpec) *leaderTest {
 	t.Helper()
@@ -137,7 +137,7 @@
 		leader:  NewLeader(policy),
 		now:     1000 * sec,
 		poolers: map[string]uint64{"p": 1, "q": 1},
-		change:  seesNoChange,
+		change:  unchanged,
 	}
 	test.start(spec)
 	return test
@@ -158,8 +158,8 @@
 	return view
 }
 
-// propose makes and writes one proposal, a second after the one before; the poolers have written their statuses by
-// then.
+// propose makes and writes one proposal, one second after the previous one. Before it, the poolers write their
+// statuses.
 func (l *leaderTest) propose() Proposal {
 	l.t.Helper()
 	l.now += sec
@@ -167,13 +167,13 @@
 		l.record.writeStopped(l.t, name, incarnation)
 	}
 	record := l.record.read(l.t)
-	proposal := l.leader.Propose(l.now, l.now+l.stepped, record, l.observe())
+	proposal := l.leader.Propose(l.now, l.now+l.wallAhead, record, l.observe())
 	require.True(l.t, l.record.write(record, proposal))
 	l.calls = append(l.calls, proposal.Calls...)
 	return proposal
 }
 
-// proposeTimes makes and writes some proposals.
+// proposeTimes makes and writes a number of proposals.
 func (l *leaderTest) proposeTimes(count int) {
 	l.t.Helper()
 	for range count {
@@ -181,7 +181,7 @@
 	}
 }
 
-// proposeUntil proposes until a machine has come to a state.
+// proposeUntil makes proposals until a machine has reached a state, and returns its step.
 func (l *leaderTest) proposeUntil(machine string, state State) Step {
 	l.t.Helper()
 	for range 50 {
@@ -190,11 +190,11 @@
 		}
 		l.propose()
 	}
-	require.Fail(l.t, "not reached", "%s %s: %v", machine, state, l.record.read(l.t).PlanSteps())
+	require.Fail(l.t, "state not reached", "%s %s: %v", machine, state, l.record.read(l.t).PlanSteps())
 	return Step{}
 }
 
-// proposeUntilCall proposes until a hook is called.
+// proposeUntilCall makes proposals until a hook is called.
 func (l *leaderTest) proposeUntilCall() {
 	l.t.Helper()
 	for range 50 {
@@ -206,7 +206,7 @@
 	require.Fail(l.t, "no hook is called")
 }
 
-// finishHook reports how a call of the hook ended; failed is empty if it went well.
+// finishHook writes the result of a hook call. failed is the reason of a failure, and empty after a success.
 func (l *leaderTest) finishHook(call Call, failed string) Proposal {
 	l.t.Helper()
 	record := l.record.read(l.t)
@@ -228,7 +228,7 @@
 	return l.record.read(l.t).Plan
 }
 
-// state is how far a machine is.
+// state returns the state of a machine in the record.
 func (l *leaderTest) state(machine string) State {
 	l.t.Helper()
 	return l.record.read(l.t).States()[machine]
--- a/internal/maintenance/leader.go
+++ b/internal/maintenance/leader.go
@@ -105,7 +105,7 @@
 	}
 	l.openWindow(now, wall, record.Plan)
 	proposing.rules = l.rules(record)
-	proposing.poolers = knownPoolers(record, observation, proposing.proposal.Forget)
+	proposing.poolers = knownPoolers(record, observation, proposing.proposal.DeleteStatuses)
 	proposing.advanceSteps()
 	proposing.advanceHandOver()
 	if len(proposing.proposal.Steps) == 0 { // one change at a time, each based on agreed steps
--- a/internal/maintenance/leader_test.go
+++ b/internal/maintenance/leader_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A plan with a hook takes one machine after the other, each with a number of its own; the history has all of it.
+// A plan with a hook takes one machine after the other, each under a new number, and the history lists each state.
 func TestPlanRunsToItsEnd(t *testing.T) {
 	test := newLeaderTest(t, testPolicy("p", 1), PlanSpec{Machines: []string{"a1", "a2"}, Fresh: 1})
 	for i, name := range []string{"a1", "a2"} {
@@ -33,13 +33,13 @@
 	}, history)
 
 	test.start(PlanSpec{Machines: []string{"a2"}, Fresh: 1})
-	require.Equal(t, uint64(3), test.proposeUntil("a2", InMaintenance).Number, "numbers go on over plans")
-	require.Len(t, test.record.read(t).Steps, 1, "steps of the plan before are gone")
-	require.Empty(t, test.finishHook(test.calls[1], "").Steps, "the late end of an earlier attempt")
+	require.Equal(t, uint64(3), test.proposeUntil("a2", InMaintenance).Number, "numbers keep growing across plans")
+	require.Len(t, test.record.read(t).Steps, 1, "steps of the earlier plan are deleted")
+	require.Empty(t, test.finishHook(test.calls[1], "").Steps, "the late result of an earlier attempt")
 	require.NotEmpty(t, test.finishHook(test.calls[2], "").Steps)
 }
 
-// A hook that fails is called again under its number as far as that is allowed, and then the plan is paused.
+// A hook that fails is called again under the same number up to the limit. Then the plan is paused.
 func TestFailedHookIsCalledAgainAndThenPausesThePlan(t *testing.T) {
 	policy := testPolicy("p", 1)
 	policy.Calls = 2
@@ -51,14 +51,15 @@
 	require.Equal(t, "the work on a1 failed: no disk", test.plan().Why)
 	test.proposeUntil("a1", Done)
 	test.proposeTimes(5)
-	require.Equal(t, Waiting, test.state("a2"), "nothing further")
-	require.Empty(t, test.finishHook(test.calls[0], "").Steps, "the end of an attempt that is over")
+	require.Equal(t, Waiting, test.state("a2"), "no further machine is taken")
+	require.Empty(t, test.finishHook(test.calls[0], "").Steps, "the result of an attempt that has ended")
 	require.NoError(t, test.execute(Resume, ""))
 	test.proposeUntil("a2", InMaintenance)
 }
 
-// Where the pooler that called a hook is gone, a person ends the work, or another calls it under the same number.
-func TestHookWhoseCallerIsGone(t *testing.T) {
+// If the pooler that called a hook is gone, the leader calls the hook again under the same number, up to the limit.
+// Beyond the limit a person ends the work.
+func TestHookIsCalledAgainWithinLimitWhenItsCallerIsGone(t *testing.T) {
 	for name, allowed := range map[string]int{
 		"one call":  1,
 		"two calls": 2,
@@ -85,7 +86,7 @@
 	}
 }
 
-// A primary hands over first, by a hook; that it is done shows by what is observed.
+// A primary hands over by a hook before it is taken. The leader waits until it observes the new primary.
 func TestPrimaryHandsOverFirst(t *testing.T) {
 	policy := testPolicy("p", 1)
 	policy.HandsOver = true
@@ -94,7 +95,7 @@
 	require.Equal(t, Call{Machine: "a0", To: "a1", Number: 1}, test.calls[0])
 	test.finishHook(test.calls[0], "")
 	test.proposeTimes(3)
-	require.Equal(t, Waiting, test.state("a0"), "it still leads")
+	require.Equal(t, Waiting, test.state("a0"), "it is still the primary")
 	test.change = func(view *Observation) {
 		former, promoted := view.Machines["a0"], view.Machines["a1"]
 		former.Primary, former.Fresh, promoted.Primary = false, true, true
@@ -104,7 +105,7 @@
 }
 
 // A hand-over that fails pauses the plan.
-func TestFailedHandOver(t *testing.T) {
+func TestFailedHandOverPausesThePlan(t *testing.T) {
 	policy := testPolicy("p", 1)
 	policy.HandsOver = true
 	test := newLeaderTest(t, policy, PlanSpec{Machines: []string{"a0"}, Fresh: 1})
@@ -114,14 +115,14 @@
 	require.Nil(t, test.plan().HandOver)
 }
 
-// A group that has become too small gets a drained machine back, more load than the rest can do stops further steps,
-// and a machine that is back is not done before it is warm.
+// A drained machine returns to service if the rest of its group cannot serve the load. While the load is too high, no
+// machine is taken. A recovering machine is not done before it is warm.
 func TestObservationDecidesWhatIsTaken(t *testing.T) {
 	policy := testPolicy("p", 1)
 	policy.Hook = false
 	test := newLeaderTest(t, policy, PlanSpec{Machines: []string{"a1", "a2"}, Fresh: 1, Capacity: 100})
 	test.proposeUntil("a1", Drained)
-	test.change = func(view *Observation) { view.Load[1] = 3.5 } // three are left
+	test.change = func(view *Observation) { view.Load[1] = 3.5 } // the three others have a capacity of 3
 	test.proposeUntil("a1", Waiting)
 	test.proposeTimes(5)
 	require.Equal(t, map[string]State{"a1": Waiting, "a2": Waiting}, test.record.read(t).States())
@@ -131,45 +132,44 @@
 	test.change = func(view *Observation) { view.Machines["a1"].Warm = false }
 	test.proposeTimes(5)
 	require.Equal(t, Recovering, test.state("a1"), "it is not warm yet")
-	test.change = seesNoChange
+	test.change = unchanged
 	test.proposeUntil("a1", Done)
 }
 
-// After the time of a plan no machine is taken.
-func TestTimeOfPlanIsOver(t *testing.T) {
+// A plan whose time is over is paused, and no machine is taken.
+func TestPlanIsPausedWhenItsTimeIsOver(t *testing.T) {
 	policy := testPolicy("p", 1)
 	policy.Hook = false
 	spec := PlanSpec{Machines: []string{"a1", "a2"}, Fresh: 1, Capacity: 100, Until: time.Unix(1010, 0)}
-	test := newLeaderTest(t, policy, spec) // it begins at 1000
+	test := newLeaderTest(t, policy, spec) // the test's clock starts at 1000 s
 	test.now += 30 * sec
 	test.propose()
 	require.Equal(t, "the time for it is over", test.plan().Why)
 }
 
-// A pooler that leads the record resigns before it is taken out, and is done once it has restarted.
+// A pooler that leads the record resigns before it is taken out. Its step is done once it has restarted.
 func TestLeaderResignsBeforeItIsTaken(t *testing.T) {
 	test := newLeaderTest(t, testPolicy("p", 1), PlanSpec{Machines: []string{"p"}})
 	test.change = func(view *Observation) { view.Machines["p"].Leads = true }
 	require.True(t, test.propose().Resign)
-	test.change = seesNoChange
+	test.change = unchanged
 	test.proposeUntil("p", InMaintenance)
 	test.finishHook(test.calls[0], "")
 	test.proposeTimes(5)
-	require.Equal(t, Recovering, test.state("p"), "it is the incarnation that was taken out")
+	require.Equal(t, Recovering, test.state("p"), "it has not restarted since it was taken out")
 	test.poolers["p"] = 2
 	test.proposeUntil("p", Done)
 }
 
-// The time that a plan has is a span of real time for whoever leads it: no step of the wall clock ends it early, nor
-// stretches it.
+// A leader measures the time of a plan on its own clock: a step of the wall clock neither shortens nor extends it.
 func TestWallClockStepKeepsTimeOfPlan(t *testing.T) {
-	const window = 30 // proposals, each of a second
+	const window = 30 // proposals, one per second
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			spec := PlanSpec{Machines: []string{"a1", "a2"}, Fresh: 1, Until: time.Unix(1000+window, 0)}
 			test := newLeaderTest(t, testPolicy("p", 0), spec)
 			test.propose()
-			test.stepped = step
+			test.wallAhead = step
 			test.proposeUntil("a1", Drained)
 			for test.now < (1000+window)*sec {
 				require.Equal(t, Running, test.plan().State)
@@ -181,20 +181,20 @@
 	}
 }
 
-// No step of the wall clock takes a machine out or back: a pooler that does not report is waited for until its lease
-// has run out.
+// A step of the wall clock does not change the wait for a pooler that does not report: the machine is drained once the
+// pooler's lease has expired.
 func TestWallClockStepKeepsLease(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			spec := PlanSpec{Machines: []string{"a1"}, Fresh: 1, IgnoreUnreachable: true}
 			test := newLeaderTest(t, testPolicy("p", 0), spec)
-			test.propose() // all know the plan
+			test.propose() // all poolers have read the plan
 			delete(test.poolers, "q")
 			test.change = func(view *Observation) { view.Incarnations["q"] = 1 }
 			draining := test.proposeUntil("a1", Draining)
 			begun := test.now
 			require.Equal(t, Draining, draining.State)
-			test.stepped = step
+			test.wallAhead = step
 			rules := test.leader.rules(test.record.read(t))
 			lease := rules.Lease + rules.Skew
 			drained := test.proposeUntil("a1", Drained)
@@ -205,29 +205,29 @@
 	}
 }
 
-// A pooler that left and came back after its clock was stepped back has a lower incarnation: nothing is drained
-// without its report.
-func TestClockSteppedBackBetweenTwoIncarnations(t *testing.T) {
-	const left, back = 1_800_000_000_000, 1_800_000_000_000 - 3_600_000 // ms
+// A pooler that left and restarted after its clock was stepped back has a lower incarnation. It must not be taken for
+// the instance that left: no machine is drained without its report.
+func TestRestartedPoolerWithLowerIncarnationIsNotForgotten(t *testing.T) {
+	const left, restarted = 1_800_000_000_000, 1_800_000_000_000 - 3_600_000 // ms
 	test := newLeaderTest(t, testPolicy("p", 1), PlanSpec{Machines: []string{"a1"}, Fresh: 1})
 	test.poolers = map[string]uint64{"p": 1}
 	test.change = func(view *Observation) { view.Left = map[string]uint64{"q": left} }
-	test.record.writeStatus(t, "q", PoolerStatus{Incarnation: back})
+	test.record.writeStatus(t, "q", PoolerStatus{Incarnation: restarted})
 	for range 20 {
-		require.Empty(t, test.propose().Forget)
+		require.Empty(t, test.propose().DeleteStatuses)
 	}
 	step := test.record.read(t).Steps["a1"]
 	require.Equal(t, Draining, step.State)
-	stopped := PoolerStatus{Incarnation: back, Stopped: map[string]uint64{"a1": step.Number}}
+	stopped := PoolerStatus{Incarnation: restarted, Stopped: map[string]uint64{"a1": step.Number}}
 	test.record.writeStatus(t, "q", stopped)
 	test.proposeUntil("a1", Drained)
 	test.record.writeStatus(t, "q", PoolerStatus{Incarnation: left - 2})
-	require.Equal(t, []string{"q"}, test.propose().Forget, "its own status, from before it was refuted")
+	require.Equal(t, []string{"q"}, test.propose().DeleteStatuses, "an incarnation from before a refutation")
 }
 
-// A pooler that was cut off for so long that membership has forgotten it has not agreed; one that left is not waited
-// for.
-func TestForgottenPooler(t *testing.T) {
+// A step waits for a pooler that was cut off for so long that membership has forgotten it. It does not wait for a
+// pooler that left.
+func TestStepWaitsForPoolerForgottenByMembership(t *testing.T) {
 	test := newLeaderTest(t, testPolicy("p", 1), PlanSpec{Machines: []string{"a1"}, Fresh: 1})
 	test.record.writeStatus(t, "z", PoolerStatus{Incarnation: 7, LeaseMS: 9000})
 	test.proposeTimes(30)
@@ -237,9 +237,9 @@
 	require.NotContains(t, test.record.read(t).Statuses, "z")
 }
 
-// A plan that ignores unreachable poolers waits for the longest lease of any, and what clocks run apart; a new leader,
-// whose clock is another one, waits anew.
-func TestUnreachablePoolers(t *testing.T) {
+// A plan that ignores unreachable poolers waits for the longest lease of any pooler plus the clock skew. A new leader
+// has a different clock and starts the wait again.
+func TestPlanWaitsForLeaseOfUnreachablePooler(t *testing.T) {
 	for name, newLeader := range map[string]bool{
 		"the same leader": false,
 		"a new leader":    true,
@@ -251,7 +251,7 @@
 			test.proposeUntil("a1", Draining)
 			if newLeader {
 				test.leader = NewLeader(testPolicy("q", 1))
-				test.now += 120 * sec // on the other clock
+				test.now += 120 * sec // the new leader's clock is ahead
 			}
 			begun := test.now
 			require.Equal(t, []string{"z"}, test.proposeUntil("a1", InMaintenance).Unreachable)
--- a/internal/maintenance/plan_limits_test.go
+++ b/internal/maintenance/plan_limits_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// planRun is a plan over random groups whose machines fail and recover at random.
+// planRun runs a plan over random groups whose machines fail and recover at random.
 type planRun struct {
 	t        *testing.T
 	seed     uint64
@@ -54,7 +54,8 @@
 	}
 }
 
-// round carries out one decision, and lets machines go on and fail; it tells whether the plan is complete.
+// round carries out one decision, advances machines that are out at random and, with faults, lets a replica fail or
+// recover. It reports whether the plan is complete.
 func (p *planRun) round(faults bool) (complete bool) {
 	p.t.Helper()
 	decision := Decide(p.spec, p.states, p.snapshot)
@@ -67,7 +68,7 @@
 		p.states[machine.Name] = Draining
 		p.checkLimits(machine)
 	}
-	for _, name := range p.names { // what is out goes on, now and then
+	for _, name := range p.names { // machines that are out advance at random
 		if state := p.states[name]; state.Unavailable() && p.random.IntN(2) == 0 {
 			p.states[name] = state + 1
 		}
@@ -78,7 +79,7 @@
 	return decision.Complete
 }
 
-// failOrRecover lets a replica fail, or recover.
+// failOrRecover lets a random replica fail or recover.
 func (p *planRun) failOrRecover() {
 	machine := p.snapshot.Machines[p.names[p.random.IntN(len(p.names))]]
 	p.failed[machine.Name] = !p.failed[machine.Name]
@@ -87,7 +88,7 @@
 	}
 }
 
-// checkLimits checks that the plan keeps its limits once a machine has been taken.
+// checkLimits checks that the limits of the plan hold after a machine has been taken.
 func (p *planRun) checkLimits(taken *Machine) {
 	p.t.Helper()
 	planning := &planner{spec: p.spec, states: p.states, snapshot: p.snapshot}
@@ -106,12 +107,12 @@
 	}
 	require.LessOrEqual(p.t, inAll, p.spec.InAll, "seed %d", p.seed)
 	require.LessOrEqual(p.t, inGroup, p.spec.PerGroup, "seed %d", p.seed)
-	require.GreaterOrEqual(p.t, fresh, 1, "seed %d: the last fresh replica", p.seed)
-	require.GreaterOrEqual(p.t, planning.spare(taken), 0.0, "seed %d: short", p.seed)
+	require.GreaterOrEqual(p.t, fresh, 1, "seed %d: no fresh replica is left", p.seed)
+	require.GreaterOrEqual(p.t, planning.spare(taken), 0.0, "seed %d: too little capacity is left", p.seed)
 	require.False(p.t, taken.Primary, "seed %d: a primary that has not handed over", p.seed)
 }
 
-// ends tells whether the plan ends once all machines are well.
+// ends reports whether the plan ends once all machines are healthy.
 func (p *planRun) ends() bool {
 	p.t.Helper()
 	for _, machine := range p.snapshot.Machines {
@@ -125,8 +126,8 @@
 	return false
 }
 
-// Whatever happens to machines while a plan goes on, never more are taken out than allowed, no group is left short by
-// the plan's doing, and equal inputs give equal decisions; when all is well the plan ends.
+// While replicas fail and recover during a plan, no more machines are taken out than allowed, and no taken machine
+// leaves its group with too little capacity. Equal inputs give equal decisions. Once all are healthy, the plan ends.
 func TestPlanKeepsItsLimits(t *testing.T) {
 	for seed := range uint64(300) {
 		plan := newPlanRun(t, seed)
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// groupOf returns a group of a primary, a0, and replicas, in zones x and y by turns, of size 1 each.
+// groupOf returns a group of databases of size 1 in alternating zones x and y. The first is the primary.
 func groupOf(group int, prefix string, count int) map[string]*Machine {
 	machines := map[string]*Machine{}
 	for i := range count {
@@ -27,7 +27,7 @@
 	return machines
 }
 
-// namesOf are the machines of a dry run, in its order.
+// namesOf returns the machines of a dry run, in order.
 func namesOf(order []DryRunStep) []string {
 	var names []string
 	for _, step := range order {
@@ -36,7 +36,7 @@
 	return names
 }
 
-// Replicas go before their primary, which hands over to one whose own work is done.
+// Replicas are taken before their primary, which hands over to a replica whose maintenance is finished.
 func TestDryRunOrderOfGroup(t *testing.T) {
 	snapshot := Snapshot{Machines: groupOf(1, "a", 3), Load: map[int]float64{1: 1}}
 	order, err := DryRun(PlanSpec{Machines: []string{"a0", "a1", "a2"}, Fresh: 1}, snapshot)
@@ -46,7 +46,7 @@
 	require.True(t, snapshot.Machines["a0"].Primary, "a dry run changes nothing")
 }
 
-// The group with the most to spare goes first, and poolers go behind databases, the leader last.
+// The group with the most spare capacity is first. Poolers follow databases, and the record's leader is last.
 func TestDryRunOrderOfGroupsAndPoolers(t *testing.T) {
 	machines := groupOf(1, "a", 3)
 	maps.Copy(machines, groupOf(2, "b", 5))
@@ -64,8 +64,8 @@
 	require.Equal(t, []string{"a1", "p1", "p2", "p0"}, namesOf(order))
 }
 
-// Each constraint is named where it forbids.
-func TestConstraints(t *testing.T) {
+// The error of a dry run names the constraint that forbids taking a machine.
+func TestDryRunNamesConstraint(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(spec *PlanSpec, snapshot *Snapshot)
 		reason string
@@ -82,7 +82,7 @@
 			func(spec *PlanSpec, _ *Snapshot) { spec.Fresh = 2 },
 			"1 replicas of group 1 that keep up would be left, 2 at the least",
 		},
-		"another of the group": {
+		"failed member of the group": {
 			func(_ *PlanSpec, snapshot *Snapshot) { snapshot.Machines["a2"].Up = false },
 			"of group 1 are out, 1 at the most",
 		},
@@ -90,11 +90,11 @@
 			func(_ *PlanSpec, snapshot *Snapshot) { snapshot.Machines["a1"].Unreachable = true },
 			"zone y cannot be reached",
 		},
-		"another that warms up": {
+		"member of the group that warms up": {
 			func(_ *PlanSpec, snapshot *Snapshot) { snapshot.Machines["a2"].Warm = false },
 			"of group 1 are out, 1 at the most",
 		},
-		"another of the zone": {
+		"failed machine of the zone": {
 			func(spec *PlanSpec, snapshot *Snapshot) {
 				spec.InAll, spec.PerGroup = 9, 9
 				snapshot.Machines["z"] = &Machine{Name: "z", Group: 7, Zone: "y", Primary: true}
@@ -114,8 +114,8 @@
 	}
 }
 
-// What can be done all the same is the nearest order.
-func TestNearestOrder(t *testing.T) {
+// A plan that can be completed gets an order. For a plan that cannot, the order has only the steps before the error.
+func TestDryRunReturnsOrderAsFarAsPossible(t *testing.T) {
 	snapshot := Snapshot{Machines: groupOf(1, "a", 2), Load: map[int]float64{1: 0.5}}
 	order, err := DryRun(PlanSpec{Machines: []string{"a1", "a0"}, Fresh: 0}, snapshot)
 	require.NoError(t, err)
@@ -125,9 +125,9 @@
 	require.Empty(t, order)
 }
 
-// While one is out another of its group fails: nothing further is taken, and one that is out is put back, rather one
-// that is not in maintenance.
-func TestPutBack(t *testing.T) {
+// If a member of a group fails while others are out, no further machine is taken and one that is out is put back. A
+// machine whose work has not begun is preferred.
+func TestPutsMachineBackWhenItsGroupIsTooSmall(t *testing.T) {
 	snapshot := Snapshot{Machines: groupOf(1, "a", 5), Load: map[int]float64{1: 2.5}}
 	spec := PlanSpec{Machines: []string{"a1", "a2", "a3"}, PerGroup: 2, PerZone: 2, InAll: 2}
 	states := map[string]State{"a1": InMaintenance, "a2": Drained}
@@ -141,8 +141,8 @@
 	require.Equal(t, "a1", Decide(spec, states, snapshot).PutBack)
 }
 
-// The error of a bad specification names the key.
-func TestPlanSpecCheck(t *testing.T) {
+// The error of an invalid specification names the key.
+func TestPlanSpecCheckNamesInvalidKey(t *testing.T) {
 	known := groupOf(1, "a", 3)
 	good := PlanSpec{Machines: []string{"a0"}}
 	require.NoError(t, good.Check(known))
--- a/internal/maintenance/planner.go
+++ b/internal/maintenance/planner.go
@@ -10,14 +10,14 @@
 // Decision is the next action of a plan. The zero value is no action.
 type Decision struct {
 	Take     string            // the machine that may be taken out now; empty: none
-	HandOver Succession        // from a primary that is next; zero: none
+	HandOver PlannedHandOver   // from a primary that is next; zero: none
 	PutBack  string            // the machine that returns to service because its group is too small; empty: none
 	Reasons  map[string]string // why a machine is not taken now, by machine
 	Complete bool              // all machines are finished
 }
 
-// Succession is a primary and the replica that has to take over from it.
-type Succession struct {
+// PlannedHandOver is a primary and the replica that has to take over from it.
+type PlannedHandOver struct {
 	From string
 	To   string
 }
@@ -49,10 +49,10 @@
 		case decision.PutBack != "":
 			reason = fmt.Sprintf("%s is put back first", decision.PutBack)
 		case reason != "":
-		case decision.Take != "" || decision.HandOver != Succession{}:
+		case decision.Take != "" || decision.HandOver != PlannedHandOver{}:
 			reason = "another is next"
 		case successor != "":
-			decision.HandOver = Succession{From: machine.Name, To: successor}
+			decision.HandOver = PlannedHandOver{From: machine.Name, To: successor}
 			reason = fmt.Sprintf("%s has to take over first", successor)
 		default:
 			decision.Take = machine.Name
@@ -237,7 +237,8 @@
 }
 
 // putBack names a machine that has to return to service because its group has become too small; empty: none. Among
-// blocked machines it prefers those whose work has not begun, then the first by name.
+// blocked machines it prefers those whose work has not begun, then the first by name. A machine in maintenance returns
+// only when its work ends.
 func (p *planner) putBack() string {
 	var notBegun, inMaintenance string
 	for _, name := range slices.Sorted(maps.Keys(p.states)) {
--- a/internal/maintenance/proposal.go
+++ b/internal/maintenance/proposal.go
@@ -10,14 +10,14 @@
 // Proposal is a change of the record, which applies only if the record has not changed since it was read, and the
 // actions to take after the change is agreed on.
 type Proposal struct {
-	Plan    *Plan           // new value; nil: unchanged
-	Steps   map[string]Step // changed steps, by machine
-	Drop    []string        // machines whose steps of an earlier plan are deleted
-	Forget  []string        // poolers whose statuses are deleted: they left, or operators removed them
-	History []HistoryEntry  // new entries
-	Calls   []Call          // hooks to call
-	Resign  bool            // this pooler is next: another pooler has to lead the record
-	Probe   []string        // databases without recent evidence, to be probed
+	Plan           *Plan           // new value; nil: unchanged
+	Steps          map[string]Step // changed steps, by machine
+	DeleteSteps    []string        // machines whose steps of an earlier plan are deleted
+	DeleteStatuses []string        // poolers whose statuses are deleted: they left, or operators removed them
+	History        []HistoryEntry  // new entries
+	Calls          []Call          // hooks to call
+	Resign         bool            // this pooler is next: another pooler has to lead the record
+	Probe          []string        // databases without recent evidence, to be probed
 }
 
 // Change returns the change of the record: the revisions that keys must still have, the values to set and the keys to
@@ -26,7 +26,7 @@
 func (p *Proposal) Change(record Record) (
 	revisions map[string]uint64, set map[string]json.RawMessage, deleted []string,
 ) {
-	if p.Plan == nil && len(p.Steps)+len(p.Drop)+len(p.Forget) == 0 {
+	if p.Plan == nil && len(p.Steps)+len(p.DeleteSteps)+len(p.DeleteStatuses) == 0 {
 		return nil, nil, nil
 	}
 	revisions = map[string]uint64{keyPlan: record.revisions[keyPlan]}
@@ -48,10 +48,10 @@
 	for name, step := range p.Steps {
 		put(keyStepPrefix+name, step)
 	}
-	for _, name := range p.Drop {
+	for _, name := range p.DeleteSteps {
 		remove(keyStepPrefix + name)
 	}
-	for _, name := range p.Forget {
+	for _, name := range p.DeleteStatuses {
 		remove(StatusKey(name))
 	}
 	if len(p.History) > 0 {
--- a/internal/maintenance/round.go
+++ b/internal/maintenance/round.go
@@ -28,7 +28,7 @@
 	for _, name := range slices.Sorted(maps.Keys(r.record.Statuses)) {
 		_, known := r.observation.Incarnations[name]
 		if !known && sameInstanceLeft(r.record.Statuses[name].Incarnation, r.observation.Left[name]) {
-			r.proposal.Forget = append(r.proposal.Forget, name)
+			r.proposal.DeleteStatuses = append(r.proposal.DeleteStatuses, name)
 		}
 	}
 }
@@ -176,7 +176,7 @@
 	case decision.PutBack != "":
 		r.putBack(decision.PutBack)
 	case r.plan.HandOver != nil:
-	case decision.HandOver != Succession{}:
+	case decision.HandOver != PlannedHandOver{}:
 		r.beginHandOver(decision.HandOver)
 	case decision.Take != "":
 		r.take(decision.Take)
@@ -193,7 +193,7 @@
 }
 
 // beginHandOver begins a hand-over from a primary that is next.
-func (r *round) beginHandOver(next Succession) {
+func (r *round) beginHandOver(next PlannedHandOver) {
 	r.plan.Number++
 	r.plan.HandOver = &HandOver{From: next.From, To: next.To, Number: r.plan.Number}
 	r.addHistory(next.From, r.plan.Number, "%s is to take over", next.To)
--- a/internal/maintenance/step_test.go
+++ b/internal/maintenance/step_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An event that does not fit changes nothing, and the error names machine, event, state and reason.
-func TestEventsThatDoNotFit(t *testing.T) {
+// An event that does not fit changes nothing, and the error names the machine, the event, the state and the reason.
+func TestApplyRejectsEventThatDoesNotFit(t *testing.T) {
 	restarted := Poolers{Incarnations: map[string]uint64{"p": 2}}
 	for name, test := range map[string]struct {
 		state State
@@ -41,9 +41,9 @@
 		t.Run(name, func(t *testing.T) {
 			step := Step{Machine: "m", State: test.state, Number: 3}
 			next, err := step.Apply(test.event, 0, restarted, Rules{})
-			var misfit *EventError
-			require.ErrorAs(t, err, &misfit)
-			require.Equal(t, test.event.Kind, misfit.Kind)
+			var eventError *EventError
+			require.ErrorAs(t, err, &eventError)
+			require.Equal(t, test.event.Kind, eventError.Kind)
 			require.EqualError(t, err, test.text)
 			require.Equal(t, step, next)
 		})
--- a/internal/maintenance/twoleaders_test.go
+++ b/internal/maintenance/twoleaders_test.go
@@ -9,66 +9,66 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rivalLeader is one of two poolers that take themselves for the leader.
-type rivalLeader struct {
+// competingLeader is a pooler that considers itself the leader, as another pooler does at the same time.
+type competingLeader struct {
 	name      string
 	clockSkew time.Duration
 	policy    Policy
 	leader    *Leader
-	record    Record    // as it was read for the proposal
-	proposal  *Proposal // that is not written yet; nil: none
-	calls     []Call    // of hooks that go on
+	record    Record    // as read for the proposal
+	proposal  *Proposal // not written yet; nil: none
+	calls     []Call    // of hooks, without a reported result
 }
 
-// rivalry is two poolers that take themselves for the leader of one record.
-type rivalry struct {
+// twoLeadersTest simulates two poolers that both consider themselves the leader of one record.
+type twoLeadersTest struct {
 	t            *testing.T
 	seed         uint64
 	random       *rand.Rand
 	now          time.Duration
 	record       *fakeRecord
 	incarnations map[string]uint64
-	leaders      []*rivalLeader
-	statuses     map[string]PoolerStatus // as the poolers wrote them last
-	open         map[string]uint64       // machines in maintenance with their number, as the hooks know
-	called       map[uint64]bool         // numbers
+	leaders      []*competingLeader
+	statuses     map[string]PoolerStatus // last written by each pooler
+	working      map[string]uint64       // numbers of the hook calls whose work has not ended, by machine
+	called       map[uint64]bool         // numbers under which the hook was called
 }
 
-func newRivalry(t *testing.T, seed uint64) *rivalry {
+func newTwoLeadersTest(t *testing.T, seed uint64) *twoLeadersTest {
 	t.Helper()
-	rivals := &rivalry{
+	test := &twoLeadersTest{
 		t:            t,
 		seed:         seed,
 		random:       rand.New(rand.NewPCG(seed, 9)),
 		now:          1000 * sec,
 		record:       newFakeRecord(),
 		incarnations: map[string]uint64{"p": 1, "q": 1, "r": 1},
-		leaders:      []*rivalLeader{{name: "p", clockSkew: -120 * sec}, {name: "q", clockSkew: 120 * sec}},
+		leaders:      []*competingLeader{{name: "p", clockSkew: -120 * sec}, {name: "q", clockSkew: 120 * sec}},
 		statuses:     map[string]PoolerStatus{},
-		open:         map[string]uint64{},
+		working:      map[string]uint64{},
 		called:       map[uint64]bool{},
 	}
-	for _, leader := range rivals.leaders {
-		rivals.restart(leader)
+	for _, leader := range test.leaders {
+		test.restart(leader)
 	}
-	record := rivals.record.read(t)
+	record := test.record.read(t)
 	spec := PlanSpec{Machines: []string{"a1", "a2", "a3"}, Fresh: 1}
-	snapshot := healthyView(rivals.now, 4, rivals.incarnations).Snapshot
-	proposal, err := Start(rivals.now, record, "plan", testOperator, spec, snapshot)
+	snapshot := healthyView(test.now, 4, test.incarnations).Snapshot
+	proposal, err := Start(test.now, record, "plan", testOperator, spec, snapshot)
 	require.NoError(t, err)
-	require.True(t, rivals.record.write(record, proposal))
-	return rivals
+	require.True(t, test.record.write(record, proposal))
+	return test
 }
 
-// restart restarts the process of a leader, which forgets what it was about to do.
-func (r *rivalry) restart(leader *rivalLeader) {
+// restart restarts the process of a leader, which loses its proposal and its hook calls.
+func (r *twoLeadersTest) restart(leader *competingLeader) {
 	r.incarnations[leader.name]++
 	leader.policy = testPolicy(leader.name, r.incarnations[leader.name])
 	leader.leader, leader.proposal, leader.calls = NewLeader(leader.policy), nil, nil
 }
 
-// propose reads the record and makes a proposal.
-func (r *rivalry) propose(leader *rivalLeader) {
+// propose lets a leader read the record and make a proposal.
+func (r *twoLeadersTest) propose(leader *competingLeader) {
 	r.t.Helper()
 	leader.record = r.record.read(r.t)
 	own := r.now + leader.clockSkew
@@ -76,8 +76,8 @@
 	leader.proposal = &proposal
 }
 
-// write writes the proposal of a leader, if the record has not changed since, and makes its calls.
-func (r *rivalry) write(leader *rivalLeader) {
+// write writes the proposal of a leader, if the record has not changed since it was read, and makes its hook calls.
+func (r *twoLeadersTest) write(leader *competingLeader) {
 	r.t.Helper()
 	proposal := leader.proposal
 	leader.proposal = nil
@@ -87,15 +87,15 @@
 	r.checkWritten(leader.record, *proposal)
 	for _, call := range proposal.Calls {
 		require.False(r.t, r.called[call.Number], "seed %d: number %d is called twice", r.seed, call.Number)
-		require.Zero(r.t, r.open[call.Machine], "seed %d: %s is open", r.seed, call.Machine)
-		r.called[call.Number], r.open[call.Machine] = true, call.Number
+		require.Zero(r.t, r.working[call.Machine], "seed %d: work on %s has not ended", r.seed, call.Machine)
+		r.called[call.Number], r.working[call.Machine] = true, call.Number
 		leader.calls = append(leader.calls, call)
 	}
 }
 
-// checkWritten checks the record after a proposal was written: one machine is out at the most, and all poolers have
-// stopped for one that is drained now.
-func (r *rivalry) checkWritten(before Record, proposal Proposal) {
+// checkWritten checks the record after a proposal was written: at most one machine is out of service, and for a machine
+// that the proposal marked as drained all poolers have stopped.
+func (r *twoLeadersTest) checkWritten(before Record, proposal Proposal) {
 	r.t.Helper()
 	states, unavailable := before.States(), 0
 	for name, step := range r.record.read(r.t).Steps {
@@ -117,20 +117,20 @@
 	require.LessOrEqual(r.t, unavailable, 1, "seed %d", r.seed)
 }
 
-// finishHook reports the end of the first hook of a leader.
-func (r *rivalry) finishHook(leader *rivalLeader) {
+// finishHook writes the result of the first hook call of a leader.
+func (r *twoLeadersTest) finishHook(leader *competingLeader) {
 	r.t.Helper()
 	call := leader.calls[0]
 	record := r.record.read(r.t)
 	result := leader.policy.HookResult(r.now+leader.clockSkew, r.now, record, call, "")
 	if r.record.write(record, result) {
 		leader.calls = leader.calls[1:]
-		delete(r.open, call.Machine)
+		delete(r.working, call.Machine)
 	}
 }
 
-// endForgottenWork lets the operator end work of which no pooler will report the end.
-func (r *rivalry) endForgottenWork() {
+// endAbandonedWork lets the operator end the work whose result no pooler will report.
+func (r *twoLeadersTest) endAbandonedWork() {
 	r.t.Helper()
 	for name, step := range r.record.read(r.t).Steps {
 		if step.State != InMaintenance || r.willReport(step) {
@@ -140,20 +140,20 @@
 		proposal, err := Execute(r.now, record, EndWork, name, testOperator)
 		require.NoError(r.t, err)
 		require.True(r.t, r.record.write(record, proposal))
-		delete(r.open, name)
+		delete(r.working, name)
 	}
 }
 
-// willReport tells whether the caller of a step's hook still runs and has something to report or to write.
-func (r *rivalry) willReport(step Step) bool {
-	caller := slices.IndexFunc(r.leaders, func(leader *rivalLeader) bool {
+// willReport reports whether the caller of a step's hook still runs and has a hook result or a proposal to write.
+func (r *twoLeadersTest) willReport(step Step) bool {
+	caller := slices.IndexFunc(r.leaders, func(leader *competingLeader) bool {
 		return leader.policy.Self == step.HookCaller
 	})
 	return caller >= 0 && (len(r.leaders[caller].calls) > 0 || r.leaders[caller].proposal != nil)
 }
 
-// resumeOrPause lets the operator pause or resume the plan, if that is possible now.
-func (r *rivalry) resumeOrPause() {
+// resumeOrPause lets the operator pause or resume the plan if its state allows that.
+func (r *twoLeadersTest) resumeOrPause() {
 	r.t.Helper()
 	record := r.record.read(r.t)
 	command := []Command{Pause, Resume, Resume}[r.random.IntN(3)]
@@ -162,8 +162,8 @@
 	}
 }
 
-// step lets time pass and one thing happen.
-func (r *rivalry) step(faults bool) {
+// step lets time pass, and then one random event happen.
+func (r *twoLeadersTest) step(faults bool) {
 	r.t.Helper()
 	r.now += time.Duration(r.random.IntN(1500)) * time.Millisecond
 	leader := r.leaders[r.random.IntN(2)]
@@ -182,7 +182,7 @@
 		pooler := []string{"p", "q", "r"}[r.random.IntN(3)]
 		r.statuses[pooler] = r.record.writeStopped(r.t, pooler, r.incarnations[pooler])
 	case 6:
-		r.endForgottenWork()
+		r.endAbandonedWork()
 	case 7:
 		if faults {
 			r.fault(leader)
@@ -191,7 +191,7 @@
 }
 
 // fault restarts a pooler, or lets the operator pause or resume the plan.
-func (r *rivalry) fault(leader *rivalLeader) {
+func (r *twoLeadersTest) fault(leader *competingLeader) {
 	r.t.Helper()
 	switch r.random.IntN(4) {
 	case 0:
@@ -203,24 +203,25 @@
 	}
 }
 
-// Two poolers take themselves for the leader, on clocks four minutes apart; they are restarted at any point between
-// reading, writing and calling; poolers restart, operators pause, resume and end. No work is begun twice, under one
-// number or two at once, nothing is drained while a live pooler has not stopped, and when that is over the plan ends.
-func TestTwoLeaders(t *testing.T) {
+// Two poolers consider themselves the leader, on clocks four minutes apart. They restart at any point between reading,
+// writing and calling the hook. Another pooler restarts, and the operator pauses and resumes the plan and ends work. No
+// work is begun twice under one number, nor again before it has ended. No machine is drained before all live poolers
+// have stopped. Without further faults the plan ends.
+func TestTwoLeadersNeverBeginWorkTwice(t *testing.T) {
 	for seed := range uint64(100) {
-		rivals := newRivalry(t, seed)
+		test := newTwoLeadersTest(t, seed)
 		for range 150 {
-			rivals.step(true)
+			test.step(true)
 		}
-		if record := rivals.record.read(t); record.Plan.State == Paused {
-			proposal, err := Execute(rivals.now, record, Resume, "", testOperator)
+		if record := test.record.read(t); record.Plan.State == Paused {
+			proposal, err := Execute(test.now, record, Resume, "", testOperator)
 			require.NoError(t, err)
-			require.True(t, rivals.record.write(record, proposal))
+			require.True(t, test.record.write(record, proposal))
 		}
-		for n := 0; n < 3000 && rivals.record.read(t).Plan.Active(); n++ {
-			rivals.step(false)
+		for n := 0; n < 3000 && test.record.read(t).Plan.Active(); n++ {
+			test.step(false)
 		}
-		record := rivals.record.read(t)
+		record := test.record.read(t)
 		require.Equal(t, Finished, record.Plan.State, "seed %d: %v", seed, record.Steps)
 	}
 }
