--- a/internal/membership/advisor.go
+++ b/internal/membership/advisor.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Uses are the purposes for which a pooler uses the view. They are independent of each other, and none of them replaces
-// what the pooler knows by itself. The zero value uses it for nothing.
+// Uses selects the purposes for which a pooler uses the view. They are independent of each other, and none of them
+// overrides the pooler's own evidence. The zero value selects none.
 type Uses struct {
-	Count       bool `toml:"count"`       // count the live poolers, in place of the number in the settings
-	Suspicion   bool `toml:"doubt"`       // probe databases that others report as bad, or as a primary
-	Connections int  `toml:"connections"` // idle ones of all poolers together to one database; 0: no common limit
+	Count       bool `toml:"count"`       // divide capacity by the live poolers, not by the configured number
+	Suspicion   bool `toml:"doubt"`       // probe databases that peers report as bad or as a primary
+	Connections int  `toml:"connections"` // limit of all poolers' idle connections to one database; 0: no limit
 }
 
-// AdvisorBounds are the times and counts by which an Advisor decides.
+// AdvisorBounds are the delays and limits of an Advisor.
 type AdvisorBounds struct {
-	StableFor     time.Duration // a lower count of poolers is used once it has been stable for this long
-	TurnInterval  time.Duration // poolers probe a suspected database one after the other, at this interval
-	AllTurns      time.Duration // within which all poolers have their turn, however many there are
-	RetryInterval time.Duration // a pooler probes a suspected database twice, and twice more at this interval
-	ProbesPerStep int           // databases that are probed in one step
-	MinSuspecting int           // poolers that must report a database as bad: a single one may be cut off itself
+	StableFor     time.Duration // how long a lower count of poolers must be stable before it is used
+	TurnInterval  time.Duration // interval between the first probes of a suspected database by successive poolers
+	AllTurns      time.Duration // time for the first probes of all poolers; shortens TurnInterval if they are many
+	RetryInterval time.Duration // pause of a pooler after every second probe of a suspected database
+	ProbesPerStep int           // databases probed in one step at most
+	MinSuspecting int           // peers that must report a database as bad; a single peer may be cut off itself
 }
 
-// DefaultAdvisorBounds returns bounds for periods of 200 ms.
+// DefaultAdvisorBounds returns bounds for gossip periods of 200 ms.
 func DefaultAdvisorBounds() AdvisorBounds {
 	return AdvisorBounds{
 		StableFor:     10 * time.Second,
@@ -36,44 +36,46 @@
 	}
 }
 
-// Hints are what a pooler should do by the view. The zero value changes nothing.
+// Hints are an advisor's recommendations for one period. The zero value changes nothing.
 type Hints struct {
-	Routers         int            // that share the databases; 0: as many as the settings say
+	Routers         int            // poolers among which to divide capacity; 0: the configured number
 	Probe           []string       // databases to probe now
-	IdleConnections map[string]int // that may stay open, by database; nil: no common limit
+	IdleConnections map[string]int // limit of this pooler's idle connections, by database; nil: no limit
 }
 
 // AdvisorCounters count an advisor's decisions.
 type AdvisorCounters struct {
-	Probes     int64 // that it has requested
-	Suspicions int64 // times a database came under suspicion
+	Probes     int64 // requested probes
+	Suspicions int64 // times that a database became suspected
 }
 
-// Advisor decides what a pooler does by the view. It is a deterministic state machine: the time, the view and the
-// pooler's own observations are passed to it. It is not safe for concurrent use.
+// Advisor derives hints for its own pooler from the view. It is a deterministic state machine: callers pass the time,
+// the view and the pooler's own observations. It is not safe for concurrent use.
 type Advisor struct {
 	Counters AdvisorCounters
 
 	name         string
 	uses         Uses
 	bounds       AdvisorBounds
-	routers      int // as in the settings
-	believed     int // count of poolers in use; 0: all that are known
-	lowerCount   int // a lower one that has been observed since lowerSince; 0: none
+	configured   int // number of poolers in the settings
+	countInUse   int // 0: all known poolers
+	lowerCount   int // highest count below countInUse, observed since lowerSince; 0: none
 	lowerSince   time.Duration
 	suspicions   map[string]*suspicion
-	observations map[string][]PeerObservation // of the last step, by database
+	observations map[string][]PeerObservation // by database, as of the last step
 }
 
-// NewAdvisor returns the advisor of the pooler of this name. Routers is the number of poolers in the settings.
-func NewAdvisor(name string, uses Uses, bounds AdvisorBounds, routers int) *Advisor {
-	return &Advisor{name: name, uses: uses, bounds: bounds, routers: routers, suspicions: map[string]*suspicion{}}
+// NewAdvisor returns the advisor of the named pooler. Configured is the number of poolers in the settings.
+func NewAdvisor(name string, uses Uses, bounds AdvisorBounds, configured int) *Advisor {
+	return &Advisor{name: name, uses: uses, bounds: bounds, configured: configured, suspicions: map[string]*suspicion{}}
 }
 
-// Configure sets the number of poolers in the settings, and forgets the earlier counts.
-func (a *Advisor) Configure(routers int) { a.routers, a.believed, a.lowerCount = routers, 0, 0 }
+// Configure sets the configured number of poolers and discards the counts observed so far.
+func (a *Advisor) Configure(configured int) {
+	a.configured, a.countInUse, a.lowerCount = configured, 0, 0
+}
 
-// Step returns the hints of one period.
+// Step returns the hints for one period. Now is the time since the Unix epoch.
 func (a *Advisor) Step(now time.Duration, view *View, local []LocalObservation) (hints Hints) {
 	live := view.Live()
 	a.observations = view.Observations()
@@ -87,10 +89,10 @@
 				known++
 			}
 		}
-		hints.Routers = a.countPoolers(now, len(live), max(known, a.routers))
+		hints.Routers = a.countPoolers(now, len(live), max(known, a.configured))
 	}
 	if a.uses.Connections > 0 {
-		poolers := max(len(live), cmp.Or(hints.Routers, a.routers), 1)
+		poolers := max(len(live), cmp.Or(hints.Routers, a.configured), 1)
 		hints.IdleConnections = a.idleQuotas(poolers, live, local)
 	}
 	if a.uses.Suspicion {
@@ -99,38 +101,42 @@
 	return hints
 }
 
-// countPoolers returns by how many poolers capacity is to be divided. Live ones are in view; known ones are those of
-// the settings or, if they are more, the live ones and those that failed. Too low a count overloads the databases, too
-// high a count only leaves capacity unused. A higher count is therefore used at once, a lower one after it has been
-// stable, and only while more than half of the known poolers are live: at most one side of a network partition has
-// that majority, and the other side goes on with all that are known.
+// countPoolers returns the number of poolers among which to divide capacity. Live is the number of live poolers in the
+// view. Known is the configured number or, if it is higher, the number of live and failed poolers in the view.
+//
+// Too low a count overloads the databases; too high a count only leaves capacity unused. A higher count is therefore
+// used at once. A lower count is used after it has been stable for StableFor, and only while more than half of the
+// known poolers are live. At most one side of a network partition has that majority. The other side divides capacity
+// among all known poolers.
 //
-// With K known poolers, this bounds the capacity used by all live poolers together. Whatever their views are, it is
-// less than twice the total, as each uses at most 1/m of it with m > K/2. In a partition into sides of n > K/2 and K-n,
-// each with its own view, it is n/n + (K-n)/K, less than one and a half. With equal views of n, it is the exact total.
+// With K known poolers, this bounds the capacity that all live poolers use together:
+//   - With any views, they use less than twice the total, because each uses at most 1/m of it, with m > K/2.
+//   - In a partition into sides of n > K/2 and K-n poolers, where the views on each side are equal, they use
+//     n/n + (K-n)/K of the total, less than one and a half.
+//   - With equal views of n live poolers, they use exactly the total.
 func (a *Advisor) countPoolers(now time.Duration, live, known int) int {
 	switch {
 	case live >= known:
-		a.believed, a.lowerCount = live, 0
+		a.countInUse, a.lowerCount = live, 0
 		return live
-	case 2*live <= known: // The minority side of a partition, or the settings are of another installation.
-		a.believed, a.lowerCount = 0, 0
+	case 2*live <= known: // Minority side of a partition, or settings of another installation.
+		a.countInUse, a.lowerCount = 0, 0
 		return known
 	}
-	believed := cmp.Or(a.believed, known)
+	countInUse := cmp.Or(a.countInUse, known)
 	switch {
-	case live >= believed:
-		a.believed, a.lowerCount = live, 0
-	case a.lowerCount == 0 || live > a.lowerCount: // The highest count since it became lower.
+	case live >= countInUse:
+		a.countInUse, a.lowerCount = live, 0
+	case a.lowerCount == 0 || live > a.lowerCount: // Highest count since it became lower.
 		a.lowerCount, a.lowerSince = live, now
 	case now-a.lowerSince >= a.bounds.StableFor:
-		a.believed, a.lowerCount = a.lowerCount, 0
+		a.countInUse, a.lowerCount = a.lowerCount, 0
 	}
-	return cmp.Or(a.believed, known)
+	return cmp.Or(a.countInUse, known)
 }
 
-// idleQuotas divides the idle connections to each database among the poolers. If all of them are live, the remainder of
-// the division goes to the first ones by rendezvous hashing, which are others for each database.
+// idleQuotas divides the idle connections to each database among the poolers. If all poolers are live, the remainder of
+// the division goes to the first poolers in rendezvous order, which differs for each database.
 func (a *Advisor) idleQuotas(poolers int, live []string, local []LocalObservation) map[string]int {
 	quotas := make(map[string]int, len(local))
 	share, remainder := a.uses.Connections/poolers, a.uses.Connections%poolers
--- a/internal/membership/advisor_test.go
+++ b/internal/membership/advisor_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// viewOf returns a view with so many live poolers, n0 and so on, and with ends.
+// viewOf returns a view with this number of live poolers, named n0, n1 and so on, and with the ends.
 func viewOf(live int, ends ...End) *View {
 	view := NewView(DefaultBounds())
 	for i := range live {
@@ -21,7 +21,7 @@
 	return view
 }
 
-// failed returns the ends of poolers that no longer answer.
+// failed returns the detected ends of poolers that have failed.
 func failed(names ...string) (ends []End) {
 	for _, name := range names {
 		ends = append(ends, End{Owner: name, Incarnation: 1, At: now})
@@ -29,9 +29,9 @@
 	return ends
 }
 
-// A higher number of poolers counts at once, a lower one after it has been stable for a while, and one of half or less
-// never. Poolers that left are not counted.
-func TestPoolersAreCounted(t *testing.T) {
+// A higher count of poolers is used at once. A lower count is used after it has been stable, and never if it is half of
+// the known poolers or less. Poolers that have left are not counted.
+func TestLowerPoolerCountMustBeStable(t *testing.T) {
 	newAdvisor := func(settings int) *Advisor {
 		return NewAdvisor("n0", Uses{Count: true}, DefaultAdvisorBounds(), settings)
 	}
@@ -42,17 +42,17 @@
 		live     int
 		ends     []End
 		atOnce   int
-		stable   int // after the number has been stable
+		stable   int // after the count has been stable
 	}{
-		{"as in the settings", 5, 5, nil, 5, 5},
+		{"equal to the settings", 5, 5, nil, 5, 5},
 		{"more than in the settings", 5, 8, nil, 8, 8},
-		{"one less", 5, 4, failed("n4"), 5, 4},
+		{"one fewer", 5, 4, failed("n4"), 5, 4},
 		{"the larger side of a partition", 5, 3, failed("n3", "n4"), 5, 3},
-		{"the smaller side", 5, 2, failed("n2", "n3", "n4"), 5, 5},
+		{"the smaller side of a partition", 5, 2, failed("n2", "n3", "n4"), 5, 5},
 		{"half", 4, 2, failed("n2", "n3"), 4, 4},
-		{"alone", 5, 1, failed("n1", "n2", "n3", "n4"), 5, 5},
-		{"half of more than in the settings", 5, 4, failed("n4", "n5", "n6", "n7"), 8, 8},
-		{"two have left", 2, 3, left, 3, 3},
+		{"the only live pooler", 5, 1, failed("n1", "n2", "n3", "n4"), 5, 5},
+		{"half of a number above the settings", 5, 4, failed("n4", "n5", "n6", "n7"), 8, 8},
+		{"two poolers have left", 2, 3, left, 3, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			advisor, view := newAdvisor(test.settings), viewOf(test.live, test.ends...)
@@ -61,20 +61,20 @@
 			require.Equal(t, test.stable, advisor.Step(now+10*time.Second, view, nil).Routers)
 		})
 	}
-	advisor, less, all := newAdvisor(5), viewOf(4, failed("n4")...), viewOf(5)
-	advisor.Step(now, less, nil)
-	advisor.Step(now+9*time.Second, all, nil)
-	require.Equal(t, 5, advisor.Step(now+10*time.Second, less, nil).Routers, "the lower number was interrupted")
+	advisor, four, five := newAdvisor(5), viewOf(4, failed("n4")...), viewOf(5)
+	advisor.Step(now, four, nil)
+	advisor.Step(now+9*time.Second, five, nil)
+	require.Equal(t, 5, advisor.Step(now+10*time.Second, four, nil).Routers, "the lower count was not stable")
 	off := NewAdvisor("n0", Uses{}, DefaultAdvisorBounds(), 5)
-	require.Zero(t, off.Step(now, less, nil).Routers, "off")
+	require.Zero(t, off.Step(now, four, nil).Routers, "the use is off")
 	require.Zero(t, advisor.Step(now, NewView(DefaultBounds()), nil).Routers, "an empty view")
 }
 
-// visibility returns which poolers, by number, a pooler sees as live in a step.
+// visibility returns for each pooler, by index, whether the given pooler sees it as live in a step.
 type visibility func(pooler, step int) []bool
 
-// usedCapacity returns how much of the capacity all poolers use together, after some steps with the views that a
-// visibility describes.
+// usedCapacity returns the share of the capacity that all poolers use together, after some steps with the views
+// that sees describes.
 func usedCapacity(t *testing.T, names []string, settings int, sees visibility) (sum float64) {
 	t.Helper()
 	const steps, interval = 4, 11 * time.Second
@@ -91,7 +91,8 @@
 	return sum
 }
 
-// viewWith returns a pooler's view in which it and those that it sees are live, and all others have failed.
+// viewWith returns a pooler's view in which the pooler itself and those that it sees are live, and all others have
+// failed.
 func viewWith(names []string, own int, sees []bool) *View {
 	view := NewView(DefaultBounds())
 	for i, live := range sees {
@@ -104,13 +105,13 @@
 	return view
 }
 
-// With any views, all poolers together use less than twice the capacity; in a network partition, once each side has its
-// own view, less than one and a half times; and with equal views exactly all of it.
+// With any views, all poolers together use less than twice the capacity. In a network partition, when the views on each
+// side are equal, they use less than one and a half times the capacity. With equal views they use exactly all of it.
 func TestCountBoundsUsedCapacity(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 11))
 		poolers := 1 + random.IntN(40)
-		settings := 1 + random.IntN(poolers) // or fewer than there are
+		settings := 1 + random.IntN(poolers) // may be below the number of poolers
 		var names []string
 		for i := range poolers {
 			names = append(names, fmt.Sprint("n", i))
@@ -137,8 +138,8 @@
 	}
 }
 
-// With equal views the connections of each database are divided completely, with the remainder at other poolers for
-// each database. A pooler that sees no other divides by the number in the settings.
+// With equal views the connections of each database are divided completely, and the poolers that receive the remainder
+// differ between databases. A pooler that sees no other pooler divides by the configured number.
 func TestIdleConnectionsAreDivided(t *testing.T) {
 	newAdvisor := func(name string) *Advisor {
 		return NewAdvisor(name, Uses{Connections: 24}, DefaultAdvisorBounds(), 7)
@@ -161,7 +162,7 @@
 		}
 		require.Equal(t, 24, sum, observation.Database)
 	}
-	require.Len(t, withRemainder, 7, "the remainders are divided among all")
+	require.Len(t, withRemainder, 7, "the remainders are spread over all poolers")
 	alone := newAdvisor("n0").Step(now, viewOf(1), local)
-	require.Equal(t, 3, alone.IdleConnections["db0"], "alone, by the settings")
+	require.Equal(t, 3, alone.IdleConnections["db0"], "the only live pooler divides by the configured number")
 }
--- a/internal/membership/disseminator.go
+++ b/internal/membership/disseminator.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// DisseminatorBounds limit what a pooler sends.
+// DisseminatorBounds limit the messages of a pooler.
 type DisseminatorBounds struct {
 	Fanout          int           // peers that receive updates in one period
-	UpdateBytes     int           // of updates to one of them: what fits into a datagram
-	AnswerBytes     int           // of the answer to one summary, over a stream
-	SummaryInterval time.Duration // a summary is sent to one peer this often
-	PendingUpdates  int           // updates queued; those sent most often are left to the summaries beyond it
+	UpdateBytes     int           // size of the updates to one peer: they fit into a datagram
+	AnswerBytes     int           // size of the facts in the answer to one summary, sent over a stream
+	SummaryInterval time.Duration // interval at which a summary is sent to one peer
+	PendingUpdates  int           // length of the queue; beyond it, the most-sent updates are left to anti-entropy
 }
 
-// DefaultDisseminatorBounds returns bounds for some 300 poolers and periods of 200 ms.
+// DefaultDisseminatorBounds returns bounds for some 300 poolers and gossip periods of 200 ms.
 func DefaultDisseminatorBounds() DisseminatorBounds {
 	return DisseminatorBounds{
 		Fanout:          3,
@@ -28,24 +28,25 @@
 	}
 }
 
-// Message is what one pooler sends to another.
+// Message is sent by one pooler to another.
 type Message struct {
-	To      string
+	To      string // name of the receiver
 	Updates Delta
-	Summary map[string]uint64 // requests what the sender lacks; nil: requests nothing
+	Summary map[string]uint64 // requests the entries that the sender lacks; nil: no request
 }
 
-// pendingUpdate is one fact or end that is still to be passed on.
+// pendingUpdate is one fact or end that is still to be sent to peers.
 type pendingUpdate struct {
 	delta         Delta
-	size          int
-	transmissions int
+	size          int // in bytes, approximately
+	transmissions int // so far
 }
 
-// Disseminator decides what a pooler sends to whom. It sends each update to a few random peers a period, as often as an
-// epidemic protocol needs to reach all, and now and then a summary to one random peer (anti-entropy), which repairs
-// losses and merges the views of two sides after a network partition. It is a deterministic state machine: the time,
-// the peers and the source of randomness are passed to it. It is not safe for concurrent use.
+// Disseminator decides which messages a pooler sends to which peers. It sends each update to a few random peers in each
+// period, for as many periods as an epidemic protocol needs to reach all poolers. At every SummaryInterval it also
+// sends a summary to one random peer (anti-entropy), which repairs losses and merges both sides' views after a network
+// partition. It is a deterministic state machine: callers pass the time, the peers and the source of randomness. It is
+// not safe for concurrent use.
 type Disseminator struct {
 	View      *View
 	Publisher *Publisher
@@ -53,20 +54,20 @@
 	bounds       DisseminatorBounds
 	random       *rand.Rand
 	pending      []pendingUpdate
-	lastSummary  time.Duration // when one was last sent
-	answerOffset int           // where the next answer to a summary begins
+	lastSummary  time.Duration // when a summary was last sent
+	answerOffset int           // index of the fact with which the next answer begins
 	left         bool          // Leave has been called
 }
 
-// NewDisseminator returns a disseminator with nothing to send.
+// NewDisseminator returns a disseminator with an empty queue.
 func NewDisseminator(
 	view *View, publisher *Publisher, bounds DisseminatorBounds, random *rand.Rand,
 ) *Disseminator {
 	return &Disseminator{View: view, Publisher: publisher, bounds: bounds, random: random}
 }
 
-// Receive merges what a peer sent. New entries are passed on; wrong ones about this pooler itself are refuted, in the
-// next period.
+// Receive merges a delta from a peer and queues its new entries for other peers. Wrong entries about this pooler itself
+// are refuted in the next period.
 func (d *Disseminator) Receive(now time.Duration, delta Delta) {
 	d.enqueue(d.View.Merge(now, delta))
 	if !d.left {
@@ -74,8 +75,8 @@
 	}
 }
 
-// Leave returns the announcement that this pooler ends, for all peers that can be reached at once. Nothing is published
-// after it.
+// Leave returns the announcement that this pooler leaves. The caller sends it to all reachable peers at once. Nothing
+// is published after it.
 func (d *Disseminator) Leave(now time.Duration) Delta {
 	d.left = true
 	delta := d.Publisher.Leave(now)
@@ -92,15 +93,16 @@
 	}
 }
 
-// MarkFailed records that this pooler has detected the end of another's present incarnation.
+// MarkFailed records that this pooler has detected the failure of a peer's current incarnation. An unknown or ended
+// peer is ignored.
 func (d *Disseminator) MarkFailed(now time.Duration, name string) {
 	if incarnation, gone := d.View.Incarnation(name); incarnation > 0 && !gone {
 		d.enqueue(d.View.Merge(now, Delta{Ends: []End{{Owner: name, Incarnation: incarnation, At: now}}}))
 	}
 }
 
-// NextMessages returns the messages of one period. Values are what the pooler publishes now, peers those that can be
-// reached.
+// NextMessages returns the messages of one period. Values are the pooler's current values, which it publishes; peers
+// are the names of the reachable poolers.
 func (d *Disseminator) NextMessages(now time.Duration, values map[Key][]byte, peers []string) (messages []Message) {
 	if !d.left {
 		d.enqueue(d.View.Merge(now, d.Publisher.Publish(now, values)))
@@ -108,18 +110,18 @@
 	if len(peers) == 0 {
 		return nil
 	}
-	// Updates that were sent least go first: most poolers have the others already.
+	// The least-sent updates go first, because most poolers have the others already.
 	slices.SortStableFunc(d.pending, func(a, b pendingUpdate) int {
 		return cmp.Compare(a.transmissions, b.transmissions)
 	})
 	d.pending = d.pending[:min(len(d.pending), d.bounds.PendingUpdates)]
 	for _, i := range d.random.Perm(len(peers))[:min(d.bounds.Fanout, len(peers))] {
-		if updates := d.takeUpdates(); !updates.Empty() {
+		if updates := d.collectUpdates(); !updates.Empty() {
 			messages = append(messages, Message{To: peers[i], Updates: updates})
 		}
 	}
-	enough := transmissionsToReach(len(peers))
-	d.pending = slices.DeleteFunc(d.pending, func(update pendingUpdate) bool { return update.transmissions >= enough })
+	limit := transmissionLimit(len(peers))
+	d.pending = slices.DeleteFunc(d.pending, func(update pendingUpdate) bool { return update.transmissions >= limit })
 	if now-d.lastSummary >= d.bounds.SummaryInterval {
 		d.lastSummary = now
 		messages = append(messages, Message{To: peers[d.random.IntN(len(peers))], Summary: d.View.Summary()})
@@ -127,8 +129,8 @@
 	return messages
 }
 
-// takeUpdates returns as many of the pending updates as fit into one message, and counts their transmission.
-func (d *Disseminator) takeUpdates() (updates Delta) {
+// collectUpdates returns as many pending updates as fit into one message and counts their transmissions.
+func (d *Disseminator) collectUpdates() (updates Delta) {
 	remaining := d.bounds.UpdateBytes
 	for i := range d.pending {
 		update := &d.pending[i]
@@ -143,12 +145,12 @@
 	return updates
 }
 
-// transmissionsToReach returns how often each pooler passes an update on. In an epidemic protocol a small multiple of
-// the logarithm of the number of peers reaches nearly all of them.
-func transmissionsToReach(peers int) int { return 2 * bits.Len(uint(peers)) }
+// transmissionLimit returns how often each pooler sends an update. In an epidemic protocol, a small multiple of the
+// logarithm of the number of peers reaches nearly all of them.
+func transmissionLimit(peers int) int { return 2 * bits.Len(uint(peers)) }
 
-// Answer returns what a pooler with that summary lacks, within the bound. Successive answers begin at different places,
-// so that a pooler that requests them repeatedly receives everything.
+// Answer returns the entries that a pooler with this summary lacks: all ends, and facts up to AnswerBytes. Successive
+// answers begin with different facts, which lets a pooler receive all of them by repeated requests.
 func (d *Disseminator) Answer(summary map[string]uint64) (answer Delta) {
 	missing := d.View.Missing(summary)
 	answer.Ends = missing.Ends
--- a/internal/membership/disseminator_test.go
+++ b/internal/membership/disseminator_test.go
@@ -11,20 +11,20 @@
 
 const period = 200 * time.Millisecond
 
-// cluster is many poolers in virtual time: what is sent in one period arrives in the next.
+// cluster simulates poolers in virtual time. Messages that are sent in one period arrive in the next.
 type cluster struct {
 	now     time.Duration
 	random  *rand.Rand
 	running map[string]*Disseminator
 	names   []string
 	values  map[string]map[Key][]byte
-	loss    float64        // share of the updates that are lost
-	side    map[string]int // of a network partition; poolers on different sides cannot reach each other
+	loss    float64        // probability that an update message is lost
+	side    map[string]int // side of a network partition; poolers on different sides cannot reach each other
 	bytes   int            // sent so far
-	sent    []sentMessage
+	sent    []sentMessage  // in transit
 }
 
-// sentMessage is a message under way.
+// sentMessage is a message in transit.
 type sentMessage struct {
 	from    string
 	message Message
@@ -47,7 +47,7 @@
 	return created
 }
 
-// start starts a pooler without a view, again if it has run before.
+// start starts or restarts a pooler with an empty view.
 func (c *cluster) start(name string) {
 	publisher := NewPublisher(name, uint64(c.now.Milliseconds()), DefaultBounds())
 	c.running[name] = NewDisseminator(NewView(DefaultBounds()), publisher, DefaultDisseminatorBounds(), c.random)
@@ -78,7 +78,7 @@
 	if receiver == nil || c.side[sent.from] != c.side[sent.message.To] {
 		return
 	}
-	if sent.message.Summary != nil { // over a stream, which loses nothing and answers at once
+	if sent.message.Summary != nil { // sent over a stream: not lost, and answered at once
 		c.exchange(sent, receiver)
 		return
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-// exchange answers a summary, and sends back what the receiver is missing.
+// exchange answers a summary. The sender of the summary then sends the entries that the receiver lacks.
 func (c *cluster) exchange(sent sentMessage, receiver *Disseminator) {
 	answer := receiver.Answer(sent.message.Summary)
 	c.countBytes(Message{Updates: answer})
@@ -96,9 +96,9 @@
 		return
 	}
 	sender.Receive(c.now, answer)
-	back := sender.Answer(receiver.View.Summary())
-	c.countBytes(Message{Updates: back})
-	receiver.Receive(c.now, back)
+	reply := sender.Answer(receiver.View.Summary())
+	c.countBytes(Message{Updates: reply})
+	receiver.Receive(c.now, reply)
 }
 
 // peers returns the running poolers that a pooler can reach.
@@ -121,7 +121,7 @@
 	}
 }
 
-// factBytes returns the size of facts.
+// factBytes returns the approximate encoded size of facts.
 func factBytes(facts []Fact) (size int) {
 	for _, fact := range facts {
 		size += fact.size()
@@ -129,20 +129,21 @@
 	return size
 }
 
-// converge steps until all poolers that can reach each other have equal views with the given number of live ones, and
-// returns how many periods that took.
-func (c *cluster) converge(t *testing.T, most int, live func(name string) int) int {
+// converge steps until all poolers on each side have equal views with the expected number of live poolers. It returns
+// the number of periods that this took.
+func (c *cluster) converge(t *testing.T, maxPeriods int, live func(name string) int) int {
 	t.Helper()
-	for periods := range most {
+	for periods := range maxPeriods {
 		if c.converged(live) {
 			return periods
 		}
 		c.step()
 	}
-	require.Fail(t, "not converged", "after %d periods", most)
-	return most
+	require.Fail(t, "not converged", "after %d periods", maxPeriods)
+	return maxPeriods
 }
 
+// converged reports whether all poolers on each side have equal views with the expected number of live poolers.
 func (c *cluster) converged(live func(name string) int) bool {
 	digests := map[int]uint64{} // by side
 	for _, name := range c.names {
@@ -159,7 +160,7 @@
 	return true
 }
 
-// partition divides the poolers into two sides at a number, and lets one pooler of each side detect that those on the
+// partition divides the poolers into two sides at an index. One pooler of each side detects that the poolers on the
 // other side no longer answer.
 func (c *cluster) partition(at int) {
 	for _, name := range c.names[:at] {
@@ -173,8 +174,9 @@
 	}
 }
 
-// Hundreds of poolers converge after a common start, a change, a crash, a restart without a view, a network partition
-// and its end, while a tenth of the updates is lost. A pooler that is reported as failed while it runs refutes that.
+// Up to 300 poolers converge after a common start, a change, a crash, a restart without a view, a network partition and
+// its end, while a tenth of the update messages is lost. A running pooler that is reported as failed refutes the
+// report.
 func TestClusterConverges(t *testing.T) {
 	for _, size := range []int{5, 30, 300} {
 		t.Run(fmt.Sprint(size, " poolers"), func(t *testing.T) { runClusterFaults(t, size) })
@@ -187,41 +189,41 @@
 	poolers.loss = 0.1
 	all := func(string) int { return size }
 	before := poolers.bytes
-	report := func(what string, periods int) {
-		t.Logf("%3d poolers, %s: %d periods (%.1f s), %.1f KB a pooler", size, what, periods,
+	report := func(event string, periods int) {
+		t.Logf("%3d poolers, %s: %d periods (%.1f s), %.1f KB a pooler", size, event, periods,
 			(time.Duration(periods) * period).Seconds(), float64(poolers.bytes-before)/1024/float64(size))
 		before = poolers.bytes
 	}
 	report("started together", poolers.converge(t, 200, all))
 	poolers.values["n001"][Key{}] = []byte("changed")
 	poolers.step()
-	report("a change", 1+poolers.converge(t, 200, all))
+	report("a changed value", 1+poolers.converge(t, 200, all))
 	delete(poolers.running, "n002")
 	poolers.running["n000"].MarkFailed(poolers.now, "n002")
-	report("a crash, detected by one", poolers.converge(t, 200, func(string) int { return size - 1 }))
+	report("a crash, detected by one pooler", poolers.converge(t, 200, func(string) int { return size - 1 }))
 	poolers.start("n002")
-	report("its restart", poolers.converge(t, 200, all))
+	report("the restart after the crash", poolers.converge(t, 200, all))
 	poolers.running["n000"].MarkFailed(poolers.now, "n003")
 	poolers.step()
-	report("reported as failed, and refuted", 1+poolers.converge(t, 200, all))
+	report("a false failure report and its refutation", 1+poolers.converge(t, 200, all))
 	half := size / 2
 	poolers.partition(half)
-	report("a partition, each side by itself", poolers.converge(t, 400, func(name string) int {
+	report("a partition, each side separately", poolers.converge(t, 400, func(name string) int {
 		if poolers.side[name] == 1 {
 			return half
 		}
 		return size - half
 	}))
 	clear(poolers.side)
-	report("the partition is over", poolers.converge(t, 400, all))
+	report("the end of the partition", poolers.converge(t, 400, all))
 	for range 50 {
 		poolers.step()
 	}
-	report("the 10 s after", 50)
+	report("the next 10 s", 50)
 }
 
-// With facts on many databases the updates of each period stay within their limit, and exchanges bring the others in
-// parts.
+// With facts about many databases, the updates of each message stay within UpdateBytes, and the answers to summaries
+// bring the remaining facts in parts.
 func TestUpdatesOnManyDatabasesAreBounded(t *testing.T) {
 	poolers := newCluster(1, 30, 120)
 	periods := poolers.converge(t, 400, func(string) int { return 30 })
--- a/internal/membership/facts.go
+++ b/internal/membership/facts.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Kind is what a fact is about. Its values are sent between poolers.
+// Kind is the type of subject that a fact describes. Its values are part of the wire format.
 type Kind uint8
 
 const (
-	// KindPooler is a fact about its owner. It has no subject.
+	// KindPooler marks a fact about its owner. Its key has no subject.
 	KindPooler Kind = iota
-	// KindDatabase is an Observation that its owner made of the database named by the subject.
+	// KindDatabase marks an encoded Observation of the database that the key's subject names.
 	KindDatabase
 )
 
-// String names the kind in logs and test failures.
+// String returns the kind's name for logs and test failures.
 func (k Kind) String() string {
 	switch k {
 	case KindPooler:
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Key identifies a fact among those of its owner.
+// Key identifies a fact among the facts of its owner.
 type Key struct {
 	Kind    Kind
 	Subject string // id of a database; empty for KindPooler
@@ -42,23 +42,23 @@
 }
 
 // Fact is one value published by its owner. Only the owner creates its facts, each with a higher sequence than all
-// before it in the same incarnation. The field names are part of the wire format.
+// earlier facts of the same incarnation. The field names are part of the wire format.
 type Fact struct {
-	Owner       string // name of a pooler
-	Incarnation uint64 // of the owner: starts at the Unix time in milliseconds, so that it grows with each restart
+	Owner       string // name of the pooler that published it
+	Incarnation uint64 // of the owner: begins as its start time in Unix ms, which is later after each restart
 	Sequence    uint64
 	Key         Key
-	At          time.Duration // when it was published: since the Unix epoch, on the owner's clock
+	At          time.Duration // time of publication on the owner's clock, since the Unix epoch
 	Value       []byte        // opaque to the view
 }
 
-// End records that an incarnation of a pooler, and all before it, are gone. The field names are part of the wire
-// format.
+// End records that an incarnation of a pooler and all its earlier incarnations have ended. The field names are part of
+// the wire format.
 type End struct {
 	Owner       string
 	Incarnation uint64
-	At          time.Duration // when it was detected: since the Unix epoch, on the clock of the pooler that detected it
-	Left        bool          // the owner itself announced its end; otherwise it stopped responding
+	At          time.Duration // time of detection on the clock of the pooler that detected it, since the Unix epoch
+	Left        bool          // true: the owner announced its end; false: it stopped responding
 }
 
 // Delta is a set of facts and ends that one pooler sends to another.
@@ -67,19 +67,19 @@
 	Ends  []End
 }
 
-// Empty reports whether the delta holds nothing.
+// Empty reports whether the delta has neither facts nor ends.
 func (d Delta) Empty() bool { return len(d.Facts)+len(d.Ends) == 0 }
 
-// Bounds limit what a view holds and accepts, and what a publisher publishes.
+// Bounds limit the entries of a view and the facts of a publisher.
 type Bounds struct {
-	Owners            int           // poolers known, those that are gone included
-	Published         int           // facts that a publisher has at one time
-	Facts             int           // of one owner: more than Published, as databases come and go
-	ValueBytes        int           // in one value
-	NameBytes         int           // in the name of an owner or subject
-	Retention         time.Duration // older facts are rejected, and ends are stored for twice as long
-	ClockSkew         time.Duration // facts and ends that are further in the future are rejected
-	RepublishInterval time.Duration // unchanged facts are published again after this; a fraction of Retention
+	Owners            int           // known poolers, including ended ones
+	Published         int           // facts of one publisher at one time
+	Facts             int           // facts of one owner in a view; above Published, because databases come and go
+	ValueBytes        int           // length of a value
+	NameBytes         int           // length of the name of an owner or subject
+	Retention         time.Duration // older facts are rejected; ends are stored for twice as long
+	ClockSkew         time.Duration // facts and ends further in the future are rejected
+	RepublishInterval time.Duration // interval at which unchanged facts are published again; a fraction of Retention
 }
 
 // DefaultBounds returns bounds for some 300 poolers and 120 databases.
@@ -96,7 +96,7 @@
 	}
 }
 
-// validFact reports whether the fact's names and value are well formed and within the bounds.
+// validFact reports whether the fact's names and value are well-formed and within the bounds.
 func (b Bounds) validFact(fact Fact) bool {
 	switch {
 	case fact.Owner == "" || len(fact.Owner) > b.NameBytes:
@@ -111,14 +111,16 @@
 	return false
 }
 
-// inFuture reports whether the time or the incarnation of a fact or end is in the future, beyond the permitted clock
-// skew. Incarnations have twice the margin: refuting an end makes an incarnation a little higher than its start time.
+// inFuture reports whether the time or the incarnation of a fact or end is further in the future than the permitted
+// clock skew. Incarnations have twice the margin, because refuting an end raises an incarnation a little above its
+// start time.
 func (b Bounds) inFuture(now, at time.Duration, incarnation uint64) bool {
 	return at > now+b.ClockSkew || incarnation > uint64((now+2*b.ClockSkew).Milliseconds())
 }
 
-// supersedes orders facts of one owner, incarnation and key. An owner never publishes two with one sequence, but two
-// processes may run under the same name: then every pooler keeps the later one, or the one with the greater value.
+// supersedes reports whether a fact replaces the current one of the same owner, incarnation and key. An owner publishes
+// each sequence only once, but two processes may run under the same name. At equal sequences, the
+// later time wins, then the greater value, which makes all poolers choose the same fact.
 func supersedes(fact, current Fact) bool {
 	return cmp.Or(
 		cmp.Compare(fact.Sequence, current.Sequence),
@@ -127,7 +129,7 @@
 	) > 0
 }
 
-// These are roughly what an encoded fact or end takes beside its names and value, in bytes.
+// Approximate encoded size of a fact or end without its names and value, in bytes.
 const (
 	factWireOverhead = 32
 	endWireOverhead  = 24
@@ -139,7 +141,7 @@
 // size returns the approximate encoded size in bytes.
 func (e End) size() int { return len(e.Owner) + endWireOverhead }
 
-// hash is part of the wire format: digests and summaries are sums of it.
+// hash returns the hash of the fact. It is part of the wire format: digests and summaries are sums of hashes.
 func (f Fact) hash() uint64 {
 	h := fnv.New64a() // its writes return no errors
 	_, _ = fmt.Fprintf(h, "%q %d %d %d %q %d ",
@@ -148,7 +150,8 @@
 	return mixHash(h.Sum64())
 }
 
-// hash is part of the wire format, as that of facts. An announced end differs from a detected one by one byte.
+// hash returns the hash of the end. It is part of the wire format, like the hash of a fact. The hashed text of an
+// announced end differs from that of a detected one in one byte.
 func (e End) hash() uint64 {
 	text := []byte(e.Owner + "\x00end")
 	if e.Left {
@@ -161,8 +164,8 @@
 	return mixHash(h.Sum64())
 }
 
-// mixHash is the finalizer of SplitMix64. The last bytes written to FNV-1a change only its low bits, so that sums of
-// such hashes would collide without it.
+// mixHash is the finalizer of SplitMix64. The last bytes written to FNV-1a change only its low bits, and sums of such
+// hashes would collide without the finalizer.
 func mixHash(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -11,51 +11,53 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The model check explores all interleavings of a small cluster: three poolers publish, crash, restart without a view,
-// are reported as failed, rightly and wrongly, and refute it, while each message between two of them may be late,
-// duplicated or lost. Every state must keep the invariants, and from every state exchanges between all live poolers
-// must make their views converge.
+// The model check explores all interleavings of events in a cluster of three poolers. The poolers publish, crash and
+// restart without a view. Correct and false failure reports occur, and the poolers refute the false ones. Each message
+// may be late, duplicated or lost. Every state must satisfy the invariants, and from every state, exchanges between all
+// live poolers must make their views converge.
 
-// delivery is a message under way to a member.
+// delivery is a message in transit to a member.
 type delivery struct {
 	to    int
 	delta Delta
 }
 
+// modelMember is one pooler of the model.
 type modelMember struct {
 	up        bool
 	view      *View
 	publisher *Publisher
 }
 
+// model is a state of the cluster, with the events that led to it.
 type model struct {
-	members  [3]modelMember
-	messages []delivery
-	clock    uint64 // incarnations come from it
-	left     budget
-	trace    []string
-	// ended are the incarnations that a member knows to have ended: until it restarts, it must never have facts of them
-	// again.
+	members   [3]modelMember
+	messages  []delivery
+	clock     uint64 // source of incarnations
+	remaining budget
+	trace     []string
+	// ended are the highest incarnations that each member knows to have ended, by name. Until it restarts, the member
+	// must have no facts of them.
 	ended [3]map[string]uint64
 }
 
-// budget is how often each event may still happen. It keeps the state space small.
-type budget struct{ publish, crash, restart, wrong, duplicate, lose, sync int }
+// budget is how often each event may still happen. It limits the state space.
+type budget struct{ publish, crash, restart, falseReport, duplicate, lose, sync int }
 
-// rules are what the members do. Planted faults change them.
-type rules struct {
+// protocolRules define how members merge and refute. Planted faults change them.
+type protocolRules struct {
 	merge  func(view *View, delta Delta) Delta
 	refute func(publisher *Publisher, delta Delta) bool
 }
 
-var correctRules = rules{
+var correctRules = protocolRules{
 	merge:  func(view *View, delta Delta) Delta { return view.Merge(now, delta) },
 	refute: func(publisher *Publisher, delta Delta) bool { return publisher.Refute(now, delta) },
 }
 
 // newModel returns a model whose members know each other.
 func newModel(events budget) *model {
-	created := &model{left: events}
+	created := &model{remaining: events}
 	for i := range created.members {
 		created.start(i)
 	}
@@ -69,7 +71,7 @@
 
 func memberName(i int) string { return string(rune('a' + i)) }
 
-// start starts a member without a view.
+// start starts a member with an empty view.
 func (m *model) start(i int) {
 	m.clock += 10
 	publisher := NewPublisher(memberName(i), m.clock, DefaultBounds())
@@ -78,6 +80,7 @@
 	m.members[i].view.Merge(now, publisher.Publish(now, publishedValues(0)))
 }
 
+// publishedValues returns values that differ for each n.
 func publishedValues(n int) map[Key][]byte { return map[Key][]byte{{}: {byte('0' + n)}} }
 
 func (m *model) clone() *model {
@@ -104,10 +107,10 @@
 	return &copied
 }
 
-// text identifies a state. The order of the messages does not matter.
-func (m *model) text() string {
+// stateKey identifies a state, regardless of the order of its messages.
+func (m *model) stateKey() string {
 	var text strings.Builder
-	fmt.Fprint(&text, m.clock, m.left)
+	fmt.Fprint(&text, m.clock, m.remaining)
 	for i, member := range m.members {
 		if member.up {
 			publisher := member.publisher
@@ -124,18 +127,19 @@
 	return text.String()
 }
 
-// receive lets a member merge a delta, and refute it if necessary. What it refutes it sends to the others.
-func (m *model) receive(by rules, i int, delta Delta) {
+// receive merges a delta at a member. If the member refutes the delta, it sends its new facts and the changes to the
+// other members.
+func (m *model) receive(rules protocolRules, i int, delta Delta) {
 	member := &m.members[i]
-	changed := by.merge(member.view, delta)
+	changed := rules.merge(member.view, delta)
 	for _, end := range changed.Ends {
 		m.ended[i][end.Owner] = max(m.ended[i][end.Owner], end.Incarnation)
 	}
-	if !by.refute(member.publisher, delta) {
+	if !rules.refute(member.publisher, delta) {
 		return
 	}
 	refutation := member.publisher.Publish(now, publishedValues(0))
-	by.merge(member.view, refutation)
+	rules.merge(member.view, refutation)
 	changed.Facts = append(changed.Facts, refutation.Facts...)
 	if !changed.Empty() {
 		m.send(i, changed)
@@ -151,27 +155,27 @@
 	}
 }
 
-// drop removes a message.
+// drop removes a message from those in transit.
 func (m *model) drop(i int) { m.messages = slices.Delete(m.messages, i, i+1) }
 
-// successors collects the states that follow one.
+// successors collects the states that are one event after a state.
 type successors struct {
-	of     *model
-	by     rules
+	from   *model
+	rules  protocolRules
 	states []*model
 }
 
-// add adds the state after an event.
+// add adds the state after the event, which apply carries out.
 func (s *successors) add(event string, apply func(state *model)) {
-	state := s.of.clone()
+	state := s.from.clone()
 	state.trace = append(state.trace, event)
 	apply(state)
 	s.states = append(s.states, state)
 }
 
 // next returns all states after one more event.
-func (m *model) next(by rules) []*model {
-	following := &successors{of: m, by: by}
+func (m *model) next(rules protocolRules) []*model {
+	following := &successors{from: m, rules: rules}
 	for i, message := range m.messages {
 		isEqual := func(other delivery) bool { return fmt.Sprint(message) == fmt.Sprint(other) }
 		if m.members[message.to].up && !slices.ContainsFunc(m.messages[:i], isEqual) {
@@ -189,82 +193,82 @@
 	return following.states
 }
 
-// addDeliveries adds what may happen to a message.
+// addDeliveries adds the states after the events of one message: its receipt, duplication or loss.
 func (s *successors) addDeliveries(i int, message delivery) {
 	to, delta := message.to, message.delta
 	s.add(fmt.Sprintf("%s receives %v", memberName(to), delta), func(state *model) {
 		state.drop(i)
-		state.receive(s.by, to, delta)
+		state.receive(s.rules, to, delta)
 	})
-	if s.of.left.duplicate > 0 {
+	if s.from.remaining.duplicate > 0 {
 		s.add(fmt.Sprintf("%s receives a copy of %v", memberName(to), delta), func(state *model) {
-			state.left.duplicate--
-			state.receive(s.by, to, delta)
+			state.remaining.duplicate--
+			state.receive(s.rules, to, delta)
 		})
 	}
-	if s.of.left.lose > 0 {
+	if s.from.remaining.lose > 0 {
 		s.add(fmt.Sprintf("%v to %s is lost", delta, memberName(to)), func(state *model) {
-			state.left.lose--
+			state.remaining.lose--
 			state.drop(i)
 		})
 	}
 }
 
-// addOwnEvents adds what a member may do by itself.
+// addOwnEvents adds the states after a member's restart, publication or crash.
 func (s *successors) addOwnEvents(i int) {
-	isUp := s.of.members[i].up
-	if !isUp && s.of.left.restart > 0 {
+	isUp := s.from.members[i].up
+	if !isUp && s.from.remaining.restart > 0 {
 		s.add(memberName(i)+" restarts", func(state *model) {
-			state.left.restart--
+			state.remaining.restart--
 			state.start(i)
 			state.send(i, state.members[i].view.All())
 		})
 	}
-	if isUp && s.of.left.publish > 0 {
+	if isUp && s.from.remaining.publish > 0 {
 		s.add(memberName(i)+" publishes", func(state *model) {
-			state.left.publish--
-			delta := state.members[i].publisher.Publish(now, publishedValues(state.left.publish+1))
-			state.receive(s.by, i, delta)
+			state.remaining.publish--
+			delta := state.members[i].publisher.Publish(now, publishedValues(state.remaining.publish+1))
+			state.receive(s.rules, i, delta)
 			state.send(i, delta)
 		})
 	}
-	if isUp && s.of.left.crash > 0 {
+	if isUp && s.from.remaining.crash > 0 {
 		s.add(memberName(i)+" crashes", func(state *model) {
-			state.left.crash--
+			state.remaining.crash--
 			state.members[i] = modelMember{}
 		})
 	}
 }
 
-// addEventsBetween adds what a member that is up may do with another one.
+// addEventsBetween adds the states after a member that is up reports another one as failed or synchronizes with it.
 func (s *successors) addEventsBetween(own, other int) {
-	incarnation, gone := s.of.members[own].view.Incarnation(memberName(other))
-	otherIsUp := s.of.members[other].up
-	if !gone && incarnation > 0 && (!otherIsUp || s.of.left.wrong > 0) {
+	incarnation, gone := s.from.members[own].view.Incarnation(memberName(other))
+	otherIsUp := s.from.members[other].up
+	if !gone && incarnation > 0 && (!otherIsUp || s.from.remaining.falseReport > 0) {
 		s.add(fmt.Sprintf("%s reports %s as failed", memberName(own), memberName(other)), func(state *model) {
 			if otherIsUp {
-				state.left.wrong--
+				state.remaining.falseReport--
 			}
 			delta := Delta{Ends: []End{{memberName(other), incarnation, now, false}}}
-			state.receive(s.by, own, delta)
+			state.receive(s.rules, own, delta)
 			state.send(own, delta)
 		})
 	}
-	if s.of.left.sync > 0 && otherIsUp {
+	if s.from.remaining.sync > 0 && otherIsUp {
 		s.add(fmt.Sprintf("%s sends its summary to %s", memberName(own), memberName(other)), func(state *model) {
-			state.left.sync--
-			state.sync(s.by, own, other)
+			state.remaining.sync--
+			state.sync(s.rules, own, other)
 		})
 	}
 }
 
-// sync lets a member receive what it is missing of another one's view.
-func (m *model) sync(by rules, i, j int) {
-	m.receive(by, i, m.members[j].view.Missing(m.members[i].view.Summary()))
+// sync delivers to member i the entries of member j's view that it lacks.
+func (m *model) sync(rules protocolRules, i, j int) {
+	m.receive(rules, i, m.members[j].view.Missing(m.members[i].view.Summary()))
 }
 
-// brokenInvariant returns which invariant the state breaks; empty if none.
-func (m *model) brokenInvariant() string {
+// violatedInvariant describes an invariant that the state violates; empty if there is none.
+func (m *model) violatedInvariant() string {
 	for i, member := range m.members {
 		if !member.up {
 			continue
@@ -286,13 +290,13 @@
 	return ""
 }
 
-// divergence lets all live members exchange their views until nothing changes, with those that are down reported as
-// failed, and returns what is wrong then; empty if nothing is.
-func (m *model) divergence(by rules) string {
+// divergence makes all live members exchange their views until they converge, and report members that are down. It
+// describes the remaining fault; empty if there is none.
+func (m *model) divergence(rules protocolRules) string {
 	state := m.clone()
 	for range 6 {
 		for i := range state.members {
-			state.syncWithAll(by, i)
+			state.syncWithAll(rules, i)
 		}
 	}
 	var first *View
@@ -307,33 +311,33 @@
 			return "views differ"
 		}
 		for j := range state.members {
-			if why := state.wrongView(i, j, first); why != "" {
-				return why
+			if fault := state.viewFault(i, j, first); fault != "" {
+				return fault
 			}
 		}
 	}
 	return ""
 }
 
-// syncWithAll lets a member that is up receive what it is missing of all others, and report those that are down.
-func (m *model) syncWithAll(by rules, i int) {
+// syncWithAll synchronizes a member that is up with all others that are up, and makes it report those that are down.
+func (m *model) syncWithAll(rules protocolRules, i int) {
 	for j, other := range m.members {
 		if !m.members[i].up || i == j {
 			continue
 		}
 		if other.up {
-			m.sync(by, i, j)
+			m.sync(rules, i, j)
 			continue
 		}
 		if incarnation, gone := m.members[i].view.Incarnation(memberName(j)); incarnation > 0 && !gone {
-			m.receive(by, i, Delta{Ends: []End{{memberName(j), incarnation, now, false}}})
+			m.receive(rules, i, Delta{Ends: []End{{memberName(j), incarnation, now, false}}})
 		}
 	}
 }
 
-// wrongView returns what a member's view of another one, or of itself, has wrong; empty if nothing. First is another
-// member's view, which must have the same facts.
-func (m *model) wrongView(own, of int, first *View) string {
+// viewFault describes a fault in a member's view of another member or of itself; empty if there is none. First is the
+// view of any live member, which must have the same facts.
+func (m *model) viewFault(own, of int, first *View) string {
 	member, other := m.members[own], m.members[of]
 	incarnation, gone := member.view.Incarnation(memberName(of))
 	if live := incarnation > 0 && !gone; live != other.up {
@@ -344,32 +348,32 @@
 	}
 	isEqual := func(a, b Fact) bool { return a.hash() == b.hash() }
 	if !slices.EqualFunc(member.view.FactsUnder(Key{}), first.FactsUnder(Key{}), isEqual) {
-		return "facts differ"
+		return "facts differ between views"
 	}
 	if incarnation != other.publisher.incarnation {
-		return memberName(of) + " is known by an incarnation that has ended"
+		return memberName(of) + " is known by an ended incarnation"
 	}
 	if owner := member.view.owners[memberName(of)]; owner.facts[Key{}].Sequence != other.publisher.sequence {
-		return fmt.Sprintf("%s has published more than %s knows", memberName(of), memberName(own))
+		return fmt.Sprintf("%s has published facts that %s lacks", memberName(of), memberName(own))
 	}
 	return ""
 }
 
-// explore visits all states within the budget, up to a limit. It returns how many there were, and the events up to the
-// first wrong state, with what is wrong.
-func explore(events budget, by rules, limit int) (states int, trace []string) {
+// explore visits all states within the budget, up to a limit. It returns the number of visited states and, if a state
+// is faulty, the events up to that state and a description of the fault.
+func explore(events budget, rules protocolRules, limit int) (states int, trace []string) {
 	seen := map[string]bool{}
 	queue := []*model{newModel(events)}
 	for len(queue) > 0 && states < limit {
 		state := queue[0]
 		queue = queue[1:]
 		states++
-		if why := cmp.Or(state.brokenInvariant(), state.divergence(by)); why != "" {
-			return states, append(state.trace, why)
+		if fault := cmp.Or(state.violatedInvariant(), state.divergence(rules)); fault != "" {
+			return states, append(state.trace, fault)
 		}
-		for _, next := range state.next(by) {
-			if text := next.text(); !seen[text] {
-				seen[text] = true
+		for _, next := range state.next(rules) {
+			if key := next.stateKey(); !seen[key] {
+				seen[key] = true
 				queue = append(queue, next)
 			}
 		}
@@ -377,16 +381,16 @@
 	return states, nil
 }
 
-// budgets are those whose states are explored completely.
+// budgets limit the events of each model run. All states within a budget are explored.
 var budgets = map[string]budget{
 	"a crash and a restart":                       {publish: 1, crash: 1, restart: 1},
-	"wrongly reported as failed":                  {publish: 1, wrong: 1, sync: 1},
+	"wrongly reported as failed":                  {publish: 1, falseReport: 1, sync: 1},
 	"duplicated and lost":                         {publish: 2, duplicate: 1, lose: 1},
-	"a crash, and one wrongly reported as failed": {crash: 1, restart: 1, wrong: 1},
+	"a crash, and one wrongly reported as failed": {crash: 1, restart: 1, falseReport: 1},
 }
 
-// All states keep the invariants and converge.
-func TestModel(t *testing.T) {
+// All states satisfy the invariants and converge.
+func TestModelSatisfiesInvariantsAndConverges(t *testing.T) {
 	const limit = 200_000
 	for name, events := range budgets {
 		states, trace := explore(events, correctRules, limit)
@@ -396,9 +400,9 @@
 	}
 }
 
-// faultyRules are rules with one planted fault each.
-var faultyRules = map[string]rules{
-	"a late message removes an end": {correctRules.after(func(view *View, delta Delta) {
+// faultyRules are protocol rules with one planted fault each.
+var faultyRules = map[string]protocolRules{
+	"a late message removes an end": {correctRules.mergeAfter(func(view *View, delta Delta) {
 		for _, fact := range delta.Facts {
 			if owner := view.owners[fact.Owner]; owner != nil && owner.gone && owner.incarnation == fact.Incarnation {
 				view.clearOwner(fact.Owner, owner)
@@ -406,7 +410,7 @@
 			}
 		}
 	}), correctRules.refute},
-	"the last received fact wins, not the last published": {correctRules.after(func(view *View, delta Delta) {
+	"the last received fact wins, not the last published": {correctRules.mergeAfter(func(view *View, delta Delta) {
 		for _, fact := range delta.Facts {
 			owner := view.owners[fact.Owner]
 			if owner != nil && owner.incarnation == fact.Incarnation && len(owner.facts) > 0 {
@@ -415,7 +419,7 @@
 			}
 		}
 	}), correctRules.refute},
-	"an older incarnation is accepted": {correctRules.after(func(view *View, delta Delta) {
+	"an older incarnation is accepted": {correctRules.mergeAfter(func(view *View, delta Delta) {
 		for _, fact := range delta.Facts {
 			if owner := view.owners[fact.Owner]; owner != nil && fact.Incarnation < owner.incarnation && !owner.gone {
 				view.clearOwner(fact.Owner, owner)
@@ -423,14 +427,14 @@
 			}
 		}
 	}), correctRules.refute},
-	"an end counts for all incarnations": {correctRules.after(func(view *View, delta Delta) {
+	"an end counts for all incarnations": {correctRules.mergeAfter(func(view *View, delta Delta) {
 		for i, end := range delta.Ends {
 			if owner := view.owners[end.Owner]; owner != nil && !owner.gone {
 				delta.Ends[i].Incarnation = max(end.Incarnation, owner.incarnation)
 			}
 		}
 	}), func(*Publisher, Delta) bool { return false }},
-	"nobody refutes": {correctRules.merge, func(*Publisher, Delta) bool { return false }},
+	"no pooler refutes": {correctRules.merge, func(*Publisher, Delta) bool { return false }},
 	"a refutation has the same incarnation": {correctRules.merge, func(publisher *Publisher, delta Delta) bool {
 		if !publisher.Refute(now, delta) {
 			return false
@@ -438,19 +442,19 @@
 		publisher.incarnation--
 		return true
 	}},
-	"the digest is wrong after an end": {correctRules.after(func(view *View, delta Delta) {
+	"the digest is wrong after an end": {correctRules.mergeAfter(func(view *View, delta Delta) {
 		if len(delta.Ends) > 0 {
 			view.digest++
 		}
 	}), correctRules.refute},
 }
 
-// Planted faults are found.
+// The model check finds each planted fault. Otherwise its invariants would be too weak.
 func TestModelFindsFaults(t *testing.T) {
-	for name, by := range faultyRules {
+	for name, rules := range faultyRules {
 		found := ""
 		for _, events := range budgets {
-			if states, trace := explore(events, by, 20_000); trace != nil {
+			if states, trace := explore(events, rules, 20_000); trace != nil {
 				found = fmt.Sprintf("%d states, %d steps: %s", states, len(trace)-1, trace[len(trace)-1])
 				break
 			}
@@ -460,8 +464,8 @@
 	}
 }
 
-// after returns rules whose merge follows a faulty step.
-func (r rules) after(faulty func(*View, Delta)) func(*View, Delta) Delta {
+// mergeAfter returns a merge function that first applies the faulty change to the view and a copy of the delta.
+func (r protocolRules) mergeAfter(faulty func(*View, Delta)) func(*View, Delta) Delta {
 	return func(view *View, delta Delta) Delta {
 		delta = Delta{slices.Clone(delta.Facts), slices.Clone(delta.Ends)}
 		faulty(view, delta)
--- a/internal/membership/publisher.go
+++ b/internal/membership/publisher.go
@@ -16,16 +16,18 @@
 	bounds      Bounds
 }
 
-// NewPublisher returns the publisher of an incarnation, which must be higher than all earlier ones of that name.
+// NewPublisher returns the publisher of the named pooler. The incarnation must be higher than all earlier ones of that
+// name.
 func NewPublisher(name string, incarnation uint64, bounds Bounds) *Publisher {
 	return &Publisher{name: name, incarnation: incarnation, published: map[Key]Fact{}, bounds: bounds}
 }
 
-// Incarnation returns the present incarnation. Refute makes it higher.
+// Incarnation returns the current incarnation. Refute raises it.
 func (p *Publisher) Incarnation() uint64 { return p.incarnation }
 
-// Publish returns new facts for those of the values that have changed, or whose facts are so old that others would
-// soon expire them. A key that is absent from the values is no longer published, and expires at the others.
+// Publish returns new facts for the values that have changed, and for those whose facts are so old that peers would
+// soon expire them. A key that is absent from the values is no longer published, and peers expire its fact. The values
+// are copied.
 func (p *Publisher) Publish(now time.Duration, values map[Key][]byte) (delta Delta) {
 	maps.DeleteFunc(p.published, func(key Key, _ Fact) bool {
 		_, present := values[key]
@@ -48,17 +50,17 @@
 	return delta
 }
 
-// Leave returns the announcement that this pooler ends. Publish and Refute must not be called after it.
+// Leave returns the announcement that this pooler leaves. Publish and Refute must not be called after it.
 func (p *Publisher) Leave(now time.Duration) Delta {
 	return Delta{Ends: []End{{Owner: p.name, Incarnation: p.incarnation, At: now, Left: true}}}
 }
 
-// Refute handles what others say of this pooler's own name. If they take this incarnation for gone, or know a higher
-// one, the publisher continues with an incarnation that is higher still, and publishes all its facts anew. It returns
-// whether it did so.
+// Refute checks the entries of a peer's delta about this pooler's own name. If one of them ends the current incarnation
+// or belongs to a higher one, the publisher changes to an incarnation above those of all these entries, and the next
+// Publish returns facts for all values. Refute reports whether the incarnation changed.
 //
-// Facts and ends that views reject as being in the future are not refuted: the next incarnation would be rejected as
-// well, and the pooler would be excluded for good.
+// Facts and ends that views reject as being in the future are not refuted. The next incarnation would be rejected as
+// well, and the pooler would be excluded permanently.
 func (p *Publisher) Refute(now time.Duration, delta Delta) bool {
 	highest, refuted := p.incarnation, false
 	for _, end := range delta.Ends {
--- a/internal/membership/publisher_test.go
+++ b/internal/membership/publisher_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A publisher publishes values that have changed, and the others again before they expire. It refutes its own end.
+// A publisher publishes changed values at once and republishes unchanged values before they expire. It refutes reports
+// that its incarnation has ended.
 func TestPublisherRepublishesAndRefutes(t *testing.T) {
 	bounds := DefaultBounds()
 	publisher, view := NewPublisher("n", 3, bounds), NewView(bounds)
@@ -34,10 +35,10 @@
 	view.Merge(at, publisher.Publish(at, values))
 	require.Equal(t, []string{"n"}, view.Live())
 	duplicate := Delta{Facts: []Fact{{Owner: "n", Incarnation: 9, At: at}}}
-	require.True(t, publisher.Refute(at, duplicate), "another pooler has its name")
+	require.True(t, publisher.Refute(at, duplicate), "another pooler uses the same name")
 	require.Equal(t, uint64(10), publisher.Incarnation())
 	require.False(t, publisher.Refute(at, Delta{Facts: []Fact{{Owner: "n", Incarnation: 1 << 63, At: at}}}),
-		"of the future: its own facts would never be accepted again")
+		"an incarnation in the future: the publisher's next facts would never be accepted")
 	require.False(t, publisher.Refute(at, Delta{Ends: []End{{"n", 11, at + time.Hour, false}}}))
 	require.Equal(t, uint64(10), publisher.Incarnation())
 }
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -2,16 +2,17 @@
 
 import "hash/fnv"
 
-// rendezvousRank returns the place of a name among others, in an order that differs for each subject and is the same at
-// every pooler (rendezvous hashing). When another name joins or leaves, the remaining names keep their relative order.
-func rendezvousRank(subject, name string, among []string) (place int) {
+// rendezvousRank returns the rank of a name among others by rendezvous hashing, from 0. The order differs for each
+// subject and is the same at every pooler. When another name joins or leaves, the relative order of the remaining names
+// does not change.
+func rendezvousRank(subject, name string, others []string) (rank int) {
 	own := rendezvousWeight(subject, name)
-	for _, other := range among {
+	for _, other := range others {
 		if weight := rendezvousWeight(subject, other); weight > own || weight == own && other < name {
-			place++
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
 func rendezvousWeight(subject, name string) uint64 {
--- a/internal/membership/reporter_test.go
+++ b/internal/membership/reporter_test.go
@@ -8,8 +8,8 @@
 )
 
 // A reporter publishes observations that differ from the default, and those that another pooler contests. An
-// observation that has become the default again is published for a while longer.
-func TestReporterPublishesWhatIsNotDefault(t *testing.T) {
+// observation that has become the default again is published until the retention has passed.
+func TestReporterPublishesNonDefaultObservations(t *testing.T) {
 	reporter := NewReporter(time.Minute)
 	never := func(string) bool { return false }
 	local := []LocalObservation{
@@ -21,7 +21,7 @@
 		return ParseObservation(reporter.Report(at, local, contested)[Key{KindDatabase, database}])
 	}
 	_, published := observe(now, "a", never)
-	require.False(t, published, "the default")
+	require.False(t, published, "it is the default")
 	unresponsive, _ := observe(now, "b", never)
 	require.Equal(t, Observation{State: Unresponsive, Since: now.Milliseconds()}, unresponsive)
 	unresponsive, _ = observe(now+time.Second, "b", never)
@@ -34,7 +34,7 @@
 	withdrawn := Observation{State: Healthy, Since: (now + 2*time.Second).Milliseconds()}
 	require.Equal(t, withdrawn, unresponsive)
 	_, published = observe(now+62*time.Second, "b", never)
-	require.False(t, published, "all others have received it")
+	require.False(t, published, "the retention has passed")
 	_, published = observe(now+63*time.Second, "a", func(string) bool { return true })
 	require.True(t, published, "another pooler contests it")
 	local = local[1:]
@@ -45,7 +45,7 @@
 		require.False(t, ok, "%q", malformed)
 	}
 	original := Observation{State: Failing, Cold: true, Primary: true, Since: 1 << 40, Position: 7}
-	parsed, ok := ParseObservation(append(original.Append(nil), "more of a newer version"...))
+	parsed, ok := ParseObservation(append(original.Append(nil), "fields of a newer version"...))
 	require.True(t, ok)
 	require.Equal(t, original, parsed)
 }
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// probesInARow is how often a suspected database is probed in successive steps before the pause of RetryInterval. One
-// failed probe proves nothing, and two are enough.
-const probesInARow = 2
+// consecutiveProbes is how often a suspected database is probed in successive steps before a pause of RetryInterval.
+// One failed probe proves nothing, and two are enough.
+const consecutiveProbes = 2
 
-// suspicion lasts for a database as long as other poolers report something of it that this pooler has not seen.
+// suspicion is the state of a suspected database. It exists while isSuspected returns true for the database.
 type suspicion struct {
 	nextProbe time.Duration
 	probes    int // requested so far
 }
 
-// databasesToProbe returns the suspected databases whose probe is due. Poolers probe in turn, so that a failing
-// database does not receive the probes of all at once.
+// databasesToProbe returns the suspected databases whose probe is due. Poolers probe in turn, which spares a failing
+// database the simultaneous probes of all of them.
 func (a *Advisor) databasesToProbe(now time.Duration, live []string, local []LocalObservation) (probe []string) {
 	suspected := map[string]bool{}
 	for _, own := range local {
@@ -27,7 +27,7 @@
 		suspected[own.Database] = true
 		current := a.suspicions[own.Database]
 		if current == nil {
-			current = &suspicion{nextProbe: now + a.firstTurn(own.Database, live)}
+			current = &suspicion{nextProbe: now + a.firstProbeDelay(own.Database, live)}
 			a.suspicions[own.Database] = current
 			a.Counters.Suspicions++
 		}
@@ -37,7 +37,7 @@
 		probe = append(probe, own.Database)
 		a.Counters.Probes++
 		current.probes++
-		if current.probes%probesInARow == 0 {
+		if current.probes%consecutiveProbes == 0 {
 			current.nextProbe = now + a.bounds.RetryInterval
 		}
 	}
@@ -45,9 +45,9 @@
 	return probe
 }
 
-// isSuspected reports whether other poolers report something of a database that is newer than this pooler's evidence:
-// several that it is bad, or one that it is a primary. Their reports are a reason to probe, and the result of the probe
-// is evidence.
+// isSuspected reports whether peers have published something about a database that is newer than this pooler's
+// evidence: MinSuspecting peers that it is bad, or one peer that it is a primary. Such reports are only a reason to
+// probe; the result of the probe is evidence.
 func (a *Advisor) isSuspected(own LocalObservation) bool {
 	bad, isPrimary := 0, false
 	for _, reported := range a.observations[own.Database] {
@@ -62,9 +62,9 @@
 	return own.MayProbe && !own.State.Bad() && (bad >= a.bounds.MinSuspecting || isPrimary)
 }
 
-// firstTurn returns how long this pooler waits before its first probe of a database that has come under suspicion.
-// Poolers that have published an observation of the database need not probe it, and take no turn.
-func (a *Advisor) firstTurn(database string, live []string) time.Duration {
+// firstProbeDelay returns how long this pooler waits before its first probe of a newly suspected database. Poolers that
+// have published an observation of the database need not probe it, and the delay leaves no time for them.
+func (a *Advisor) firstProbeDelay(database string, live []string) time.Duration {
 	var reporting []string
 	for _, reported := range a.observations[database] {
 		reporting = append(reporting, reported.Pooler)
@@ -76,14 +76,14 @@
 	return time.Duration(rendezvousRank(database, a.name, waiting)) * interval
 }
 
-// Contested reports whether any pooler reported a database as bad at the last step.
+// Contested reports whether any pooler observed a database as bad, as of the last step.
 func (a *Advisor) Contested(database string) bool {
 	return slices.ContainsFunc(a.observations[database], func(reported PeerObservation) bool {
 		return reported.State.Bad()
 	})
 }
 
-// Suspected returns the databases that are under suspicion, sorted.
+// Suspected returns the suspected databases, sorted.
 func (a *Advisor) Suspected() []string {
 	names := make([]string, 0, len(a.suspicions))
 	for name := range a.suspicions {
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -8,24 +8,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// mergeObservation merges what one pooler publishes of the database "db".
+// mergeObservation merges one pooler's observation of the database "db" into the view.
 func mergeObservation(view *View, pooler string, observation Observation) {
 	publisher := NewPublisher(pooler, 2, DefaultBounds())
 	values := map[Key][]byte{{}: []byte("up"), {KindDatabase, "db"}: observation.Append(nil)}
 	view.Merge(now, publisher.Publish(now, values))
 }
 
-// newSuspicionAdvisor returns the advisor of a pooler that probes databases which others observe as bad.
+// newSuspicionAdvisor returns the advisor of a pooler that probes suspected databases.
 func newSuspicionAdvisor(name string, poolers int) *Advisor {
 	return NewAdvisor(name, Uses{Suspicion: true}, DefaultAdvisorBounds(), poolers)
 }
 
-// A pooler probes a database if two others have observed it as bad after its own last answer, or if one has observed
-// that it is the primary: twice, and then rarely. It does not if it has observed the same, or may not probe.
+// A pooler probes a database if two peers have observed it as bad after the pooler's own last answer from it, or if one
+// peer has observed it as the primary. It probes twice in succession, then twice after each pause. It does not probe a
+// database that it has observed in the same state or must not probe.
 func TestSuspectedDatabasesAreProbed(t *testing.T) {
 	later := (now + time.Second).Milliseconds()
 	bad := Observation{State: Unresponsive, Since: later}
-	leads := Observation{State: Healthy, Primary: true, Since: later}
+	asPrimary := Observation{State: Healthy, Primary: true, Since: later}
 	own := LocalObservation{Database: "db", State: Healthy, LastAnswer: now, MayProbe: true}
 	newer, unresponsive, mayNotProbe, isPrimary := own, own, own, own
 	newer.LastAnswer = now + 2*time.Second
@@ -36,7 +37,7 @@
 	mergeObservation(one, "n1", bad)
 	mergeObservation(two, "n1", bad)
 	mergeObservation(two, "n2", bad)
-	mergeObservation(primary, "n1", leads)
+	mergeObservation(primary, "n1", asPrimary)
 	for _, test := range []struct {
 		name  string
 		uses  Uses
@@ -44,14 +45,14 @@
 		local LocalObservation
 		want  []string
 	}{
-		{"one observes it as bad", Uses{Suspicion: true}, one, own, nil},
-		{"two observe it as bad", Uses{Suspicion: true}, two, own, []string{"db"}},
-		{"its own evidence is newer", Uses{Suspicion: true}, two, newer, nil},
-		{"it has observed the same", Uses{Suspicion: true}, two, unresponsive, nil},
-		{"it may not probe", Uses{Suspicion: true}, two, mayNotProbe, nil},
-		{"off", Uses{}, two, own, nil},
-		{"one observes that it is the primary", Uses{Suspicion: true}, primary, own, []string{"db"}},
-		{"it knows the primary", Uses{Suspicion: true}, primary, isPrimary, nil},
+		{"one peer observes it as bad", Uses{Suspicion: true}, one, own, nil},
+		{"two peers observe it as bad", Uses{Suspicion: true}, two, own, []string{"db"}},
+		{"the pooler's own evidence is newer", Uses{Suspicion: true}, two, newer, nil},
+		{"the pooler has observed the same", Uses{Suspicion: true}, two, unresponsive, nil},
+		{"the pooler must not probe it", Uses{Suspicion: true}, two, mayNotProbe, nil},
+		{"the use is off", Uses{}, two, own, nil},
+		{"one peer observes it as the primary", Uses{Suspicion: true}, primary, own, []string{"db"}},
+		{"the pooler has observed it as the primary", Uses{Suspicion: true}, primary, isPrimary, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			advisor := NewAdvisor("n0", test.uses, DefaultAdvisorBounds(), 5)
@@ -76,10 +77,10 @@
 	require.Equal(t, want, probedAfter)
 	require.Equal(t, []string{"db"}, advisor.Suspected())
 	require.Empty(t, advisor.Step(now+20*time.Second, two, []LocalObservation{newer}).Probe)
-	require.Empty(t, advisor.Suspected(), "its own newer evidence ends the suspicion")
+	require.Empty(t, advisor.Suspected(), "newer evidence of the pooler itself ends the suspicion")
 }
 
-// However many poolers suspect a database because of others' observations, they probe it in turn.
+// Poolers that suspect the same database probe it in turn, even if they are many.
 func TestPoolersProbeInTurn(t *testing.T) {
 	const poolers = 200
 	view := viewOf(poolers)
@@ -93,14 +94,14 @@
 	}
 	probed := map[int]bool{}
 	for step := range 7 {
-		first := 0
+		firstProbes := 0
 		for i, advisor := range advisors {
 			if advisor.Step(now+time.Duration(step)*200*time.Millisecond, view, own).Probe != nil && !probed[i] {
 				probed[i] = true
-				first++
+				firstProbes++
 			}
 		}
-		require.LessOrEqual(t, first, 1+poolers/5, "in 200 ms of the second")
+		require.LessOrEqual(t, firstProbes, 1+poolers/5, "first probes in 200 ms of the second")
 	}
-	require.Len(t, probed, poolers, "all have probed within the second")
+	require.Len(t, probed, poolers, "all poolers have probed within the second")
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,11 +1,11 @@
-// Package membership is the state that the poolers of an installation share: which poolers are live, and what each of
-// them observes of the databases. It does no I/O, reads no clock and starts no goroutine; internal/membership/gossip
-// runs it on a network.
+// Package membership implements the state that the poolers of an installation share: which poolers are live, and what
+// each of them observes of the databases. It does no I/O, reads no clock and starts no goroutines;
+// internal/membership/gossip runs it on a network.
 //
-// Each pooler publishes facts (Publisher). All poolers hold those of all others (View) and exchange updates and
-// summaries (Disseminator). A View is a join-semilattice: merging is commutative, associative and idempotent, so that
-// poolers that have received the same updates, in any order and any number of times, hold the same. Advisor derives
-// from a view what its own pooler should do.
+// Each pooler publishes facts (Publisher), stores the facts of all poolers (View), and exchanges updates and summaries
+// with its peers (Disseminator). A View is a join-semilattice: merging is commutative, associative and idempotent.
+// Poolers that have received the same updates, in any order and any number of times, therefore have equal views.
+// Advisor derives hints for its own pooler from a view.
 package membership
 
 import (
@@ -15,32 +15,32 @@
 	"time"
 )
 
-// ownerState is what a view holds of one pooler: its highest known incarnation. A higher incarnation supersedes a lower
-// one, and within an incarnation its end supersedes all its facts.
+// ownerState is the state of one pooler in a view, at the pooler's highest known incarnation. A higher incarnation
+// supersedes a lower one, and the end of an incarnation supersedes all its facts.
 type ownerState struct {
 	incarnation uint64
 	gone, left  bool
-	at          time.Duration // of the end
+	endedAt     time.Duration // End.At, if gone
 	facts       map[Key]Fact
 }
 
 // endRecord returns the end of a pooler that is gone.
 func (o *ownerState) endRecord(name string) End {
-	return End{Owner: name, Incarnation: o.incarnation, At: o.at, Left: o.left}
+	return End{Owner: name, Incarnation: o.incarnation, At: o.endedAt, Left: o.left}
 }
 
-// View is what one pooler knows of all poolers. It is not safe for concurrent use.
+// View is one pooler's knowledge of all poolers. It is not safe for concurrent use.
 type View struct {
 	Counters ViewCounters
 
 	bounds Bounds
 	owners map[string]*ownerState
-	digest uint64 // sum of the hashes of all entries: independent of their order
+	digest uint64 // sum of the hashes of all entries, which does not depend on their order
 }
 
 // ViewCounters count the facts and ends that a view rejected.
 type ViewCounters struct {
-	Stale    int64 `json:"Old"`   // older than Bounds.Retention, or of an incarnation that is over
+	Stale    int64 `json:"Old"`   // older than the retention, or of an ended or superseded incarnation
 	Future   int64 `json:"Ahead"` // further in the future than Bounds.ClockSkew
 	Invalid  int64 `json:"Large"` // malformed or too large
 	Overflow int64 `json:"Crowd"` // above the bound on owners or facts
@@ -49,10 +49,11 @@
 // NewView returns an empty view.
 func NewView(bounds Bounds) *View { return &View{bounds: bounds, owners: map[string]*ownerState{}} }
 
-// Digest returns a hash of everything in the view, equal at all poolers whose views are equal.
+// Digest returns a hash of the whole view. Equal views have equal digests.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Merge adds what another pooler sent, and returns the part of it that was new, which is to be passed on.
+// Merge adds a peer's delta and returns its new entries, which the caller forwards to other peers. The view copies the
+// values; the returned facts share theirs with delta.
 func (v *View) Merge(now time.Duration, delta Delta) (changed Delta) {
 	for _, fact := range delta.Facts {
 		if v.mergeFact(now, fact) {
@@ -73,14 +74,14 @@
 	case !v.bounds.validFact(fact):
 		v.Counters.Invalid++
 		return false
-	case v.bounds.inFuture(now, fact.At, fact.Incarnation): // With a wrong clock, it would stay the newest for ever.
+	case v.bounds.inFuture(now, fact.At, fact.Incarnation): // A fact from a wrong clock would stay the newest forever.
 		v.Counters.Future++
 		return false
-	case fact.At < now-v.bounds.Retention: // It may have been expired here already, and must not return.
+	case fact.At < now-v.bounds.Retention: // It may have expired here already and must not return.
 		v.Counters.Stale++
 		return false
 	}
-	owner := v.ownerOf(fact)
+	owner := v.ensureOwner(fact)
 	if owner == nil {
 		return false
 	}
@@ -100,9 +101,9 @@
 	return true
 }
 
-// ownerOf returns the state to which a fact is to be added, in the fact's incarnation. It returns nil, and counts it,
-// where that incarnation is over or the bound on owners is reached.
-func (v *View) ownerOf(fact Fact) *ownerState {
+// ensureOwner returns the state of a fact's owner, in the fact's incarnation. It returns nil and counts the rejection
+// if that incarnation has ended or is superseded, or if the bound on owners is reached.
+func (v *View) ensureOwner(fact Fact) *ownerState {
 	owner := v.owners[fact.Owner]
 	switch {
 	case owner == nil:
@@ -114,9 +115,9 @@
 	case fact.Incarnation < owner.incarnation || fact.Incarnation == owner.incarnation && owner.gone:
 		v.Counters.Stale++
 		return nil
-	case fact.Incarnation > owner.incarnation: // It has restarted: its earlier facts and its end are void.
+	case fact.Incarnation > owner.incarnation: // The owner has restarted: its earlier facts and its end are void.
 		v.clearOwner(fact.Owner, owner)
-		owner.incarnation, owner.gone, owner.left, owner.at = fact.Incarnation, false, false, 0
+		owner.incarnation, owner.gone, owner.left, owner.endedAt = fact.Incarnation, false, false, 0
 	}
 	return owner
 }
@@ -149,26 +150,27 @@
 		return v.mergeRepeatedEnd(owner, end)
 	}
 	v.clearOwner(end.Owner, owner)
-	owner.incarnation, owner.gone, owner.left, owner.at = end.Incarnation, true, end.Left, end.At
+	owner.incarnation, owner.gone, owner.left, owner.endedAt = end.Incarnation, true, end.Left, end.At
 	v.digest += end.hash()
 	return true
 }
 
-// mergeRepeatedEnd merges an end that is known already and reports whether that changed it. The later time stays, and
-// the owner's own announcement takes precedence over detection by others, in whatever order they arrive.
+// mergeRepeatedEnd merges another end of an incarnation that has already ended, and reports whether it changed
+// anything. The later time wins, and the owner's announcement takes precedence over detection by peers, in any order of
+// arrival.
 func (v *View) mergeRepeatedEnd(owner *ownerState, end End) bool {
-	at, left := max(end.At, owner.at), end.Left || owner.left
-	if at == owner.at && left == owner.left {
+	at, left := max(end.At, owner.endedAt), end.Left || owner.left
+	if at == owner.endedAt && left == owner.left {
 		return false
 	}
 	v.digest -= owner.endRecord(end.Owner).hash()
-	owner.at, owner.left = at, left
+	owner.endedAt, owner.left = at, left
 	v.digest += owner.endRecord(end.Owner).hash()
 	return true
 }
 
-// mayAddOwner reports whether one more owner may be added, and counts it if not. The limit protects from invented
-// names.
+// mayAddOwner reports whether one more owner may be added, and counts an overflow if not. The limit protects against
+// invented names.
 func (v *View) mayAddOwner() bool {
 	if len(v.owners) < v.bounds.Owners {
 		return true
@@ -177,7 +179,7 @@
 	return false
 }
 
-// clearOwner removes all facts of an owner, and its end from the digest.
+// clearOwner removes all facts of an owner, and removes the facts and the end from the digest.
 func (v *View) clearOwner(name string, owner *ownerState) {
 	for _, fact := range owner.facts {
 		v.digest -= fact.hash()
@@ -188,8 +190,8 @@
 	clear(owner.facts)
 }
 
-// Expire removes facts that their owners no longer publish again, and ends for which no fact can arrive any more. What
-// it removes cannot return: it would be rejected as stale.
+// Expire removes facts that their owners no longer republish, and ends of incarnations of which no fact would be
+// accepted any more. Removed entries cannot return, because they would be rejected as stale.
 func (v *View) Expire(now time.Duration) {
 	for name, owner := range v.owners {
 		for key, fact := range owner.facts {
@@ -198,14 +200,14 @@
 				delete(owner.facts, key)
 			}
 		}
-		if owner.gone && owner.at < now-2*v.bounds.Retention || !owner.gone && len(owner.facts) == 0 {
+		if owner.gone && owner.endedAt < now-2*v.bounds.Retention || !owner.gone && len(owner.facts) == 0 {
 			v.clearOwner(name, owner)
 			delete(v.owners, name)
 		}
 	}
 }
 
-// Live returns the names of the poolers that are not known to be gone, sorted.
+// Live returns the names of the poolers that are not known to have ended, sorted.
 func (v *View) Live() []string {
 	var names []string
 	for name, owner := range v.owners {
@@ -217,7 +219,7 @@
 	return names
 }
 
-// Gone returns the known ends, sorted by name.
+// Gone returns the known ends, sorted by owner.
 func (v *View) Gone() (ends []End) {
 	for _, name := range slices.Sorted(maps.Keys(v.owners)) {
 		if owner := v.owners[name]; owner.gone {
@@ -227,7 +229,8 @@
 	return ends
 }
 
-// FactAge returns the number of facts, and when the oldest of them was published (since the Unix epoch).
+// FactAge returns the number of facts, and the time at which the oldest of them was published (since the Unix epoch; 0
+// without facts).
 func (v *View) FactAge() (facts int, oldest time.Duration) {
 	for _, owner := range v.owners {
 		for _, fact := range owner.facts {
@@ -239,7 +242,8 @@
 	return facts, oldest
 }
 
-// Incarnation returns the highest known incarnation of a pooler, and whether it is gone. It is 0 for an unknown name.
+// Incarnation returns the highest known incarnation of a pooler, and whether it has ended. It returns 0 for an unknown
+// name.
 func (v *View) Incarnation(name string) (incarnation uint64, gone bool) {
 	if owner := v.owners[name]; owner != nil {
 		return owner.incarnation, owner.gone
@@ -257,7 +261,7 @@
 	return sequence
 }
 
-// FactsUnder returns the facts of live poolers under a key, sorted by owner.
+// FactsUnder returns the facts of live poolers with a key, sorted by owner.
 func (v *View) FactsUnder(key Key) []Fact {
 	var facts []Fact
 	for _, name := range v.Live() {
@@ -268,13 +272,13 @@
 	return facts
 }
 
-// HasLeft reports whether a pooler is gone by its own announcement.
+// HasLeft reports whether a pooler has ended and announced its end itself.
 func (v *View) HasLeft(name string) bool {
 	owner := v.owners[name]
 	return owner != nil && owner.gone && owner.left
 }
 
-// All returns everything in the view, in a fixed order.
+// All returns all entries of the view, sorted by owner and key.
 func (v *View) All() (delta Delta) {
 	for _, name := range slices.Sorted(maps.Keys(v.owners)) {
 		owner := v.owners[name]
@@ -288,7 +292,7 @@
 	return delta
 }
 
-// Summary returns a hash for each known pooler, by which another pooler finds out where its view differs.
+// Summary returns a hash for each known pooler. A peer compares the hashes with its own to find where the views differ.
 func (v *View) Summary() map[string]uint64 {
 	sums := make(map[string]uint64, len(v.owners))
 	for name, owner := range v.owners {
@@ -304,7 +308,7 @@
 	return sums
 }
 
-// Missing returns everything on the poolers for which a view with that summary holds something else or nothing.
+// Missing returns the entries of all owners that are absent from the summary or have a different hash in it.
 func (v *View) Missing(summary map[string]uint64) (delta Delta) {
 	all, own := v.All(), v.Summary()
 	same := func(name string) bool {
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -11,7 +11,7 @@
 
 const now = 1_800_000_000 * time.Second
 
-// recount computes the digest from the summary.
+// recount computes the digest anew from the summary.
 func (v *View) recount() (sum uint64) {
 	for _, digest := range v.Summary() {
 		sum += digest
@@ -19,7 +19,7 @@
 	return sum
 }
 
-// history returns what several poolers publish in the course of restarts and ends, one delta for each fact and end.
+// history returns the facts and ends of several poolers over several restarts, one delta for each fact or end.
 func history(random *rand.Rand) (all []Delta) {
 	for i := range 4 {
 		name := fmt.Sprint("n", i)
@@ -34,7 +34,7 @@
 					all = append(all, Delta{Facts: []Fact{fact}})
 				}
 			}
-			for range random.IntN(3) { // several may have detected it
+			for range random.IntN(3) { // several poolers may detect the same end
 				at := now + time.Duration(random.IntN(9))*time.Second
 				all = append(all, Delta{Ends: []End{{name, publisher.Incarnation(), at, random.IntN(2) == 0}}})
 			}
@@ -43,9 +43,9 @@
 	return all
 }
 
-// Views that have merged the same deltas are equal, in whatever order, however often and through whichever other view
-// they received them.
-func TestMergeLaws(t *testing.T) {
+// Views that have merged the same deltas are equal. The order and the number of merges do not matter, nor whether a
+// delta arrived through another view.
+func TestMergeIsIndependentOfOrderAndRepetition(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 7))
 		deltas := history(random)
@@ -77,12 +77,12 @@
 		require.Equal(t, view.recount(), view.Digest(), "seed %d", seed)
 	}
 	view.Merge(now, other.All())
-	require.True(t, view.Merge(now, view.All()).Empty(), "seed %d: a view's own entries change nothing", seed)
+	require.True(t, view.Merge(now, view.All()).Empty(), "seed %d: merging a view's own entries changes nothing", seed)
 	return view
 }
 
-// Two views send each other exactly what the other one is missing.
-func TestMissing(t *testing.T) {
+// Missing returns exactly the entries that the other view lacks.
+func TestMissingReturnsDifferingOwners(t *testing.T) {
 	first, second := NewView(DefaultBounds()), NewView(DefaultBounds())
 	both := NewPublisher("both", 1, DefaultBounds()).Publish(now, map[Key][]byte{{}: []byte("x")})
 	first.Merge(now, both)
@@ -98,8 +98,8 @@
 	require.Equal(t, []string{"both", "first"}, second.Live())
 }
 
-// Facts of a pooler that has ended do not return: neither with a late message nor after the end itself has expired.
-// Facts of an older incarnation are rejected beside a newer one; those of a restarted pooler are accepted.
+// Facts of an ended pooler do not return, neither with a late message nor after the end itself has expired. Facts and
+// ends of an older incarnation are rejected if a newer one is known. Facts of a restarted pooler are accepted.
 func TestExpiredFactsDoNotReturn(t *testing.T) {
 	bounds := DefaultBounds()
 	view := NewView(bounds)
@@ -129,7 +129,8 @@
 	require.False(t, gone)
 }
 
-// Invalid entries are rejected and counted: those of the future, too long or too many ones, and those without a name.
+// Invalid entries are rejected and counted: entries that are stale, in the future, malformed or too large, and entries
+// above the bounds on owners and facts.
 func TestInvalidEntriesAreRejectedAndCounted(t *testing.T) {
 	bounds := DefaultBounds()
 	bounds.Owners, bounds.Facts = 2, 2
@@ -169,7 +170,7 @@
 	require.Equal(t, ViewCounters{Stale: 2, Future: 4, Invalid: 7, Overflow: 7 + 8 + 9}, view.Counters)
 }
 
-// BenchmarkMerge merges all facts of 300 poolers on 120 databases into a view that has them.
+// BenchmarkMerge merges all facts of 300 poolers about 120 databases into a view that already contains them.
 func BenchmarkMerge(b *testing.B) {
 	view, bytes := fullView(300, 120), 0
 	all := view.All()
@@ -183,7 +184,7 @@
 	b.ReportMetric(float64(len(all.Facts)), "facts")
 }
 
-// fullView returns a view with the facts of so many poolers on so many databases.
+// fullView returns a view with facts of the given number of poolers about the given number of databases.
 func fullView(poolers, databases int) *View {
 	view := NewView(DefaultBounds())
 	for i := range poolers {
