--- a/internal/membership/advisor.go
+++ b/internal/membership/advisor.go
@@ -110,7 +110,8 @@
 // among all known poolers.
 //
 // With K known poolers, this bounds the capacity that all live poolers use together:
-//   - With any views, they use less than twice the total, because each uses at most 1/m of it, with m > K/2.
+//   - With any views, they use less than twice the total, because each uses at most 1/m of it, for a count
+//     m > K/2.
 //   - In a partition into sides of n > K/2 and K-n poolers, where the views on each side are equal, they use
 //     n/n + (K-n)/K of the total, less than one and a half.
 //   - With equal views of n live poolers, they use exactly the total.
@@ -127,7 +128,7 @@
 	switch {
 	case live >= countInUse:
 		a.countInUse, a.lowerCount = live, 0
-	case a.lowerCount == 0 || live > a.lowerCount: // Highest count since it became lower.
+	case a.lowerCount == 0 || live > a.lowerCount: // Use the highest count seen since it became lower.
 		a.lowerCount, a.lowerSince = live, now
 	case now-a.lowerSince >= a.bounds.StableFor:
 		a.countInUse, a.lowerCount = a.lowerCount, 0
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -17,7 +17,7 @@
 }
 
 // databasesToProbe returns the suspected databases whose probe is due. Poolers probe in turn, which spares a failing
-// database the simultaneous probes of all of them.
+// database simultaneous probes by all poolers.
 func (a *Advisor) databasesToProbe(now time.Duration, live []string, local []LocalObservation) (probe []string) {
 	suspected := map[string]bool{}
 	for _, own := range local {
@@ -46,8 +46,8 @@
 }
 
 // isSuspected reports whether peers have published something about a database that is newer than this pooler's
-// evidence: MinSuspecting peers that it is bad, or one peer that it is a primary. Such reports are only a reason to
-// probe; the result of the probe is evidence.
+// evidence: at least MinSuspecting peers that it is bad, or one peer that it is a primary. Such reports are only a
+// reason to probe; the result of the probe is evidence.
 func (a *Advisor) isSuspected(own LocalObservation) bool {
 	bad, isPrimary := 0, false
 	for _, reported := range a.observations[own.Database] {
@@ -63,7 +63,7 @@
 }
 
 // firstProbeDelay returns how long this pooler waits before its first probe of a newly suspected database. Poolers that
-// have published an observation of the database need not probe it, and the delay leaves no time for them.
+// have published an observation of the database need not probe it and get no turn.
 func (a *Advisor) firstProbeDelay(database string, live []string) time.Duration {
 	var reporting []string
 	for _, reported := range a.observations[database] {
