--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -1,5 +1,5 @@
-// Package timerwheel is a hashed timer wheel with coarse ticks. One goroutine owns a wheel and all its timers; the
-// package has no clock of its own.
+// Package timerwheel is a hashed timer wheel with coarse ticks. A wheel and its timers must be used by one goroutine
+// only. The package reads no clock: callers pass the time.
 package timerwheel
 
 import (
@@ -10,7 +10,7 @@
 // Timer is a scheduled call.
 type Timer struct {
 	prev, next *Timer // in the list of its slot; nil once it has fired or been stopped
-	tick       int64  // of the clock, not modulo the number of slots
+	tick       int64  // counted from time 0, not modulo the number of slots
 	call       func()
 }
 
@@ -18,18 +18,18 @@
 type Wheel struct {
 	slots    []Timer // heads of circular lists
 	interval time.Duration
-	last     int64 // the last tick that was fired
-	due      int64 // the tick that the alarm is set for; never: none is; firing: an Advance is running
+	last     int64 // the last tick that Advance has processed
+	due      int64 // the tick of the alarm; never if no alarm is set, firing while Advance runs
 	alarm    func(at time.Duration)
 }
 
 const (
 	never  = math.MaxInt64 // later than any tick
-	firing = 0             // no later than any tick, so that timers set meanwhile leave the alarm alone
+	firing = 0             // no later than any tick: timers that are set during Advance don't change the alarm
 )
 
-// New returns a wheel whose ticks are an interval apart. Timers further ahead than one turn, of as many ticks as
-// there are slots, are looked at once each turn.
+// New returns a wheel whose ticks are an interval apart. A turn has as many ticks as there are slots. Timers that are
+// further ahead than one turn are checked once per turn.
 func New(interval time.Duration, slots int, now time.Duration) *Wheel {
 	w := &Wheel{
 		slots:    make([]Timer, slots),
@@ -44,11 +44,11 @@
 	return w
 }
 
-// slot is the head of the list that holds the timers of a tick, among those of other turns.
+// slot returns the head of the list with the timers of a tick. The list has timers of other turns too.
 func (w *Wheel) slot(tick int64) *Timer { return &w.slots[tick%int64(len(w.slots))] }
 
-// At schedules a call for a time of the clock that Advance is given, rounded up to a tick. One in the past fires with
-// the next tick.
+// At schedules a call for a time on the same clock as Advance, rounded up to a tick. A timer in the past fires at the
+// next tick.
 func (w *Wheel) At(at time.Duration, call func()) *Timer {
 	tick := int64((at + w.interval - 1) / w.interval)
 	t := &Timer{tick: max(tick, w.last+1), call: call}
@@ -61,15 +61,15 @@
 	return t
 }
 
-// Alarm names who is notified when the next Advance is due, at once and from then on whenever that changes, so that
-// an idle program sleeps until something is to be done. The time is no later than the earliest timer's; an alarm for
-// a timer that has been stopped meanwhile is not taken back.
+// Alarm sets the function that receives the time at which the next Advance is due. The function is called at once and
+// whenever that time changes: an idle program can sleep until then. The time is no later than the earliest timer.
+// Stopping a timer doesn't cancel its alarm.
 func (w *Wheel) Alarm(alarm func(at time.Duration)) {
 	w.alarm = alarm
 	w.setNextAlarm()
 }
 
-// Due is when the next Advance is due; ok is false if nothing is scheduled, or while an Advance runs.
+// Due returns the time at which the next Advance is due. ok is false if nothing is scheduled or while Advance runs.
 func (w *Wheel) Due() (at time.Duration, ok bool) {
 	return time.Duration(w.due) * w.interval, w.due > firing && w.due != never
 }
@@ -81,8 +81,8 @@
 	}
 }
 
-// setNextAlarm sets the alarm for the earliest timer, or for the end of this turn of the wheel if there is none in
-// it.
+// setNextAlarm sets the alarm for the earliest timer of this turn of the wheel, or for the end of the turn if it has
+// none.
 func (w *Wheel) setNextAlarm() {
 	turnEnds := w.last + int64(len(w.slots))
 	for tick := w.last + 1; tick < turnEnds; tick++ {
@@ -94,7 +94,7 @@
 	w.setAlarm(turnEnds)
 }
 
-// hasDue reports whether a timer of the tick's slot is due at the tick, not in a later turn.
+// hasDue reports whether the tick's slot has a timer that is due at the tick and not in a later turn.
 func (w *Wheel) hasDue(tick int64) bool {
 	head := w.slot(tick)
 	for t := head.next; t != head; t = t.next {
@@ -105,8 +105,8 @@
 	return false
 }
 
-// Stop takes a timer back, also one that is due in the Advance that runs. Stopping one twice, one that has fired, or
-// nil does nothing.
+// Stop cancels a timer, even one that is due in the Advance that is running. It does nothing if the timer is nil, has
+// fired or is stopped.
 func (t *Timer) Stop() {
 	if t != nil {
 		t.unlink()
@@ -121,23 +121,24 @@
 	}
 }
 
-// Advance fires all timers that are due, tick by tick. After a pause of more than a turn each slot is looked at once,
-// and all of its timers whose tick has passed fire.
+// Advance fires all timers that are due, tick by tick. After a pause of more than a turn it visits each slot once and
+// fires all of the slot's timers whose tick has passed.
 func (w *Wheel) Advance(now time.Duration) {
 	last := int64(now / w.interval)
 	first := max(w.last+1, last-int64(len(w.slots))+1)
 	w.last = max(w.last, last)
 	w.due = firing
 	for tick := first; tick <= last; tick++ {
-		for _, t := range w.takeDue(tick, last) {
+		for _, t := range w.removeDue(tick, last) {
 			t.fire()
 		}
 	}
 	w.setNextAlarm()
 }
 
-// takeDue takes the timers out of the tick's slot that are due by the last tick, in the order in which they were set.
-func (w *Wheel) takeDue(tick, last int64) (due []*Timer) {
+// removeDue removes the timers that are due by the last tick from the tick's slot. It returns them in the order in
+// which they were set.
+func (w *Wheel) removeDue(tick, last int64) (due []*Timer) {
 	head := w.slot(tick)
 	for t := head.next; t != head; {
 		next := t.next
@@ -150,7 +151,7 @@
 	return due
 }
 
-// fire calls what was scheduled, unless a call before it in the same Advance has stopped the timer.
+// fire makes the scheduled call, unless an earlier call in the same Advance has stopped the timer.
 func (t *Timer) fire() {
 	if call := t.call; call != nil {
 		t.call = nil
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -14,15 +14,15 @@
 	begin = time.Hour
 )
 
-// alarmedWheel is a wheel that is driven by its alarm alone.
+// alarmedWheel is a wheel that is advanced only when its alarm is due.
 type alarmedWheel struct {
 	wheel  *Wheel
 	rng    *rand.Rand
 	now    time.Duration
-	due    time.Duration // of the alarm
+	due    time.Duration // time of the alarm
 	timers []*Timer
-	want   map[int]time.Duration // by timer: the tick in which it has to fire
-	got    map[int]time.Duration // by timer: when it fired
+	want   map[int]time.Duration // by index of the timer: the time of the tick at which it must fire
+	got    map[int]time.Duration // by index of the timer: the time at which it fired
 }
 
 func newAlarmedWheel(seed uint64) *alarmedWheel {
@@ -34,14 +34,14 @@
 	return alarmed
 }
 
-// setTimer sets a timer at random.
+// setTimer sets a timer for a random time.
 func (a *alarmedWheel) setTimer() {
 	index, at := len(a.timers), a.now+time.Duration(a.rng.IntN(800))*time.Millisecond
 	a.want[index] = max((at+tick-1)/tick, a.now/tick+1) * tick
 	a.timers = append(a.timers, a.wheel.At(at, func() { a.got[index] = a.now }))
 }
 
-// stopTimer stops a random timer at times, if it has not fired.
+// stopTimer picks a random timer and, if it has not fired, stops it with a probability of 1/2.
 func (a *alarmedWheel) stopTimer() {
 	if index := a.rng.IntN(len(a.timers)); a.got[index] == 0 && a.rng.IntN(2) == 0 {
 		a.timers[index].Stop()
@@ -49,13 +49,14 @@
 	}
 }
 
-// advance lets time pass until the alarm.
+// advance moves the clock to the alarm and advances the wheel.
 func (a *alarmedWheel) advance() {
 	a.now = a.due
 	a.wheel.Advance(a.now)
 }
 
-// actBeforeAlarm sets and stops timers at a random time before the alarm; it returns false if that is past it.
+// actBeforeAlarm sets a timer and may stop one at a random time. It returns false and does nothing if that time is not
+// before the alarm.
 func (a *alarmedWheel) actBeforeAlarm() bool {
 	next := a.now + time.Duration(a.rng.IntN(20))*time.Millisecond
 	if next >= a.due {
@@ -67,7 +68,7 @@
 	return true
 }
 
-// actOrWake acts before the alarm at times, and else lets time pass until it; it reports whether that woke the wheel.
+// actOrWake randomly either calls actBeforeAlarm or advances to the alarm. It reports whether it advanced.
 func (a *alarmedWheel) actOrWake(t *testing.T) (woke bool) {
 	t.Helper()
 	if a.rng.IntN(3) == 0 && a.actBeforeAlarm() {
@@ -81,9 +82,9 @@
 	return true
 }
 
-// Driven by its alarm alone, a wheel fires each timer in the tick in which one that is advanced every tick would, and
-// sleeps in between: many idle programs must not wake for nothing.
-func TestAlarmFiresWhatEveryTickWould(t *testing.T) {
+// A wheel that is advanced only at its alarms fires each timer at the same tick as one that is advanced at every tick.
+// It has far fewer wake-ups: an idle program must not use the CPU.
+func TestAlarmsFireTimersAtTheirTicks(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			alarmed, wakes := newAlarmedWheel(seed), 0
@@ -107,8 +108,8 @@
 	}
 }
 
-// An alarm is set for the end of a turn, and again only for a timer before it.
-func TestAlarmOfAnIdleWheel(t *testing.T) {
+// The first alarm is set for the end of a turn. A new timer changes the alarm only if the timer is due earlier.
+func TestOnlyEarlierTimerChangesAlarm(t *testing.T) {
 	wheel := New(tick, 64, begin)
 	var alarms []time.Duration
 	wheel.Alarm(func(at time.Duration) { alarms = append(alarms, at) })
@@ -116,7 +117,7 @@
 	wheel.At(begin+100*time.Millisecond, func() {})
 	wheel.At(begin+200*time.Millisecond, func() {})
 	require.Equal(t, []time.Duration{begin + 64*tick, begin + 100*time.Millisecond}, alarms,
-		"the end of a turn; then a timer before it; a later one sets none")
+		"the end of a turn, then an earlier timer; a later timer sets no alarm")
 	wheel.Advance(begin + 100*time.Millisecond)
 	require.Equal(t, begin+200*time.Millisecond, alarms[2])
 }
