--- a/internal/backend/answers_test.go
+++ b/internal/backend/answers_test.go
@@ -10,10 +10,10 @@
 	"capercove/internal/testbed"
 )
 
-// A malformed answer fails its attempt, which may have run and is not retried, and the database stays in use. Bytes
-// behind a complete answer are not taken for the answer to the next statement. In both cases the connection is not used
-// again.
-func TestMalformedAnswers(t *testing.T) {
+// A malformed answer fails its attempt. The attempt may have run and is not retried, and the database stays in use.
+// Extra bytes after a complete answer are not taken for the answer to the next statement. In both cases the connection
+// is not reused.
+func TestMalformedAnswerIsNotRetriedAndClosesConnection(t *testing.T) {
 	bed := testbed.Start(t)
 	client := bed.Client()
 	for _, key := range []string{"noise", "oversize", "misfit", "headless", "rowless"} {
@@ -38,9 +38,9 @@
 	}
 }
 
-// The load reports that come with answers are read: the estimated capacity of a database with a long queue decreases.
-// Invalid reports change nothing.
-func TestLoadReportsInAnswers(t *testing.T) {
+// A load report in an answer that shows a long queue lowers the estimated capacity of the database. Invalid reports
+// change nothing.
+func TestLoadReportInAnswerLowersCapacity(t *testing.T) {
 	bed := testbed.Start(t)
 	client := bed.Client()
 	for _, report := range []string{"backlog=", "backlog=NaN", "=,,backlog", "util=1,x0=a"} {
--- a/internal/backend/broken_statement_test.go
+++ b/internal/backend/broken_statement_test.go
@@ -15,17 +15,17 @@
 	"capercove/internal/testbed/loopback"
 )
 
-// longStatement is the length in bytes above which a statement is the one that the test sends.
+// longStatement is the length in bytes above which a statement is the long write of the test.
 const longStatement = 512
 
 // breakingDatabase is a primary that calls breakOff when it has read a part of a long statement for the first time. Its
-// receive buffer is small, so that the rest of the statement stays at the pooler.
+// small receive buffer makes the rest of the statement stay at the pooler.
 type breakingDatabase struct {
 	address  string
 	breakOff func(connection *net.TCPConn) error
-	broken   chan error   // what breakOff returned
-	begun    atomic.Int32 // how often a part of a long statement has arrived
-	complete atomic.Int32 // how often a long statement has arrived complete
+	broken   chan error   // the result of breakOff
+	begun    atomic.Int32 // number of long statements of which a part has arrived
+	complete atomic.Int32 // number of complete long statements
 }
 
 func newBreakingDatabase(t *testing.T, breakOff func(connection *net.TCPConn) error) *breakingDatabase {
@@ -40,7 +40,7 @@
 	return database
 }
 
-// serve answers all statements of a connection, until it is closed.
+// serve answers all statements of a connection until it is closed.
 func (database *breakingDatabase) serve(connection *net.TCPConn) {
 	defer func() { _ = connection.Close() }() // breakOff may have closed it
 	session := pg.NewSession(maxMessageBytes)
@@ -65,7 +65,7 @@
 	}
 }
 
-// answer answers one command, and counts the complete long statements.
+// answer answers one command and counts complete long statements.
 func (database *breakingDatabase) answer(connection *net.TCPConn, command pg.Command) {
 	if len(command.Query) > longStatement {
 		database.complete.Add(1)
@@ -74,23 +74,24 @@
 	if command.Query != "" {
 		reply = primaryAnswer(loadReport())
 	}
-	_, _ = connection.Write(reply) // the program, or breakOff, may have closed it
+	_, _ = connection.Write(reply) // the program or breakOff may have closed it
 }
 
-// A database answers, resets the connection or shuts down its sending side while it has only a part of a write. Such an
-// answer is not passed to the client; as the rest may still be sent, the write may have run and is not retried. After a
-// reset or a shutdown the rest is not sent, though the database reads on: the write never ran, and is retried.
-func TestBreaksInsideAStatement(t *testing.T) {
+// A database answers, resets the connection or shuts down its sending side when it has received only a part of a write.
+// Such an answer is not passed to the client. The rest of the write may still be sent: the write may have run, and it
+// is not retried. After a reset or a shutdown the rest is not sent, even if the database continues to read: the write
+// never ran, and it is retried.
+func TestPartlySentWriteIsRetriedOnlyIfItNeverRan(t *testing.T) {
 	const dial = `connection, err := l.dialer.DialContext(ctx, "tcp", address)`
 	const shrink = `connection.(interface{ SetWriteBuffer(int) error }).SetWriteBuffer(4 << 10)`
-	program := testbed.Variant(t, testbed.Edit{ // so that the rest of a statement has to wait
+	program := testbed.Variant(t, testbed.Edit{ // a small send buffer: the rest of a statement has to wait
 		File: "internal/eventloop/loop.go",
 		Old:  dial,
 		New:  dial + "; if err == nil { " + shrink + " }",
 	})
 	for name, test := range map[string]struct {
 		breakOff func(connection *net.TCPConn) error
-		begun    int // how often the database has seen the statement
+		begun    int // expected number of times that the statement begins to arrive
 		code     string
 	}{
 		"answers": {
@@ -112,16 +113,16 @@
 		t.Run(name, func(t *testing.T) {
 			database := newBreakingDatabase(t, test.breakOff)
 			bed := testbed.Start(t,
-				testbed.WithProgram(program), at(database.address, 0), testbed.WithLongDialTimeout(true))
+				testbed.WithProgram(program), withAddress(database.address, 0), testbed.WithLongDialTimeout(true))
 			reply := bed.Client().Ask(bed.Statement("write", strings.Repeat("ab", 60<<10), testbed.Timeout))
 			require.Equal(t, test.code, reply.Code, "%q", reply.Value)
 			require.NoError(t, <-database.broken)
 			require.EqualValues(t, test.begun, database.begun.Load())
 			if test.code == "" {
-				require.EqualValues(t, 1, database.complete.Load(), "it has the complete statement once")
+				require.EqualValues(t, 1, database.complete.Load(), "the complete statement arrives once")
 			}
 			short := bed.Client().Ask(bed.Statement("write", "short", testbed.Timeout))
-			require.NotEmpty(t, short.Value, "the database is not taken out")
+			require.NotEmpty(t, short.Value, "the database is still in use")
 		})
 	}
 }
--- a/internal/backend/close_test.go
+++ b/internal/backend/close_test.go
@@ -16,8 +16,8 @@
 	"capercove/internal/testbed/loopback"
 )
 
-// A dial that is under way when the pool is closed is cancelled and waited for.
-func TestCloseDuringADial(t *testing.T) {
+// Closing the pool cancels a running dial and waits for it to end.
+func TestCloseCancelsDial(t *testing.T) {
 	begun, ended := make(chan struct{}), make(chan error, 1)
 	dialer := &net.Dialer{ControlContext: func(ctx context.Context, network, _ string, _ syscall.RawConn) error {
 		if !strings.HasPrefix(network, "tcp") {
@@ -33,7 +33,7 @@
 	select {
 	case <-begun:
 	case <-time.After(testbed.Timeout):
-		require.FailNow(t, "nothing is dialed")
+		require.FailNow(t, "no connection is dialed")
 	}
 	require.NoError(t, p.Stop(testbed.Timeout))
 	select {
@@ -44,9 +44,9 @@
 	}
 }
 
-// The reader of a long answer that has stopped halfway is ended and waited for when the pool is closed.
-func TestCloseDuringALongAnswer(t *testing.T) {
-	const pieces = 256 << 10 // bytes of the answer that come
+// Closing the pool ends the reader of a long answer that has stalled halfway, and waits for the reader to end.
+func TestCloseEndsReaderOfStalledAnswer(t *testing.T) {
+	const pieces = 256 << 10 // bytes of the answer that the database sends
 	answer := pg.AppendValue(nil, strings.Repeat("x", 4*pieces))
 	end := make(chan struct{})
 	t.Cleanup(func() { close(end) })
@@ -54,7 +54,7 @@
 		if _, err := connection.Read(make([]byte, 4<<10)); err != nil { // the statement
 			return
 		}
-		_, _ = connection.Write(answer[:pieces]) // an error shows as an answer that never begins
+		_, _ = connection.Write(answer[:pieces]) // if it fails, no answer is streamed and the test fails
 		<-end
 	})
 	p := inprocess.New(t, 10*testbed.Timeout, loopback.Listen(t), db.Address, nil)
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -18,26 +18,26 @@
 	startupDatabase = "core"
 )
 
-// connection is one connection to a database. It implements eventloop.DialedSocket. It belongs to the event loop; only
-// its pool and address, which never change, are read on other goroutines too.
+// connection is one connection to a database. It implements eventloop.DialedSocket. It must be used on the event loop
+// only; pool and address never change, and other goroutines may read them.
 type connection struct {
 	pool     *Pool
 	database *database
-	address  string // that it is dialed to; the database may have moved since
+	address  string // that was dialed; database.address may have changed since
 	state    connectionState
 	link     *pg.Link      // parses what the database sends
-	job      *job          // whose statement is written or awaits its answer; see connectionState
+	job      *job          // its statement is being written or awaits its answer; see connectionState
 	lastUsed time.Duration // when it last became idle
 
 	socket     gnet.Conn // nil until Opened
 	cancelDial context.CancelFunc
-	timeout    *timerwheel.Timer // of the dial and the startup together
-	reader     *streamReader     // reads the socket in gnet's place while a long answer is streamed; nil otherwise
+	timeout    *timerwheel.Timer // covers the dial and the startup
+	reader     *streamReader     // reads the socket instead of gnet while a long answer is streamed; nil otherwise
 }
 
-// become goes to the next state. It returns false and changes nothing if there is no such transition.
-func (connection *connection) become(next connectionState) bool {
-	if !connection.state.canBecome(next) {
+// transitionTo changes the state. It returns false and changes nothing if the transition is not allowed.
+func (connection *connection) transitionTo(next connectionState) bool {
+	if !connection.state.canTransitionTo(next) {
 		return false
 	}
 	connection.state = next
@@ -45,7 +45,7 @@
 }
 
 // isReusable reports whether an idle connection may carry a job. If the database has closed the connection, or is about
-// to, a statement that is written to it may be lost, and it would be unknown whether it ran.
+// to, a statement written to the connection may be lost, and the pool cannot know whether it ran.
 func (connection *connection) isReusable() bool {
 	pool := connection.pool
 	return pool.core.Now()-connection.lastUsed < pool.limits.IdleTimeout &&
@@ -53,35 +53,35 @@
 		eventloop.IsQuiet(connection.socket)
 }
 
-// isToCurrentAddress reports whether the database still has the address that the connection was dialed to.
+// isToCurrentAddress reports whether the connection was dialed to the database's current address.
 func (connection *connection) isToCurrentAddress() bool {
 	return connection.address == connection.database.address
 }
 
-// Opened implements eventloop.DialedSocket. It writes the startup message itself: gnet would drop the error of a write
-// that it is left to.
+// Opened implements eventloop.DialedSocket. It writes the startup message itself: if gnet wrote it, a write error would
+// be lost.
 func (connection *connection) Opened(socket gnet.Conn) {
 	connection.socket = socket
-	if !connection.become(stateStartingUp) { // it was closed while the event loop took it over
-		_ = socket.Close() // gnet only queues the close, and returns no error of it
+	if !connection.transitionTo(stateStartingUp) { // closed while the event loop registered the socket
+		_ = socket.Close() // gnet only queues the close and returns no error
 		return
 	}
 	// If the write fails, Closed has been called before it returns.
 	_, _ = socket.Write(pg.AppendStartup(nil, startupUser, startupDatabase))
 }
 
-// finishStartup is called when the database has answered the startup message: the connection carries a waiting job, or
-// is kept idle.
+// finishStartup handles the successful answer to the startup message: the connection carries a waiting job or becomes
+// idle.
 func (connection *connection) finishStartup() {
 	connection.timeout.Stop()
-	connection.become(stateIdle)
+	connection.transitionTo(stateIdle)
 	connection.database.connecting--
 	connection.release()
 	connection.pool.endBackoff(connection.database)
 }
 
-// send writes the statement of a job to an idle connection. An attempt that may not be sent any more ends as not sent,
-// and the connection is released again.
+// send writes the statement of a job to an idle connection. If the attempt may no longer be sent, it ends as not sent,
+// and the connection is released.
 func (connection *connection) send(job *job) {
 	pool := connection.pool
 	now := pool.core.Now()
@@ -93,7 +93,7 @@
 	}
 	job.timer.Stop()
 	connection.job, job.connection = job, connection
-	connection.become(stateWriting)
+	connection.transitionTo(stateWriting)
 	if job.isHealthCheck() {
 		connection.sendHealthCheck(job, now)
 	} else {
@@ -101,7 +101,7 @@
 	}
 }
 
-// sendHealthCheck writes the statement of a health check, and sets the timeout of its answer.
+// sendHealthCheck writes the statement of a health check and starts the timeout of its answer.
 func (connection *connection) sendHealthCheck(job *job, now time.Duration) {
 	pool := connection.pool
 	job.timer = pool.core.Wheel.At(now+pool.limits.HealthCheckTimeout, func() {
@@ -110,8 +110,8 @@
 	connection.write(pg.AppendQuery(nil, probeStatement))
 }
 
-// sendAttempt writes the statement of an attempt with the time that is left until its deadline, and notifies the core
-// if all of it has been handed to the kernel.
+// sendAttempt writes the statement of an attempt with the time left until its deadline. It notifies the core if the
+// whole statement has been handed to the kernel.
 func (connection *connection) sendAttempt(job *job, now time.Duration) {
 	connection.write(job.query.AppendFor(nil, job.attempt.Deadline-now))
 	if connection.state == stateAwaitingAnswer && connection.socket.OutboundBuffered() == 0 {
@@ -122,12 +122,12 @@
 // write writes a statement. If the write fails, Closed has been called before it returns, and the connection stays
 // closed.
 func (connection *connection) write(statement []byte) {
-	_, _ = connection.socket.Write(statement) // Closed was given the error
-	connection.become(stateAwaitingAnswer)
+	_, _ = connection.socket.Write(statement) // Closed has received the error
+	connection.transitionTo(stateAwaitingAnswer)
 }
 
-// release has a connection that has just become idle carry the job that has waited longest, or keeps it for the next
-// one. It closes the connection if that cannot be used any more, or enough others are idle.
+// release assigns the job that has waited longest to a connection that has just become idle. If no job waits, the
+// connection is added to the idle ones. It is closed if it cannot be reused or the limit of idle ones is reached.
 func (connection *connection) release() {
 	pool, database := connection.pool, connection.database
 	connection.lastUsed = pool.core.Now()
@@ -135,7 +135,7 @@
 	case connection.state == stateClosed:
 	case database.member.State == routing.Gone || !connection.isToCurrentAddress():
 		connection.close()
-	case !eventloop.IsQuiet(connection.socket): // bytes behind an answer must not pass for the next answer
+	case !eventloop.IsQuiet(connection.socket): // extra bytes after an answer must not be taken for the next answer
 		pool.counters.UnexpectedInput++
 		connection.close()
 	case len(database.waiting) > 0:
@@ -147,7 +147,7 @@
 	}
 }
 
-// detachJob separates a connection from the job that it carries, and returns the job; nil if there is none.
+// detachJob removes the job from the connection that carries it, and returns the job; nil if there is none.
 func (connection *connection) detachJob() *job {
 	job := connection.job
 	connection.job = nil
@@ -157,11 +157,11 @@
 	return job
 }
 
-// close removes a connection from the pool and closes it, in any state. It does nothing if the connection is closed. A
-// job that the connection carries must have been detached.
+// close removes a connection from the pool and closes it, in any state. It does nothing if the connection is closed.
+// The caller must have detached the job that the connection carries.
 func (connection *connection) close() {
 	wasConnecting := connection.state.isConnecting()
-	if !connection.become(stateClosed) {
+	if !connection.transitionTo(stateClosed) {
 		return
 	}
 	connection.timeout.Stop()
--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -32,8 +32,8 @@
 	return len(data), nil
 }
 
-// newDialing returns a connection of a pool that is being dialed, and the number of calls of its cancelDial.
-func newDialing() (*connection, *int) {
+// newDialingConnection returns a connection in the dialing state, and the number of calls of its cancelDial.
+func newDialingConnection() (*connection, *int) {
 	cancelled := 0
 	database := newDatabase(&core.Member{Name: "db"})
 	database.connecting = 1
@@ -46,9 +46,9 @@
 	return dialed, &cancelled
 }
 
-// A connection is removed from the pool once, however often it is closed.
-func TestCloseOnce(t *testing.T) {
-	dialed, cancelled := newDialing()
+// Closing a connection twice removes it from the pool once.
+func TestClosingTwiceRemovesConnectionOnce(t *testing.T) {
+	dialed, cancelled := newDialingConnection()
 	for range 2 {
 		dialed.close()
 		require.Equal(t, stateClosed, dialed.state)
@@ -60,8 +60,8 @@
 }
 
 // When the dial has succeeded, the startup message is written.
-func TestOpenedWritesTheStartup(t *testing.T) {
-	dialed, _ := newDialing()
+func TestOpenedWritesStartup(t *testing.T) {
+	dialed, _ := newDialingConnection()
 	socket := &fakeSocket{}
 	dialed.Opened(socket)
 	require.Equal(t, stateStartingUp, dialed.state)
@@ -71,8 +71,8 @@
 
 // If a connection was closed during its dial and the dial succeeds, the connection stays closed and its socket is
 // closed.
-func TestOpenedWhenClosed(t *testing.T) {
-	dialed, _ := newDialing()
+func TestOpenedAfterCloseClosesSocket(t *testing.T) {
+	dialed, _ := newDialingConnection()
 	dialed.close()
 	socket := &fakeSocket{}
 	dialed.Opened(socket)
@@ -84,13 +84,13 @@
 	require.Equal(t, stateClosed, dialed.state)
 }
 
-// A connection that is closed within a write stays closed; otherwise it awaits the answer.
-func TestClosedWithinAWrite(t *testing.T) {
-	dialed, _ := newDialing()
-	require.True(t, dialed.become(stateStartingUp))
-	require.True(t, dialed.become(stateIdle))
-	require.True(t, dialed.become(stateWriting))
-	socket := &fakeSocket{onWrite: func() { dialed.become(stateClosed) }}
+// A connection that is closed during a write stays closed; otherwise it awaits the answer.
+func TestConnectionClosedDuringWriteStaysClosed(t *testing.T) {
+	dialed, _ := newDialingConnection()
+	require.True(t, dialed.transitionTo(stateStartingUp))
+	require.True(t, dialed.transitionTo(stateIdle))
+	require.True(t, dialed.transitionTo(stateWriting))
+	socket := &fakeSocket{onWrite: func() { dialed.transitionTo(stateClosed) }}
 	dialed.socket = socket
 	dialed.write([]byte("statement"))
 	require.Equal(t, stateClosed, dialed.state)
@@ -100,8 +100,8 @@
 	require.Equal(t, stateAwaitingAnswer, dialed.state)
 }
 
-// The Closed that gnet calls when a socket is taken out of it for streaming changes nothing.
-func TestClosedWhileStreaming(t *testing.T) {
+// The call of Closed that gnet makes when a socket is removed from it for streaming changes nothing.
+func TestClosedWhileStreamingChangesNothing(t *testing.T) {
 	streaming := &connection{state: stateStreaming, job: &job{}}
 	streaming.Closed(nil)
 	require.Equal(t, stateStreaming, streaming.state)
--- a/internal/backend/connections_test.go
+++ b/internal/backend/connections_test.go
@@ -9,8 +9,8 @@
 	"capercove/internal/testbed"
 )
 
-// A healthy idle connection is reused, and one that the database has closed while it was idle carries no write.
-func TestIdleConnections(t *testing.T) {
+// A healthy idle connection is reused. An idle connection that the database has closed carries no write.
+func TestIdleConnectionIsReusedUnlessClosed(t *testing.T) {
 	bed := testbed.Start(t)
 	client := bed.Client()
 	for range 20 {
@@ -21,9 +21,9 @@
 	require.True(t, client.Ask(bed.Statement("write", "b", testbed.AnswerTimeout)).Complete)
 }
 
-// Timeouts detect a database that is frozen and closes no connection: each client gets an answer in time, and the
-// database is used again as soon as it is back.
-func TestFrozenDatabase(t *testing.T) {
+// Timeouts detect a database that is frozen and closes no connection: each client gets an answer in time. The database
+// is used again when it responds again.
+func TestFrozenDatabaseTimesOutAndRecovers(t *testing.T) {
 	bed := testbed.Start(t)
 	client := bed.Client()
 	require.True(t, client.Ask(bed.Statement("write", "a", testbed.AnswerTimeout)).Complete)
@@ -39,8 +39,9 @@
 	}, "the database is used again")
 }
 
-// An address that refuses connections, as nothing listens there, is counted apart from one that does not answer.
-func TestNoProcess(t *testing.T) {
+// An address that refuses connections because no process listens there is counted separately from one that does not
+// answer.
+func TestRefusedConnectionCountsAsNoProcess(t *testing.T) {
 	bed := testbed.Start(t)
 	for i := range bed.Databases {
 		gone := bed.Entry(i, "SERVING")
--- a/internal/backend/database.go
+++ b/internal/backend/database.go
@@ -8,21 +8,21 @@
 	"capercove/routing"
 )
 
-// idleChecksPerTimeout is how many times idle connections are checked for their age within limits.IdleTimeout.
+// idleChecksPerTimeout is the number of checks for expired idle connections within limits.IdleTimeout.
 const idleChecksPerTimeout = 16
 
 // database is one database with its connections and the jobs that wait for a connection.
 type database struct {
 	member      *core.Member
 	address     string                   // host:port that new connections are dialed to
-	connections map[*connection]struct{} // in any state but closed
-	idle        []*connection            // in the order of their last use, the most recent last
-	waiting     []*job                   // for a connection, in the order in which they were started
+	connections map[*connection]struct{} // in any state except closed
+	idle        []*connection            // in the order of last use, the most recent last
+	waiting     []*job                   // for a connection, in the order of their start
 	connecting  int                      // number of connections that are dialing or starting up
 
 	retry             *timerwheel.Timer // backoff after a transient failure; nothing is dialed while it is set
-	transientFailures int               // consecutive ones; dials that fail while retry is set do not count
-	lastFailure       dialFailure       // the last transient one since the last success
+	transientFailures int               // consecutive; dials that fail while retry is set are not counted
+	lastFailure       dialFailure       // the last transient one since resetBackoff; noDialFailure if there is none
 }
 
 func newDatabase(member *core.Member) *database {
@@ -45,14 +45,14 @@
 	}
 }
 
-// removeIdle removes a connection from the idle ones, if it is one.
+// removeIdle removes a connection from the idle ones. It does nothing if the connection is not among them.
 func (database *database) removeIdle(connection *connection) {
 	if i := slices.Index(database.idle, connection); i >= 0 {
 		database.idle = slices.Delete(database.idle, i, i+1)
 	}
 }
 
-// idleLimit is how many idle connections to a database are kept.
+// idleLimit returns the maximum number of idle connections to a database.
 func (pool *Pool) idleLimit(database *database) int {
 	if limit, limited := pool.idleLimits[database.member.Name]; limited {
 		return min(limit, pool.limits.MaxIdlePerDatabase)
@@ -60,8 +60,8 @@
 	return pool.limits.MaxIdlePerDatabase
 }
 
-// takeIdle removes the idle connection that was used last from the idle ones and returns it; nil if there is none. It
-// closes those that must not be reused.
+// takeIdle removes and returns the reusable idle connection that was used last; nil if there is none. It closes the
+// idle connections that must not be reused, until it finds one.
 func (pool *Pool) takeIdle(database *database) *connection {
 	for len(database.idle) > 0 {
 		last := len(database.idle) - 1
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// evictIdle closes the connection that has been idle for the longest, of all databases. It returns false if none is
-// idle.
+// evictIdle closes the connection that has been idle for the longest time among all databases. It returns false if no
+// connection is idle.
 func (pool *Pool) evictIdle() bool {
 	var oldest *connection
 	for _, database := range pool.databases {
@@ -97,8 +97,8 @@
 	return true
 }
 
-// closeExpired closes connections that have been idle for too long or are to an excluded database, now and
-// periodically. The database closes idle connections too, and a statement that is written at that moment would be lost.
+// closeExpired closes connections that have been idle for too long and idle connections to excluded databases, and
+// schedules its next run. A database closes idle connections too: a statement written at that moment would be lost.
 func (pool *Pool) closeExpired() {
 	now := pool.core.Now()
 	for _, database := range pool.databases {
--- a/internal/backend/database_test.go
+++ b/internal/backend/database_test.go
@@ -11,8 +11,8 @@
 	"capercove/internal/timerwheel"
 )
 
-// The limit of idle connections is the lower one of the pool's and that of LimitIdle, if there is one.
-func TestIdleLimit(t *testing.T) {
+// The limit of idle connections is the pool's limit or, if lower, the database's limit set by LimitIdle.
+func TestLowerIdleLimitApplies(t *testing.T) {
 	const poolLimit = 24
 	for name, test := range map[string]struct {
 		byName   map[string]int
@@ -29,9 +29,8 @@
 	}
 }
 
-// The queue and the idle connections keep their order when one is removed, and removing one that is not there changes
-// nothing.
-func TestQueueAndIdleOrder(t *testing.T) {
+// Removing a job or an idle connection preserves the order of the others. Removing an absent one changes nothing.
+func TestRemovalPreservesQueueAndIdleOrder(t *testing.T) {
 	database := newDatabase(&core.Member{})
 	first, second, third := &job{}, &job{}, &job{}
 	database.waiting = []*job{first, second, third}
@@ -52,7 +51,7 @@
 }
 
 // A database is dialed while more jobs wait than connections are being opened, but not during a backoff.
-func TestWhenToDial(t *testing.T) {
+func TestShouldDialOnlyForUnservedJobsOutsideBackoff(t *testing.T) {
 	wheel := timerwheel.New(1, 8, 0)
 	database := newDatabase(&core.Member{})
 	require.False(t, database.shouldDial(), "no job waits")
@@ -69,11 +68,11 @@
 	require.True(t, database.shouldDial())
 	require.Zero(t, database.transientFailures)
 	require.Equal(t, noDialFailure, database.lastFailure)
-	require.False(t, database.resetBackoff(), "dials are not in backoff any more")
+	require.False(t, database.resetBackoff(), "dials are no longer in backoff")
 }
 
-// The names of the counters are a contract with readers of the log.
-func TestCounterNames(t *testing.T) {
+// Readers of the log depend on the JSON names of the counters.
+func TestCountersHaveStableJSONNames(t *testing.T) {
 	text, err := json.Marshal(Counters{UnexpectedInput: 1, LocalShortages: 2})
 	require.NoError(t, err)
 	require.Equal(t, `{"Dials":0,"DialsFailed":0,"Reused":0,"Stale":0,"Expired":0,"Evicted":0,"Divided":0,`+
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -13,16 +13,16 @@
 	"capercove/routing"
 )
 
-// dialFailure is what the error of a failed dial tells of this machine and of the database.
+// dialFailure is the cause of a failed dial, derived from its error.
 type dialFailure uint8
 
 // The failures of dials.
 const (
 	noDialFailure       dialFailure = iota
-	dialLacksResource               // this machine lacks a resource, which tells nothing of the database; transient
-	dialUnreachable                 // no packet can be sent to the address; transient, up to the ConnectTimeout
-	dialRefused                     // the database's machine answers that nobody listens: the process is down
-	dialFailedOtherwise             // the database was not reached, for an unknown reason
+	dialLacksResource               // this machine lacks a resource: no evidence about the database; transient
+	dialUnreachable                 // no packet can be sent to the address; transient until the ConnectTimeout
+	dialRefused                     // no process listens at the address: the database is down
+	dialFailedOtherwise             // the database was not reached for another or an unknown reason
 
 	dialFailureCount
 )
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("dialFailure(%d)", uint8(failure))
 }
 
-// classifyDialFailure returns what the error of a failed dial or startup tells. The error may be nil if the
-// database or the event loop has closed the connection before the startup was answered.
+// classifyDialFailure returns the cause of a failed dial or startup. The error may be nil if the database or the event
+// loop has closed the connection before the startup was answered.
 func classifyDialFailure(err error) dialFailure {
 	switch {
 	case netretry.IsShortage(err):
@@ -52,8 +52,8 @@
 	}
 }
 
-// status is how a job ends that gets no connection because of this failure, or, without a failure, because none came up
-// in time.
+// status returns the status of a job that gets no connection because of this failure. For noDialFailure, it is the
+// status of a job for which no connection was established in time.
 func (failure dialFailure) status() routing.Status {
 	switch failure {
 	case dialLacksResource:
@@ -65,27 +65,27 @@
 	}
 }
 
-// dialForAll dials for each waiting job for which no connection is being opened.
-func (pool *Pool) dialForAll(database *database) {
+// dialForWaitingJobs dials for each waiting job for which no connection is being opened.
+func (pool *Pool) dialForWaitingJobs(database *database) {
 	for database.shouldDial() {
 		pool.dial(database)
 	}
 }
 
-// dialForOne dials for one waiting job for which no connection is being opened, if there is such a job.
-func (pool *Pool) dialForOne(database *database) {
+// dialForOneJob dials for one waiting job for which no connection is being opened. It does nothing if there is none.
+func (pool *Pool) dialForOneJob(database *database) {
 	if database.shouldDial() {
 		pool.dial(database)
 	}
 }
 
-// shouldDial reports whether more jobs wait than connections are being opened, and dials are not in backoff.
+// shouldDial reports whether more jobs wait than connections are being opened and dials are not in backoff.
 func (database *database) shouldDial() bool {
 	return database.connecting < len(database.waiting) && database.retry == nil
 }
 
-// dial begins to open a connection for a waiting job. At the limit of connections it closes an idle one for it; if none
-// is idle, the job that was queued last ends as not sent.
+// dial begins to open a connection for a waiting job. At the limit of connections it closes an idle one first. If none
+// is idle, it dials nothing, and the job that was queued last ends as not sent.
 func (pool *Pool) dial(database *database) {
 	if pool.connections >= pool.limits.MaxConnections && !pool.evictIdle() {
 		pool.counters.Capped++
@@ -99,7 +99,7 @@
 	pool.goroutines.Go(func() { connection.runDial(ctx) })
 }
 
-// newConnection adds a connection to the pool that is being dialed, and sets the timeout within which it must be up.
+// newConnection adds a connection in the dialing state to the pool and starts the timeout of its dial and startup.
 func (pool *Pool) newConnection(database *database, cancelDial context.CancelFunc) *connection {
 	pool.connections++
 	database.connecting++
@@ -118,8 +118,8 @@
 	return connection
 }
 
-// runDial dials, on a goroutine of its own, and reports a failure on the event loop. The event loop calls Opened if it
-// succeeds.
+// runDial dials on a separate goroutine and reports a failure on the event loop. After a success the event loop calls
+// Opened.
 func (connection *connection) runDial(ctx context.Context) {
 	pool := connection.pool
 	err := pool.loop.Dial(ctx, connection.address, connection)
@@ -133,22 +133,21 @@
 	})
 }
 
-// connectTimedOut gives up a connection whose dial or startup takes too long. The waiting jobs have timeouts of their
-// own.
+// connectTimedOut closes a connection whose dial or startup takes too long. The waiting jobs have separate timeouts.
 func (pool *Pool) connectTimedOut(connection *connection) {
 	pool.counters.DialsFailed++
 	connection.close()
-	pool.endBackoff(connection.database) // a timeout is no transient failure
-	pool.dialForOne(connection.database) // a job that was queued later still waits
+	pool.endBackoff(connection.database)    // a timeout is not a transient failure
+	pool.dialForOneJob(connection.database) // a job that was queued later may still wait
 }
 
-// dialFailed closes a connection whose dial or startup failed with an error. After a transient failure it dials again
-// later; after any other one, a job ends.
+// dialFailed closes a connection whose dial or startup failed. After a transient failure it dials again after a
+// backoff. After any other failure, the job that has waited longest ends. The error may be nil.
 func (pool *Pool) dialFailed(connection *connection, err error) {
 	failure := classifyDialFailure(err)
 	switch failure {
 	case dialLacksResource:
-		pool.noteShortage(err)
+		pool.countShortage(err)
 		pool.dialAfterBackoff(connection, failure)
 	case dialUnreachable:
 		pool.counters.Unreachable++
@@ -158,7 +157,7 @@
 	}
 }
 
-// connectFailed closes a connection that did not come up, and ends the job that has waited longest, with a status.
+// connectFailed closes a connection that was not established, and ends the job that has waited longest with a status.
 func (pool *Pool) connectFailed(connection *connection, status routing.Status) {
 	pool.counters.DialsFailed++
 	database := connection.database
@@ -169,8 +168,8 @@
 	pool.endBackoff(database)
 }
 
-// dialAfterBackoff closes a connection that did not come up because of a transient failure, and dials for the waiting
-// jobs after a backoff. The jobs that cannot be sent any more by then end now.
+// dialAfterBackoff closes a connection that was not established because of a transient failure, and dials for the
+// waiting jobs after a backoff. Jobs that can no longer be sent when the backoff ends are ended at once.
 func (pool *Pool) dialAfterBackoff(connection *connection, failure dialFailure) {
 	pool.counters.DialsFailed++
 	database := connection.database
@@ -185,17 +184,18 @@
 	pool.abortExpiring(database, retryAt)
 }
 
-// retryDials dials again after the wait of a backoff. If no job waits any more, the next failure begins a new backoff.
+// retryDials dials again when the wait of a backoff is over. If no job waits, it resets the backoff: the
+// next failure begins a new one.
 func (pool *Pool) retryDials(database *database) {
 	database.retry = nil
 	if len(database.waiting) == 0 {
 		database.resetBackoff()
 	}
-	pool.dialForAll(database)
+	pool.dialForWaitingJobs(database)
 }
 
-// abortExpiring ends the waiting attempts that cannot be sent any more at a given time. Health checks have no deadline
-// but the timeout of their wait.
+// abortExpiring ends the waiting attempts that can no longer be sent at a given time. It skips health checks: their
+// only deadline is the timeout of their wait.
 func (pool *Pool) abortExpiring(database *database, at time.Duration) {
 	for _, job := range slices.Clone(database.waiting) {
 		if job.isHealthCheck() {
@@ -206,21 +206,21 @@
 		switch {
 		case attempt.Deadline <= at:
 			pool.abort(job, database.lastFailure.status())
-		case hasWriteBy && attempt.WriteBy <= at: // the wait is too short to blame the database
+		case hasWriteBy && attempt.WriteBy <= at: // too short a wait to count as a failure of the database
 			pool.abort(job, routing.NotSent)
 		}
 	}
 }
 
-// endBackoff ends the backoff of dials after an outcome that is no transient failure, and dials at once for the jobs
-// that waited for it.
+// endBackoff ends the backoff of dials after an outcome other than a transient failure, and dials at once for the jobs
+// that wait.
 func (pool *Pool) endBackoff(database *database) {
 	if database.resetBackoff() {
-		pool.dialForAll(database)
+		pool.dialForWaitingJobs(database)
 	}
 }
 
-// resetBackoff forgets all transient failures of dials. It reports whether dials were waiting for the backoff.
+// resetBackoff cancels the backoff and clears the transient failures. It reports whether dials were in backoff.
 func (database *database) resetBackoff() (wasWaiting bool) {
 	wasWaiting = database.retry != nil
 	database.retry.Stop()
--- a/internal/backend/dial_test.go
+++ b/internal/backend/dial_test.go
@@ -18,13 +18,13 @@
 	"capercove/internal/testbed/loopback"
 )
 
-// repeat returns a number of the same error.
+// repeat returns count copies of an error.
 func repeat(count int, err error) []error { return slices.Repeat([]error{err}, count) }
 
 // dialErrors are the transient errors of a dial.
 var dialErrors = map[string]struct {
 	errno      syscall.Errno
-	isShortage bool // on this machine: the error tells nothing of the database, however long it lasts
+	isShortage bool // on this machine: the error is no evidence about the database, however long it lasts
 }{
 	"EMFILE":        {syscall.EMFILE, true},
 	"ENFILE":        {syscall.ENFILE, true},
@@ -40,7 +40,7 @@
 }
 
 // Dials that fail transiently are retried: each request is served, and no failure counts against the database.
-func TestDialsThatFailForAMoment(t *testing.T) {
+func TestTransientDialFailuresAreRetried(t *testing.T) {
 	for name, test := range dialErrors {
 		t.Run(name, func(t *testing.T) {
 			const requests, failures = 6, 12
@@ -69,8 +69,8 @@
 }
 
 // An attempt ends as not sent if a shortage on this machine lasts, and as not connected if the address stays
-// unreachable. Dials back off in both cases, and the request is rejected, since it never ran.
-func TestDialsThatFailOn(t *testing.T) {
+// unreachable. Dials back off in both cases, and the request is rejected because it never ran.
+func TestLastingDialFailuresBackOffAndRejectRequest(t *testing.T) {
 	for name, test := range dialErrors {
 		t.Run(name, func(t *testing.T) {
 			const connectTimeout, wait, maxDials = 100 * time.Millisecond, time.Second, 60
@@ -90,9 +90,9 @@
 	}
 }
 
-// A database stops reading within a statement until the kernel gives the connection up (ETIMEDOUT). The last byte has
-// not been sent then: the write never ran, and is retried on another connection.
-func TestTimeoutInsideAStatement(t *testing.T) {
+// A database stops reading in the middle of a statement until the kernel closes the connection with ETIMEDOUT. The last
+// byte has not been sent: the write never ran, and it is retried on another connection.
+func TestPartlySentWriteIsRetriedAfterTCPTimeout(t *testing.T) {
 	const sendBuffer, timeout = 4 << 10, 100 // bytes; milliseconds
 	var connections atomic.Int32
 	stuck := make(chan struct{})
--- a/internal/backend/long_test.go
+++ b/internal/backend/long_test.go
@@ -48,7 +48,7 @@
 	return message{head[0], body}
 }
 
-// readUntil reads messages up to the first one of a type, and returns that.
+// readUntil reads messages up to the first message of a type and returns that message.
 func readUntil(t *testing.T, reader io.Reader, messageType byte) message {
 	t.Helper()
 	for {
@@ -69,9 +69,9 @@
 	return first[0]
 }
 
-// While clients do not read, their long values stay at the databases and do not fill the memory. Once begun, they are
-// not cut off at the deadline: each arrives complete, and the answer to the next command behind it.
-func TestLongValues(t *testing.T) {
+// While clients do not read, their long values stay at the databases and do not fill the memory. A value that has begun
+// to arrive is not cut off at the deadline: it arrives complete, and the answer to the next command follows.
+func TestUnreadLongValuesDoNotFillMemory(t *testing.T) {
 	const clientCount = 30
 	const deadline = 3 * testbed.AnswerTimeout
 	const receiveBuffer = 256 << 10 // bytes: the kernel buffers little for a client
@@ -101,9 +101,9 @@
 	}
 }
 
-// If a long value breaks off halfway, the client's connection is closed behind the part, and the statement is not sent
-// again.
-func TestTornValue(t *testing.T) {
+// If a long value breaks off halfway, the client's connection is closed after the part that has arrived, and the
+// statement is not sent again.
+func TestTruncatedLongValueClosesClientWithoutRetry(t *testing.T) {
 	bed := testbed.Start(t)
 	client := bed.Client()
 	client.Send(testbed.Query(bed.Statement("report", "torn", testbed.AnswerTimeout)))
--- a/internal/backend/outcome.go
+++ b/internal/backend/outcome.go
@@ -19,7 +19,7 @@
 	classLength = 2
 )
 
-// statementErrors are the classes of SQLSTATE codes of errors that are about the statement and not about the database.
+// statementErrors are the classes of SQLSTATE codes whose errors are caused by the statement, not by the database.
 var statementErrors = []string{
 	"08", // connection exception, such as a protocol violation
 	"0A", // feature not supported
@@ -28,7 +28,8 @@
 	"54", // program limit exceeded
 }
 
-// finish reports to the core how a job ended, once for each job. The reply is nil if no complete one has arrived.
+// finish reports the outcome of a job to the core, at most once for each job. The reply is nil if no complete reply has
+// arrived.
 func (pool *Pool) finish(job *job, status routing.Status, reply *pg.Reply) {
 	job.timer.Stop()
 	job.connection = nil
@@ -47,7 +48,7 @@
 	pool.core.Done(job.attempt, status, answerEvidence(reply), reply.Rows)
 }
 
-// attemptStatus is what a reply means for an attempt.
+// attemptStatus returns the status of an attempt with the given reply.
 func attemptStatus(reply *pg.Reply) routing.Status {
 	switch reply.Code {
 	case "":
@@ -63,11 +64,11 @@
 	return routing.NodeError
 }
 
-// hasValue reports whether a reply has a value, be it empty or already passed on in pieces.
+// hasValue reports whether a reply has a value, which may be empty or already streamed to the client.
 func hasValue(reply *pg.Reply) bool { return reply.Value != nil || reply.Streamed }
 
-// probeStatus is what a reply means for a health check. A database that does not accept connections now is overloaded
-// rather than broken.
+// probeStatus returns the status of a health check with the given reply. A database that does not accept connections
+// now counts as overloaded, not as failed.
 func probeStatus(reply *pg.Reply) routing.Status {
 	if reply.Code == pg.CodeCannotConnectNow {
 		return routing.NodeOverloaded
@@ -75,13 +76,13 @@
 	return attemptStatus(reply)
 }
 
-// isStatementError reports whether an error is about the statement itself.
+// isStatementError reports whether a SQLSTATE code reports an error that the statement caused.
 func isStatementError(code string) bool {
 	return len(code) == codeLength && slices.Contains(statementErrors, code[:classLength])
 }
 
-// answerEvidence is what the reply to an attempt tells of its database. Role and position are taken from the
-// ParameterStatus messages, which are newer than the load report that comes with them.
+// answerEvidence returns the evidence about a database in the reply to an attempt. Role and position are taken from the
+// ParameterStatus messages, which are newer than the load report in the same reply.
 func answerEvidence(reply *pg.Reply) routing.Evidence {
 	evidence := routing.Evidence{Position: reply.Position}
 	switch reply.Mode {
--- a/internal/backend/outcome_test.go
+++ b/internal/backend/outcome_test.go
@@ -10,8 +10,9 @@
 	"capercove/routing"
 )
 
-// A reply gives the status of an attempt and that of a health check, which differ for a database that is starting.
-func TestStatusOfAReply(t *testing.T) {
+// A reply determines the status of an attempt or a health check. The two differ only for a database that does not
+// accept connections now.
+func TestReplyDeterminesStatus(t *testing.T) {
 	for name, test := range map[string]struct {
 		reply          pg.Reply
 		attempt, probe routing.Status
@@ -23,17 +24,17 @@
 		"read only":       {pg.Reply{Code: pg.CodeReadOnly}, routing.NodeRejected, routing.NodeRejected},
 		"too far behind":  {pg.Reply{Code: pg.CodeSnapshotTooOld}, routing.NodeRejected, routing.NodeRejected},
 		"full":            {pg.Reply{Code: pg.CodeTooManyConnections}, routing.NodeOverloaded, routing.NodeOverloaded},
-		"not now":         {pg.Reply{Code: pg.CodeCannotConnectNow}, routing.NodeError, routing.NodeOverloaded},
+		"starting":        {pg.Reply{Code: pg.CodeCannotConnectNow}, routing.NodeError, routing.NodeOverloaded},
 		"any other error": {pg.Reply{Code: "XX000"}, routing.NodeError, routing.NodeError},
-		"a value, broken": {pg.Reply{Value: []byte("v"), Code: "XX000"}, routing.NodeError, routing.NodeError},
+		"value and error": {pg.Reply{Value: []byte("v"), Code: "XX000"}, routing.NodeError, routing.NodeError},
 	} {
 		require.Equal(t, test.attempt, attemptStatus(&test.reply), name)
 		require.Equal(t, test.probe, probeStatus(&test.reply), name)
 	}
 }
 
-// Only complete SQLSTATE codes of the listed classes are errors of the statement.
-func TestStatementErrors(t *testing.T) {
+// Only complete SQLSTATE codes of the listed classes report errors of the statement.
+func TestOnlyListedClassesAreStatementErrors(t *testing.T) {
 	for code, expected := range map[string]bool{
 		"08P01": true, "0A000": true, "22012": true, "42601": true, "54001": true,
 		"": false, "42": false, "426011": false, "XX000": false, "57014": false, "40001": false,
@@ -44,8 +45,8 @@
 	}
 }
 
-// A load report gives position, role and queue length; fields that are missing or invalid give nothing.
-func TestEvidenceOfAReport(t *testing.T) {
+// A load report provides position, role and queue length. Missing and invalid fields are ignored.
+func TestReportEvidenceIgnoresInvalidFields(t *testing.T) {
 	for report, expected := range map[string]routing.Evidence{
 		"":              {},
 		"utilization=1": {},
@@ -68,8 +69,9 @@
 	}
 }
 
-// Parameters of an answer give role and position, also against those of its load report, which gives the queue length.
-func TestEvidenceOfAnAnswer(t *testing.T) {
+// Role and position are taken from the parameters of an answer, even if its load report differs. The load report
+// provides only the queue length.
+func TestAnswerEvidencePrefersParametersToReport(t *testing.T) {
 	for name, test := range map[string]struct {
 		reply    pg.Reply
 		evidence routing.Evidence
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,7 +1,6 @@
-// Package backend is the pool of connections to databases over the PostgreSQL protocol. It dials, keeps idle
-// connections for the next job, writes the statements of attempts and health checks, and reports to the core how each
-// ended. All of it runs on the event loop, except each dial and the reading of each long answer, which have goroutines
-// of their own.
+// Package backend is the pool of connections to databases over the PostgreSQL protocol. It dials, reuses idle
+// connections, writes the statements of attempts and health checks, and reports the outcome of each to the core. It
+// runs on the event loop, except that each dial and the reading of each long answer run on a separate goroutine.
 package backend
 
 import (
@@ -19,7 +18,7 @@
 	"capercove/routing"
 )
 
-// Pool carries attempts and health checks to databases.
+// Pool sends attempts and health checks to databases.
 type Pool struct {
 	loop     *eventloop.Loop
 	limits   limits.Backend
@@ -28,14 +27,14 @@
 	counters Counters
 
 	databases   map[routing.NodeID]*database
-	connections int            // number of connections to all databases, those that are being dialed included
-	idleLimits  map[string]int // set by LimitIdle: idle connections by a database's name; no entry: no further limit
+	connections int            // number of connections to all databases, including those that are being dialed
+	idleLimits  map[string]int // set by LimitIdle; a database without an entry has only the general limit
 
 	backoff        netretry.Backoff   // of dials after transient failures
 	shortages      *netretry.Failures // logs LocalShortages, at most one per limits.LogInterval
-	badReplyLogged time.Duration      // when a bad reply was last logged
-	lifetime       context.Context    // of the goroutines
-	endLifetime    context.CancelFunc // called by Close
+	badReplyLogged time.Duration      // time when a bad reply was last logged
+	lifetime       context.Context    // context of the goroutines
+	endLifetime    context.CancelFunc // cancels lifetime; called by Close
 	goroutines     sync.WaitGroup     // dials and readers of long answers
 }
 
@@ -44,8 +43,8 @@
 	_ core.Watcher       = (*Pool)(nil)
 )
 
-// NewPool returns a pool without connections. It must be called before the event loop runs, or on it; all methods but
-// Close must be called on the event loop.
+// NewPool returns a pool without connections. It must be called before the event loop runs, or on the event loop. All
+// methods except Close must be called on the event loop.
 func NewPool(loop *eventloop.Loop, bounds limits.Backend, log zerolog.Logger, requests *core.Core) *Pool {
 	lifetime, endLifetime := context.WithCancel(context.Background())
 	pool := &Pool{
@@ -64,9 +63,9 @@
 	return pool
 }
 
-// Close ends the goroutines of the pool and waits for them until the timeout; it returns waitgroup.ErrStillRunning if
-// one is left then. A dial never returns if the event loop ended while it took the socket over: gnet waits for its loop
-// and cannot be cancelled. Close must be called after the event loop has ended.
+// Close ends the goroutines of the pool and waits for them. It returns waitgroup.ErrStillRunning if one still runs
+// after the timeout. A dial never returns if the event loop ended while it registered the dialed socket: gnet then
+// waits for the event loop and cannot be cancelled. Close must be called after the event loop has ended.
 func (pool *Pool) Close(timeout time.Duration) error {
 	pool.endLifetime()
 	return waitgroup.Wait(&pool.goroutines, timeout)
@@ -74,7 +73,7 @@
 
 // Changed implements core.Watcher. If the database has a new address or is gone, its idle connections and dials are
 // closed. If it is excluded or gone, its dials are closed and its waiting jobs end as not sent. Attempts that have been
-// written go on.
+// written continue.
 func (pool *Pool) Changed(member *core.Member) {
 	database := pool.databases[member.ID]
 	if database == nil {
@@ -87,7 +86,7 @@
 		database.closeIdle()
 		database.closeConnecting()
 	}
-	if member.Excluded { // attempts that were decided on before must not be sent after the operators' command
+	if member.Excluded { // attempts that were routed before must not be sent after the operators' command
 		pool.abortWaiting(database)
 		database.closeConnecting()
 	}
@@ -95,13 +94,13 @@
 		database.address = member.Addr
 		database.resetBackoff()
 	}
-	if isGone { // the dials that the jobs wait for were just closed, and the router knows other databases
+	if isGone { // the dials for the jobs were just closed, and the router can choose another database
 		pool.abortWaiting(database)
 	}
-	pool.dialForAll(database) // jobs whose dials were closed wait for a dial to the new address
+	pool.dialForWaitingJobs(database) // jobs whose dials were closed need a dial to the new address
 }
 
-// Forgotten implements core.Watcher: the database has left the endpoint list for good.
+// Forgotten implements core.Watcher. It is called when the database has permanently left the endpoint list.
 func (pool *Pool) Forgotten(member *core.Member) {
 	if database := pool.databases[member.ID]; database != nil {
 		database.resetBackoff()
@@ -109,8 +108,8 @@
 	delete(pool.databases, member.ID)
 }
 
-// Reconfigure sets the timeouts that depend on the settings: of connecting, of health checks and of idle connections.
-// Timers that run are not changed.
+// Reconfigure sets the timeouts that depend on the settings: for connecting, health checks and idle connections. It
+// doesn't change running timers.
 func (pool *Pool) Reconfigure(bounds limits.Backend) {
 	pool.limits.ConnectTimeout = bounds.ConnectTimeout
 	pool.limits.HealthCheckTimeout = bounds.HealthCheckTimeout
@@ -120,17 +119,17 @@
 // Counters returns a snapshot of the counters.
 func (pool *Pool) Counters() Counters { return pool.counters }
 
-// Connections is how many connections there are, those that are being dialed included.
+// Connections returns the number of connections, including those that are being dialed.
 func (pool *Pool) Connections() int { return pool.connections }
 
-// LimitConnections bounds the connections to their present number and so many more, and to MaxConnections of bounds.
+// LimitConnections limits the number of connections to the present number plus more, and to bounds.MaxConnections.
 func (pool *Pool) LimitConnections(bounds limits.Backend, more int) {
 	pool.limits.MaxConnections = min(bounds.MaxConnections, pool.connections+more)
 }
 
-// LimitIdle sets how many idle connections are kept to each database, by the database's name, and closes those above.
-// limits.MaxIdlePerDatabase holds as well, and alone for a database without an entry. The limit is no bound on
-// connections that carry a job.
+// LimitIdle sets the maximum number of idle connections to each database, by the database's name, and closes those
+// above it. limits.MaxIdlePerDatabase still applies, and is the only limit of a database without an entry. Connections
+// that carry a job are not limited. The caller must not change the map afterwards.
 func (pool *Pool) LimitIdle(byName map[string]int) {
 	pool.idleLimits = byName
 	for _, database := range pool.databases {
@@ -141,8 +140,8 @@
 	}
 }
 
-// noteShortage counts a failure for lack of a resource on this machine, and logs it at a bounded rate.
-func (pool *Pool) noteShortage(err error) {
+// countShortage counts a failure caused by a shortage of a resource on this machine, and logs it at a bounded rate.
+func (pool *Pool) countShortage(err error) {
 	pool.counters.LocalShortages++
 	pool.shortages.Note(err)
 }
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -11,16 +11,16 @@
 // probeStatement is the statement of a health check. Its answer is the database's load report.
 const probeStatement = "SHOW stats"
 
-// The fields of a load report; those that are not listed are not used.
+// The fields of a load report that are used; all others are ignored.
 const (
 	reportPosition = "x0"      // replication position, in seconds since the Unix epoch
-	reportRole     = "x1"      // reportPrimary; any other value stands for a replica
+	reportRole     = "x1"      // reportPrimary for a primary; any other value means a replica
 	reportQueue    = "backlog" // statements that wait in the database
 
 	reportPrimary = 1
 )
 
-// maxReportedPosition is the bound from which on a position is ignored as invalid, in seconds since the Unix epoch.
+// maxReportedPosition is the lowest position that is ignored as invalid, in seconds since the Unix epoch.
 const maxReportedPosition = 1 << 33
 
 const millisecondsPerSecond = 1000
@@ -30,7 +30,7 @@
 	pool.start(&job{database: pool.databases[member.ID], startedAt: pool.core.Now()})
 }
 
-// finishProbe reports to the core how a health check ended and how long it took. The reply is nil if no complete one
+// finishProbe reports the outcome and the duration of a health check to the core. The reply is nil if no complete reply
 // has arrived.
 func (pool *Pool) finishProbe(job *job, status routing.Status, reply *pg.Reply) {
 	var report routing.Evidence
@@ -40,8 +40,8 @@
 	pool.core.Probed(job.database.member, status, pool.core.Now()-job.startedAt, report)
 }
 
-// reportEvidence is what a load report tells of its database. The position is rounded down to milliseconds: the
-// database must not appear to be further than it is.
+// reportEvidence returns the evidence about a database in its load report. The position is rounded down to
+// milliseconds: the database must not appear to be further ahead than it is.
 func reportEvidence(report map[string]float64) (evidence routing.Evidence) {
 	if position, ok := report[reportPosition]; ok && position > 0 && position < maxReportedPosition {
 		evidence.Position = time.Duration(position*millisecondsPerSecond) * time.Millisecond
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -10,12 +10,11 @@
 	"capercove/routing"
 )
 
-// errEarlyAnswer is the error of an answer to a statement of which a part has not been handed to the kernel. That part
-// may still be sent while the connection is closed, so the statement may run.
-var errEarlyAnswer = errors.New("an answer to a statement of which the database does not have all")
+// errEarlyAnswer is the error of an answer that arrives before the whole statement has been handed to the kernel. The
+// rest may still be sent while the connection is closed, so the statement may run.
+var errEarlyAnswer = errors.New("answer arrived before the whole statement was sent")
 
-// Received implements eventloop.Socket. While a long answer is streamed, it is called with what the streamReader has
-// read.
+// Received implements eventloop.Socket. While a long answer is streamed, readStream calls it.
 func (connection *connection) Received(data []byte) {
 	switch connection.state {
 	case stateClosed:
@@ -28,7 +27,7 @@
 	reply, done, err := connection.link.Feed(data)
 	piece := connection.link.Piece()
 	if connection.state == stateAwaitingAnswer {
-		isWritten := connection.noteWritten()
+		isWritten := connection.notifyWritten()
 		hasAnswer := done || piece != nil
 		if err == nil && hasAnswer && !isWritten {
 			err = errEarlyAnswer
@@ -49,9 +48,9 @@
 	}
 }
 
-// noteWritten reports whether all of the statement has been handed to the kernel, and notifies the core if it is an
-// attempt's.
-func (connection *connection) noteWritten() bool {
+// notifyWritten reports whether the whole statement has been handed to the kernel. If it has and the job is an attempt,
+// notifyWritten notifies the core.
+func (connection *connection) notifyWritten() bool {
 	if connection.socket.OutboundBuffered() > 0 {
 		return false
 	}
@@ -61,8 +60,8 @@
 	return true
 }
 
-// handleReply handles a complete reply, to the startup message or to the statement of the job. Behind the reply to a
-// statement the connection is released, or closed if it cannot be used again.
+// handleReply handles a complete reply to the startup message or to the statement of the job. After the reply to a
+// statement the connection is released, or closed if it cannot be reused.
 func (connection *connection) handleReply(reply *pg.Reply) {
 	pool := connection.pool
 	if connection.state.isConnecting() {
@@ -81,15 +80,14 @@
 	if reply.Fatal || connection.state == stateStreaming {
 		connection.close()
 	} else {
-		connection.become(stateIdle)
+		connection.transitionTo(stateIdle)
 		connection.release()
 	}
 	pool.finish(job, status, reply)
 }
 
-// handleMalformedReply closes a connection whose reply cannot be parsed, or cannot be that to its statement. The
-// statement may have run. Since the database is up and answers, its job ends with NodeError and not as a broken
-// connection.
+// handleMalformedReply closes a connection whose reply cannot be parsed or cannot be the answer to its statement. The
+// statement may have run. The job ends with NodeError, not ConnectionBroken, because the database is up and answers.
 func (connection *connection) handleMalformedReply(err error) {
 	pool := connection.pool
 	pool.logBadReply(connection.database, err)
@@ -116,7 +114,7 @@
 		Int64("so_far", pool.counters.BadReplies).Msg("backend: bad reply")
 }
 
-// Closed implements eventloop.Socket. It is also called when this process closes the connection, and within a write
+// Closed implements eventloop.Socket. It is also called when this process closes the connection, and during a write
 // that fails; see connectionState.
 func (connection *connection) Closed(err error) {
 	switch connection.state {
@@ -131,9 +129,10 @@
 	connection.handleBroken(err)
 }
 
-// discardUnwritten reports whether the end of the statement has not been handed to the kernel and never will be: then
-// the statement never ran, whatever closed the connection. gnet would still write what it buffers after Closed, so this
-// shuts down the sending side of the socket first. Bytes that the kernel already has may still reach the database.
+// discardUnwritten discards the part of a statement that has not been handed to the kernel. It returns true if there is
+// such a part and it will never be sent: then the statement never ran, for whatever reason the connection was closed.
+// gnet would still write its buffer after Closed, so discardUnwritten shuts down the sending side of the socket. Bytes
+// that the kernel already has may still reach the database.
 func (connection *connection) discardUnwritten() bool {
 	if connection.state != stateWriting && connection.socket.OutboundBuffered() == 0 {
 		return false
@@ -142,22 +141,22 @@
 	return err == nil || errors.Is(err, unix.ENOTCONN) // no write to a disconnected socket succeeds
 }
 
-// handleBrokenUnwritten handles a connection that was closed, with an error or nil, before the whole statement of its
-// job was written to it: the statement never ran.
+// handleBrokenUnwritten handles a connection that was closed before the whole statement of its job was sent: the
+// statement never ran. The error may be nil.
 func (connection *connection) handleBrokenUnwritten(err error) {
 	pool := connection.pool
 	job := connection.detachJob()
 	connection.close()
 	status := routing.ConnectFailed
 	if netretry.IsShortage(err) {
-		pool.noteShortage(err)
+		pool.countShortage(err)
 		status = routing.NotSent
 	}
 	pool.finish(job, status, nil)
 }
 
-// handleBroken handles a connection that was closed, with an error or nil, while it was connecting, idle, or carried a
-// job whose statement may have run.
+// handleBroken handles a connection that was closed while it was connecting or idle, or while it carried a job whose
+// statement may have run. The error may be nil.
 func (connection *connection) handleBroken(err error) {
 	pool := connection.pool
 	if connection.state.isConnecting() {
@@ -170,7 +169,7 @@
 		return
 	}
 	if reply := connection.link.Partial(); reply.Complete && hasValue(&reply) {
-		pool.finish(job, routing.OK, &reply) // all of the answer has arrived, and only ReadyForQuery is missing
+		pool.finish(job, routing.OK, &reply) // the whole answer has arrived; only ReadyForQuery is missing
 		return
 	}
 	pool.finish(job, routing.ConnectionBroken, nil)
--- a/internal/backend/scripted_test.go
+++ b/internal/backend/scripted_test.go
@@ -15,8 +15,8 @@
 	"capercove/internal/testbed/loopback"
 )
 
-// scriptedDatabase is a database that the test drives step by step: what the program sends stays unread and unanswered
-// until the test reads it.
+// scriptedDatabase is a database that the test drives step by step: it reads and answers nothing until the test calls
+// answerUntil.
 type scriptedDatabase struct {
 	t           *testing.T
 	address     string
@@ -38,16 +38,18 @@
 	return database
 }
 
-// at gives one of the bed's databases, by its index, another address.
-func at(address string, index int) testbed.Option {
+// withAddress changes the address of the testbed's database with the given index.
+func withAddress(address string, index int) testbed.Option {
 	return func(bed *testbed.Bed) { bed.Known[index].Addr = address }
 }
 
-// in puts the database in the place of one of the bed's, by that one's index.
-func (database *scriptedDatabase) in(index int) testbed.Option { return at(database.address, index) }
+// replacing replaces the testbed's database with the given index by this one.
+func (database *scriptedDatabase) replacing(index int) testbed.Option {
+	return withAddress(database.address, index)
+}
 
-// next is the next connection that the program opens.
-func (database *scriptedDatabase) next() net.Conn {
+// nextConnection waits for the next connection that the program opens and returns it.
+func (database *scriptedDatabase) nextConnection() net.Conn {
 	database.t.Helper()
 	select {
 	case connection := <-database.connections:
@@ -59,9 +61,9 @@
 	}
 }
 
-// statements finishes the startup of a connection, answers all that comes as a primary does, and returns the statements
-// up to the first one with a text in it.
-func (database *scriptedDatabase) statements(connection net.Conn, last string) (got []string) {
+// answerUntil answers the startup message and all statements of a connection as a primary does. It returns the
+// statements up to the first one that contains the text last; health checks are left out.
+func (database *scriptedDatabase) answerUntil(connection net.Conn, last string) (got []string) {
 	database.t.Helper()
 	session, buffer := pg.NewSession(maxMessageBytes), make([]byte, 64<<10)
 	for {
@@ -85,16 +87,16 @@
 	}
 }
 
-// maxMessageBytes is the longest message that databases of these tests accept.
+// maxMessageBytes is the length of the longest message that the databases of these tests accept.
 const maxMessageBytes = 1 << 20
 
-// primaryAnswer is the answer of a primary with a value.
+// primaryAnswer returns the answer of a primary with a value.
 func primaryAnswer(value string) []byte {
 	return pg.AppendValue(pg.AppendParameter(nil, "mode", "read-write"), value)
 }
 
-// loadReport is the value with which a primary answers a health check; its replication position is the present time.
+// loadReport returns a primary's answer to a health check. Its replication position is the current time.
 func loadReport() string {
-	position := clock.Monotonic()() / time.Second // a Unix time
+	position := clock.Monotonic()() / time.Second // Unix time in seconds
 	return fmt.Sprintf("x0=%d,x1=1", int64(position))
 }
--- a/internal/backend/state.go
+++ b/internal/backend/state.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// connectionState is the state of a connection. Independent of it is whether gnet still buffers a part of what was
-// written (gnet.Conn.OutboundBuffered), which is possible from starting up to awaiting answer: a database may answer
-// before it has all of the statement.
+// connectionState is the state of a connection. It doesn't show whether gnet still buffers a part of the written bytes
+// (gnet.Conn.OutboundBuffered). gnet may do so in the states from starting up to awaiting answer: a database may answer
+// before it has received the whole statement.
 //
 // The fields of a connection in each state:
 //
@@ -17,29 +17,29 @@
 //	streaming         closed   set   no                       no                 set
 //	closed            any      nil   no                       no                 any
 //
-// An idle connection is in database.idle, except during the call that makes it idle or removes it from there: that call
-// lets it carry a job, puts it back or closes it. A job is detached from its connection directly before the connection
-// becomes idle or is closed, in the same call.
+// An idle connection is in database.idle, except during the call that makes it idle or removes it from database.idle:
+// that call assigns a job to the connection, returns it to database.idle or closes it. A job is detached from its
+// connection directly before the connection becomes idle or is closed, in the same call.
 //
-// Calls that are made within another one, or out of order:
+// Nested calls and calls out of order:
 //
-//   - A write that fails has Closed called before it returns. Thus a connection that was starting up may be closed when
-//     Opened has written the startup, and one that was writing when its write returns.
-//   - To stream a long answer, the socket is taken out of gnet. gnet calls Closed then, which does nothing.
-//   - close closes the socket, by which Closed is called. The state is closed already, so Closed does nothing.
-//   - A connection may be closed while its dial is under way. The dial may still succeed: Opened is then called in the
-//     state closed, and only closes the socket.
+//   - If a write fails, gnet calls Closed before the write returns. A connection may therefore be closed after Opened
+//     has written the startup message, or after a statement has been written.
+//   - To stream a long answer, the socket is removed from gnet. gnet then calls Closed, which does nothing.
+//   - close closes the socket, and gnet calls Closed. The state is closed already, so Closed does nothing.
+//   - A connection may be closed during its dial. The dial may still succeed: Opened is then called in the state
+//     closed, and only closes the socket.
 type connectionState uint8
 
 // The states of a connection.
 const (
-	stateDialing        connectionState = iota // the dial runs, or the event loop has yet to take the socket over
-	stateStartingUp                            // the startup is written and not answered
+	stateDialing        connectionState = iota // the dial runs, or the event loop has not registered the socket yet
+	stateStartingUp                            // the startup message is written and not answered
 	stateIdle                                  // it carries no job
-	stateWriting                               // in the call that writes a statement
+	stateWriting                               // during the call that writes a statement
 	stateAwaitingAnswer                        // the statement is handed to gnet, and not answered
-	stateStreaming                             // a long answer is read by a streamReader and passed on in pieces
-	stateClosed                                // for good
+	stateStreaming                             // a streamReader reads a long answer piece by piece for the client
+	stateClosed                                // final
 
 	stateCount
 )
@@ -56,13 +56,13 @@
 	return fmt.Sprintf("connectionState(%d)", uint8(state))
 }
 
-// isConnecting reports whether the connection is not up yet.
+// isConnecting reports whether the connection is dialing or starting up.
 func (state connectionState) isConnecting() bool {
 	return state == stateDialing || state == stateStartingUp
 }
 
-// canBecome reports whether a connection may go from this state to the next one.
-func (state connectionState) canBecome(next connectionState) bool {
+// canTransitionTo reports whether a connection may change from this state to the next one.
+func (state connectionState) canTransitionTo(next connectionState) bool {
 	switch next {
 	case stateStartingUp: // Opened
 		return state == stateDialing
@@ -72,7 +72,7 @@
 		return state == stateIdle
 	case stateAwaitingAnswer: // the write has returned
 		return state == stateWriting
-	case stateStreaming: // the first piece of a long answer has come
+	case stateStreaming: // the first piece of a long answer has arrived
 		return state == stateAwaitingAnswer
 	case stateClosed: // close
 		return state != stateClosed
--- a/internal/backend/state_test.go
+++ b/internal/backend/state_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// transitions are all transitions: from each state to these.
+// transitions maps each state to the states that may follow it.
 var transitions = map[connectionState][]connectionState{
 	stateDialing:        {stateStartingUp, stateClosed},
 	stateStartingUp:     {stateIdle, stateClosed},
@@ -18,13 +18,13 @@
 	stateClosed:         {},
 }
 
-// A connection changes its state only by a transition of the table; any other call of become changes nothing.
-func TestStateTransitions(t *testing.T) {
+// Only the transitions of the table change the state of a connection; any other call of transitionTo changes nothing.
+func TestOnlyListedTransitionsChangeState(t *testing.T) {
 	require.Len(t, transitions, int(stateCount))
 	for from, allowed := range transitions {
 		for to := range stateCount {
 			connection := &connection{state: from}
-			isTransition := connection.become(to)
+			isTransition := connection.transitionTo(to)
 			expected := from
 			if isTransition {
 				expected = to
@@ -36,19 +36,19 @@
 				require.NotContains(t, allowed, to, "from %v", from)
 			}
 		}
-		require.False(t, from.canBecome(stateCount), "from %v", from)
+		require.False(t, from.canTransitionTo(stateCount), "from %v", from)
 	}
 }
 
 // A connection is connecting while it is dialed or starts up, and in no other state.
-func TestConnectingStates(t *testing.T) {
+func TestOnlyDialingAndStartingUpAreConnecting(t *testing.T) {
 	for state := range stateCount {
 		connecting := state == stateDialing || state == stateStartingUp
 		require.Equal(t, connecting, state.isConnecting(), state)
 	}
 }
 
-// requireDistinctNames requires that all values below a count have names, and different ones.
+// requireDistinctNames requires that all values below count have distinct, non-empty names.
 func requireDistinctNames[V interface {
 	~uint8
 	fmt.Stringer
@@ -62,15 +62,15 @@
 	require.Len(t, names, int(count))
 }
 
-// Each state has a name of its own, and a value that is none of them is named by its number.
-func TestStateNames(t *testing.T) {
+// Each state has a distinct name. A value beyond the defined ones is printed as a number.
+func TestStateNamesAreDistinct(t *testing.T) {
 	requireDistinctNames(t, stateCount)
 	require.Equal(t, "awaiting answer", stateAwaitingAnswer.String())
 	require.Equal(t, "connectionState(7)", stateCount.String())
 }
 
 // detachJob clears the references of the connection and of its job to each other.
-func TestDetachJob(t *testing.T) {
+func TestDetachJobClearsBothReferences(t *testing.T) {
 	carrier := &connection{}
 	require.Nil(t, carrier.detachJob())
 	carried := &job{connection: carrier}
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -11,19 +11,20 @@
 	"capercove/routing"
 )
 
-// errStreamedReport is the error of a health check whose answer is so long that it would be streamed.
-var errStreamedReport = errors.New("a report of this length")
+// errStreamedReport is the error of a health check whose answer is long enough to be streamed.
+var errStreamedReport = errors.New("load report is too long")
 
-// streamReader reads the rest of a long answer from a connection that was taken out of gnet, on a goroutine of its own,
-// one piece for each request. gnet cannot pause reading: a long answer to a slow client would fill the memory.
+// streamReader reads the rest of a long answer from a socket that was removed from gnet. It runs on a separate
+// goroutine and reads one piece for each call of readNext. gnet cannot pause reading: a long answer to a slow client
+// would fill the memory.
 type streamReader struct {
 	socket      net.Conn
-	next        chan struct{} // a request to read one piece; closed with the connection
-	clientReady bool          // the client has room for the next piece; the event loop's goroutine only
+	next        chan struct{} // each element requests one piece; closed with the connection
+	clientReady bool          // the client has room for the next piece; used on the event loop only
 }
 
-// startStreaming takes the socket out of gnet: it duplicates the descriptor, closes gnet's, and starts a streamReader
-// on the duplicate.
+// startStreaming removes the socket from gnet: it duplicates the descriptor, closes gnet's descriptor, and starts a
+// streamReader on the duplicate.
 func (connection *connection) startStreaming() error {
 	descriptor, err := connection.socket.Dup()
 	if err != nil {
@@ -37,7 +38,7 @@
 	}
 	reader := &streamReader{socket: socket, next: make(chan struct{}, 1)}
 	connection.reader = reader
-	connection.become(stateStreaming)
+	connection.transitionTo(stateStreaming)
 	eventloop.CloseNow(connection.socket)
 	pool := connection.pool
 	buffer := make([]byte, pool.limits.StreamChunkBytes)
@@ -46,11 +47,11 @@
 }
 
 // readStream runs on the streamReader's goroutine until the connection is closed or the pool's lifetime ends. For each
-// request it reads one piece into the buffer and hands it to the event loop, which owns the buffer until the next
-// request.
+// call of readNext it reads one piece into the buffer and passes it to the event loop, which owns the buffer until it
+// calls readNext again.
 func (connection *connection) readStream(reader *streamReader, buffer []byte) {
 	pool := connection.pool
-	// An error of the close changes nothing: nobody waits for the read that it ends.
+	// The error of the close is ignored: the close only ends a read whose result is no longer needed.
 	stop := context.AfterFunc(pool.lifetime, func() { _ = reader.socket.Close() })
 	defer stop()
 	for reader.awaitNext(pool.lifetime) {
@@ -66,7 +67,7 @@
 	}
 }
 
-// awaitNext waits until the next piece is requested. It returns false if none will be.
+// awaitNext waits until the next piece is requested. It returns false if the connection is closed or the lifetime ends.
 func (reader *streamReader) awaitNext(lifetime context.Context) bool {
 	select {
 	case _, open := <-reader.next:
@@ -76,17 +77,17 @@
 	}
 }
 
-// readNext requests the next piece. It does not block: one piece is requested at a time.
+// readNext requests the next piece. It doesn't block, because only one piece is requested at a time.
 func (reader *streamReader) readNext() { reader.next <- struct{}{} }
 
 // close closes the socket and ends the reader's goroutine.
 func (reader *streamReader) close() {
-	_ = reader.socket.Close() // nobody waits for what an error may lose
+	_ = reader.socket.Close() // the socket is not used again, so its error does not matter
 	close(reader.next)
 }
 
-// streamPiece passes a piece of a long answer to the client; the first piece starts the streaming. It returns false if
-// the connection has been closed over it.
+// streamPiece passes a piece of a long answer to the client. The first piece starts the streaming. It returns false if
+// it has closed the connection.
 func (connection *connection) streamPiece(piece []byte) bool {
 	pool, job := connection.pool, connection.job
 	if job.isHealthCheck() {
@@ -108,19 +109,19 @@
 		}
 	})
 	reader.clientReady = clientReady
-	if !isOpen { // the request is over
+	if !isOpen { // the request has ended
 		pool.abort(connection.job, routing.Cancelled)
 	}
 	return isOpen
 }
 
-// handleStreamingError closes a connection that cannot be taken out of gnet. The statement has run. A shortage on this
-// machine tells nothing of the database, so the attempt ends as cancelled.
+// handleStreamingError closes a connection whose socket cannot be removed from gnet. The statement has run. If the
+// cause is a shortage on this machine, the attempt ends as cancelled, because the database is not at fault.
 func (connection *connection) handleStreamingError(err error) {
 	if !netretry.IsShortage(err) {
 		connection.handleMalformedReply(err)
 		return
 	}
-	connection.pool.noteShortage(err)
+	connection.pool.countShortage(err)
 	connection.pool.abort(connection.job, routing.Cancelled)
 }
