--- a/internal/eventloop/accept_test.go
+++ b/internal/eventloop/accept_test.go
@@ -25,11 +25,11 @@
 	"capercove/internal/testbed/loopback"
 )
 
-// failingListener is a listener whose first accepts fail.
+// failingListener is a listener whose first accepts fail with the errors in errs.
 type failingListener struct {
 	net.Listener
 	mutex sync.Mutex // guards errs
-	errs  []error    // of the next accepts
+	errs  []error    // of the next accepts, in order
 }
 
 // Accept implements net.Listener.
@@ -40,7 +40,7 @@
 	return listener.Listener.Accept()
 }
 
-// nextError removes and returns the error of the next accept; nil if it shall not fail.
+// nextError removes and returns the error for the next accept, nil if that accept should succeed.
 func (listener *failingListener) nextError() error {
 	listener.mutex.Lock()
 	defer listener.mutex.Unlock()
@@ -52,8 +52,7 @@
 	return err
 }
 
-// connectAndSend starts a client's connection and sends a statement on it. What is read from it must come within
-// testbed.Timeout.
+// connectAndSend opens a client's connection and sends a statement on it. Reads from it fail after testbed.Timeout.
 func connectAndSend(t *testing.T, addr, statement string) net.Conn {
 	t.Helper()
 	client, err := dial(t, addr)
@@ -66,7 +65,7 @@
 	return client
 }
 
-// requireAnswer reads until a text has arrived.
+// requireAnswer reads from a client's connection until a text has arrived.
 func requireAnswer(t *testing.T, client net.Conn, text string) {
 	t.Helper()
 	var answer strings.Builder
@@ -77,8 +76,8 @@
 	}
 }
 
-// Once the program listens, no error of an accept ends it or keeps a client out.
-func TestAcceptsThatFail(t *testing.T) {
+// After the program has begun to listen, no error of an accept ends it or keeps a client from being served.
+func TestServesClientAfterFailedAccepts(t *testing.T) {
 	errs := []error{
 		syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EACCES, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 		syscall.ENETDOWN, syscall.EMFILE, syscall.ENFILE, syscall.EPERM, syscall.ECONNABORTED, syscall.EHOSTDOWN,
@@ -91,8 +90,8 @@
 	require.EqualValues(t, len(errs), pooler.Loop.AcceptsFailed())
 }
 
-// If the address cannot be listened on, Run ends with an error that names the address.
-func TestAddressThatIsTaken(t *testing.T) {
+// If the address is already in use, Run returns an error that names the address.
+func TestRunFailsIfAddressIsInUse(t *testing.T) {
 	taken := loopback.Listen(t).Addr().String()
 	listener, err := eventloop.Listen(0, taken, limits.EventLoop{})
 	require.NoError(t, err)
@@ -105,8 +104,8 @@
 	require.ErrorContains(t, err, taken)
 }
 
-// While the socket by which the loop is found cannot be opened, the start is retried.
-func TestFirstSocketThatFails(t *testing.T) {
+// The start is retried while the socket that finds the event loop cannot be opened.
+func TestRetriesStartIfFirstSocketFails(t *testing.T) {
 	database := inprocess.NewPrimary(t, inprocess.AtOnce)
 	errs := []error{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
@@ -117,9 +116,9 @@
 	require.Equal(t, "served", pooler.Submit("a", 10*testbed.Timeout).Answer(t).End)
 }
 
-// The last free descriptor is used up by the accept of a client, and none is left for the loop's duplicate: the failure
-// is logged, and the client is served as soon as there are descriptors again.
-func TestNoDescriptorToTakeAClientIn(t *testing.T) {
+// Accepting a client uses the last free descriptor, and none is left for the loop's duplicate. The failure is logged,
+// and the client is served as soon as descriptors are free again.
+func TestServesClientAfterDescriptorShortage(t *testing.T) {
 	const manyDescriptors, maxDescriptors = 1 << 10, 1 << 12
 	bed := testbed.Start(t)
 	require.True(t, bed.Client().Ask(bed.Statement("write", "first", testbed.Timeout)).Complete)
@@ -129,14 +128,14 @@
 		rlimit := &unix.Rlimit{Cur: limit, Max: maxDescriptors}
 		require.NoError(t, unix.Prlimit(program, unix.RLIMIT_NOFILE, rlimit, nil))
 	}
-	limitDescriptors(secondFreeDescriptor(t, program)) // only the first free one is below the limit
+	limitDescriptors(secondFreeDescriptor(t, program)) // only the lowest free descriptor is below the limit
 	client := connectAndSend(t, bed.Addr, bed.Statement("write", "a", testbed.Timeout))
 	bed.Eventually(func() bool { return bed.Line(`"accept"`) != "" }, "the failure is logged")
 	limitDescriptors(manyDescriptors)
 	requireAnswer(t, client, "from db-0")
 }
 
-// secondFreeDescriptor is the second lowest descriptor that a process does not have open.
+// secondFreeDescriptor returns the second lowest descriptor that a process does not have open.
 func secondFreeDescriptor(t *testing.T, pid int) uint64 {
 	t.Helper()
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -11,39 +11,40 @@
 	"capercove/internal/limits"
 )
 
-// noDescriptor stands for a listening socket that is not inherited.
+// noDescriptor is the descriptor argument of Listen if no listening socket is inherited.
 const noDescriptor = 0
 
-// listenerFileName names the file of the inherited descriptor, as errors quote it.
+// listenerFileName is the name of the os.File of the inherited descriptor. It appears in error messages.
 const listenerFileName = "listener"
 
-// Listen takes over the listening socket that is inherited as a descriptor, or, if the descriptor is 0, returns a
-// listener that listens on the address from the first Accept on. An inherited socket is shared with other processes: it
-// is neither bound again nor shut down, and closing the listener closes only this process's descriptor.
+// Listen returns a listener on a listening socket that is inherited as a descriptor, and closes that descriptor. If the
+// descriptor is 0, it returns a listener that opens a socket on the address at the first Accept. An inherited socket is
+// shared with other processes: it is neither bound again nor shut down, and closing the listener closes only this
+// process's descriptor.
 func Listen(descriptor int, address string, bounds limits.EventLoop) (net.Listener, error) {
 	if descriptor == noDescriptor {
 		return newLazyListener(address)
 	}
 	file := os.NewFile(uintptr(descriptor), listenerFileName)
-	defer func() { _ = file.Close() }() // net.FileListener has a duplicate
-	// Another process that shares the socket may make it blocking for all of them. The timeout ends an accept even
-	// then.
+	defer func() { _ = file.Close() }() // net.FileListener duplicates the descriptor
+	// Another process that shares the socket may switch it to blocking mode for all processes. The timeout ends an
+	// accept even then.
 	timeout := unix.NsecToTimeval(bounds.AcceptTimeout.Nanoseconds())
 	if err := unix.SetsockoptTimeval(descriptor, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &timeout); err != nil {
-		return nil, fmt.Errorf("descriptor %d, the listener: %w", descriptor, err)
+		return nil, fmt.Errorf("set the accept timeout of the inherited listener, descriptor %d: %w", descriptor, err)
 	}
 	return net.FileListener(file)
 }
 
-// lazyListener listens from the first Listen or Accept on. While the program cannot serve yet the kernel must refuse
-// connections: a client that is refused goes to another pooler at once, while a request on a connection that waits in
-// the kernel's queue would get no answer in time. All methods may be called from any goroutine.
+// lazyListener opens its socket at the first Listen or Accept. Until the program can serve, the kernel must refuse
+// connections: a refused client connects to another pooler at once, while a request on a connection in the kernel's
+// accept queue would miss its deadline. It is safe for concurrent use.
 type lazyListener struct {
 	address *net.TCPAddr
 
 	mutex  sync.Mutex   // guards the fields below
-	inner  net.Listener // nil until it listens
-	closed bool         // closed before it has listened: it never will
+	inner  net.Listener // nil until the socket is open
+	closed bool         // closed before the socket was opened; it is not opened any more
 }
 
 func newLazyListener(address string) (net.Listener, error) {
@@ -54,14 +55,14 @@
 	return &lazyListener{address: resolved}, nil
 }
 
-// Listen begins to listen, unless the listener listens already. It separates errors of the address, which it returns,
-// from errors of an accept.
+// Listen opens the socket unless it is open already. It returns errors of the address, which callers can then tell from
+// errors of an accept.
 func (l *lazyListener) Listen() error {
 	_, err := l.listening()
 	return err
 }
 
-// listening returns the inner listener, and opens it at the first call. If that fails, for instance while descriptors
+// listening returns the inner listener, and opens it at the first call. After a failure, for instance while descriptors
 // are short, the next call tries again.
 func (l *lazyListener) listening() (net.Listener, error) {
 	l.mutex.Lock()
--- a/internal/eventloop/listen_test.go
+++ b/internal/eventloop/listen_test.go
@@ -18,7 +18,7 @@
 	return (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
 }
 
-// connects reports whether somebody listens at an address.
+// connects reports whether an address accepts connections.
 func connects(t *testing.T, addr string) bool {
 	t.Helper()
 	connection, err := dial(t, addr)
@@ -29,8 +29,8 @@
 	return true
 }
 
-// A listener on an address refuses connections before the first Accept, and listens from then on until it is closed. If
-// the address is taken at the first Accept, a later one tries again.
+// The address refuses connections before the listener's first Accept, and accepts them from then on until the listener
+// is closed. If the address is in use at the first Accept, a later Accept tries again.
 func TestListensFromTheFirstAccept(t *testing.T) {
 	addr := testbed.ReserveAddress(t)
 	listener, err := eventloop.Listen(0, addr, limits.EventLoop{})
@@ -63,7 +63,7 @@
 	require.NoError(t, second.Close())
 }
 
-// A listener that is closed before its first Accept never listens.
+// A listener that is closed before its first Accept never opens its socket.
 func TestClosedListenerNeverListens(t *testing.T) {
 	addr := testbed.ReserveAddress(t)
 	listener, err := eventloop.Listen(0, addr, limits.EventLoop{})
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,6 +1,6 @@
-// Package eventloop runs one gnet event loop on one goroutine. The clients' connections, the connections to databases
-// and the request table (package core) are all served on it, so none of their state needs a lock. The package accepts
-// and dials connections, and hands their bytes to the Socket that owns each; it knows no protocol.
+// Package eventloop runs one gnet event loop on one goroutine. Client connections, connections to databases and the
+// request table (package core) are all served on that goroutine, so their state needs no lock. The package accepts and
+// dials connections, and passes received bytes to the Socket of the connection. It does not depend on the protocol.
 package eventloop
 
 import (
@@ -22,70 +22,70 @@
 	"capercove/internal/netretry"
 )
 
-// noAlarm is a wait that never ends in practice: no timer is set yet.
+// noAlarm is the alarm's delay while no timer is set: it never elapses in practice.
 const noAlarm = time.Duration(math.MaxInt64)
 
-// Timers is the set of timers that the loop drives, and their clock. Its methods are called on the loop's goroutine,
-// except Now, which may be called on any goroutine.
+// Timers is the set of timers that the loop drives, with their clock. Now must be safe for concurrent use. The other
+// methods are called on the loop.
 type Timers interface {
-	// Now is the monotonic time.
+	// Now returns the monotonic time.
 	Now() time.Duration
 	// Tick fires all timers that are due.
 	Tick()
-	// Alarm registers a function that is called with the time of the earliest timer whenever that changes.
+	// Alarm registers a function that is called with the time of the earliest timer whenever that time changes.
 	Alarm(alarm func(at time.Duration))
 }
 
-// Socket receives the events of one connection. Its methods are called on the loop's goroutine.
+// Socket receives the events of one connection. Its methods are called on the loop.
 type Socket interface {
-	// Received is called with bytes as they come. They are valid until it returns.
+	// Received is called with the bytes that were received. They are valid only until it returns.
 	Received(data []byte)
-	// Closed is called once the connection has been closed, by either side; err is nil if this process closed it.
+	// Closed is called once, when the connection has been closed by either side; err is nil if this process closed it.
 	Closed(err error)
 }
 
 // DialedSocket is the Socket of a connection that this process opens.
 type DialedSocket interface {
 	Socket
-	// Opened is called once the connection is up and served by the loop.
+	// Opened is called when the connection is established and the loop serves it.
 	Opened(connection gnet.Conn)
 }
 
-// Loop is the event loop. Fields without a comment on their goroutine are set before Run and not changed afterwards.
+// Loop is the event loop. Fields whose comment does not name a goroutine are set before Run and not changed afterwards.
 type Loop struct {
 	gnet.BuiltinEventEngine
 
 	limits limits.EventLoop
 	log    zerolog.Logger
 	timers Timers
-	accept func(connection gnet.Conn) Socket // returns the owner of a client's connection
+	accept func(connection gnet.Conn) Socket // returns the Socket of a client's connection
 
 	listener       *netretry.Listener
-	listen         func() error       // begins to listen
-	listenFailed   chan error         // why the listener cannot begin to listen; ends Run
-	accepting      sync.WaitGroup     // goroutines that accept
-	acceptFailures *netretry.Failures // of accepts, and of taking over what was accepted
+	listen         func() error       // opens the listening socket
+	listenFailed   chan error         // the error that kept the listener from opening; it ends Run
+	accepting      sync.WaitGroup     // the goroutines that accept connections
+	acceptFailures *netretry.Failures // failed accepts and failed enrollments of accepted connections
 
-	backoff netretry.Backoff // of accepts and of the start
+	backoff netretry.Backoff // between retries of an accept and of the start
 	dialer  *net.Dialer
-	client  *gnet.Client   // gnet's engine without a listener: connections are enrolled in it
-	loop    gnet.EventLoop // the one loop of the engine; set on the loop before started is closed
+	client  *gnet.Client   // gnet's engine without a listener; connections are enrolled in it
+	loop    gnet.EventLoop // the engine's only loop; set on the loop before started is closed
 	started chan struct{}  // closed when loop is set
 	stopped chan struct{}  // closed by Stop
 
 	alarm      *time.Timer   // queues a tick when the earliest timer is due
-	tickQueued atomic.Bool   // a tick is queued on the loop
+	tickQueued atomic.Bool   // whether a tick is queued on the loop
 	tickDue    time.Duration // when the earliest timer is due; the loop's goroutine only
 	cpuUsed    time.Duration // CPU time of the process up to the last tick; the loop's goroutine only
 }
 
 // New returns an event loop that accepts clients from a listener. The dialer opens all connections to databases; nil
-// stands for a net.Dialer without options. Attach must be called before Run.
+// means a net.Dialer without options. Attach must be called before Run.
 func New(bounds limits.EventLoop, log zerolog.Logger, listener net.Listener, dialer *net.Dialer) *Loop {
 	loop := &Loop{
 		limits:       bounds,
 		log:          log,
-		listen:       func() error { return nil }, // an inherited socket listens already
+		listen:       func() error { return nil }, // an inherited socket is already listening
 		listenFailed: make(chan error, 1),
 		backoff:      netretry.NewBackoff(bounds.Retry),
 		dialer:       dialer,
@@ -104,14 +104,15 @@
 	return loop
 }
 
-// Attach sets the timers that the loop drives, and the function that is called on the loop with each client's
-// connection and returns its owner.
+// Attach sets the timers that the loop drives, and the function that returns the Socket of a client's connection. The
+// function is called on the loop, once for each connection.
 func (l *Loop) Attach(timers Timers, accept func(connection gnet.Conn) Socket) {
 	l.timers, l.accept = timers, accept
 }
 
-// Run starts the loop, calls start on it, and serves until Stop is called or the listener cannot listen. It blocks its
-// caller; the loop has a goroutine of its own.
+// Run starts the loop on a new goroutine and calls start on the loop. It blocks until Stop is called or the listener
+// cannot be opened. It returns the errors of starting the engine, opening the listener and stopping the engine. Errors
+// of the first two are returned only after retries for StartTimeout.
 func (l *Loop) Run(start func()) (err error) {
 	l.alarm = time.AfterFunc(noAlarm, l.queueTick)
 	defer l.alarm.Stop()
@@ -130,10 +131,11 @@
 	return errors.Join(err, l.client.Stop())
 }
 
-// Stop ends Run, from any goroutine. It must be called once.
+// Stop ends Run. It may be called from any goroutine, but only once.
 func (l *Loop) Stop() { close(l.stopped) }
 
-// Do runs a function on the loop, from any goroutine. It waits until Run has started the loop, not for the function.
+// Do queues a function to run on the loop. It may be called from any goroutine. It blocks until Run has started the
+// loop, but does not wait for the function.
 func (l *Loop) Do(f func()) {
 	<-l.started
 	err := l.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
@@ -145,31 +147,31 @@
 	}
 }
 
-// startEngine creates gnet's engine, with one loop, and starts it.
+// startEngine creates and starts gnet's engine with one loop.
 func (l *Loop) startEngine() (err error) {
 	l.client, err = gnet.NewClient(l, gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 		gnet.WithSocketSendBuffer(l.limits.SocketBufferBytes), gnet.WithSocketRecvBuffer(l.limits.SocketBufferBytes),
-		gnet.WithLogger(engineLog{l.log}))
+		gnet.WithLogger(gnetLogger{l.log}))
 	if err != nil {
 		return err
 	}
 	return l.client.Start()
 }
 
-// errUnwatched is the error of a connection that gnet has closed since it could not watch its socket: epoll_ctl failed.
-// gnet does not report it, so the cause is taken for a shortage of watches.
+// errUnwatched is the error for a connection that gnet closed because epoll_ctl failed to watch its socket. gnet does
+// not report the cause, which is assumed to be a shortage of epoll watches.
 var errUnwatched = fmt.Errorf("the event loop cannot watch the socket: %w", netretry.ErrShortage)
 
-// findLoop sets the loop's gnet.EventLoop. gnet hands it out only to a connection, so one is enrolled for it, on which
-// nothing is sent and which OnOpen closes at once. It is UDP to the listener's own address: platforms that permit only
-// sockets of the IP families refuse a pair of Unix sockets.
+// findLoop sets l.loop, the gnet.EventLoop. gnet returns its event loop only from a connection. findLoop therefore
+// enrolls a temporary connection that sends nothing and that OnOpen closes at once. The connection uses UDP to the
+// listener's own address, since platforms that permit only IP sockets reject a pair of Unix sockets.
 func (l *Loop) findLoop() error {
 	connection, err := l.dialer.Dial("udp", l.listener.Addr().String())
 	if err != nil {
-		return fmt.Errorf("a socket to meet the loop: %w", err)
+		return fmt.Errorf("open the socket that finds the event loop: %w", err)
 	}
 	if _, err = l.client.Enroll(connection); err != nil {
-		return fmt.Errorf("a socket to meet the loop: %w", err)
+		return fmt.Errorf("enroll the socket that finds the event loop: %w", err)
 	}
 	select {
 	case <-l.started:
@@ -179,15 +181,15 @@
 	}
 }
 
-// enrollment is the context of a gnet connection from the time when it is handed over to the loop until OnOpen, which
-// sets the connection's Socket in its place.
+// enrollment is the context of a gnet connection while it is being handed over to the loop. OnOpen replaces it with the
+// connection's Socket.
 type enrollment struct {
 	dialed DialedSocket // nil for a client's connection
 	opened bool         // set by OnOpen, before gnet reports that the connection is enrolled
 }
 
-// result is the error of an enrollment that gnet reports as done: OnOpen is not called for a socket that gnet cannot
-// watch.
+// result returns errUnwatched if OnOpen was not called for an enrollment that gnet reports as done: gnet does not call
+// OnOpen for a socket that it cannot watch.
 func (enrolled *enrollment) result() error {
 	if !enrolled.opened {
 		return errUnwatched
@@ -195,16 +197,16 @@
 	return nil
 }
 
-// Dial opens a TCP connection and has the loop serve it. It blocks until then, so it must not be called on the loop.
-// When it returns nil, the socket's Opened has been called. The context bounds only the dial. gnet's own Register is no
-// choice: it dials without a timeout and cannot be cancelled.
+// Dial opens a TCP connection, hands it over to the loop and blocks until the loop serves it. It must not be called on
+// the loop. When it returns nil, the socket's Opened has been called. The context limits only the dial. gnet's own
+// Register is not used, since it dials without a timeout and cannot be cancelled.
 func (l *Loop) Dial(ctx context.Context, address string, socket DialedSocket) error {
 	connection, err := l.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return err
 	}
 	pending := &enrollment{dialed: socket}
-	// gnet takes the connection's context out of a context.Context, which has to outlive the dial's.
+	// gnet reads the connection's context from a context.Context, which must outlive the context of the dial.
 	registration := gnet.NewContext(context.WithoutCancel(ctx), pending)
 	result, err := l.loop.Enroll(registration, connection)
 	if err != nil {
@@ -216,7 +218,7 @@
 	return pending.result()
 }
 
-// OnOpen is called by gnet, on the loop, when the loop watches a connection.
+// OnOpen is called by gnet on the loop when the loop begins to watch a connection.
 func (l *Loop) OnOpen(connection gnet.Conn) ([]byte, gnet.Action) {
 	enrolled, ok := connection.Context().(*enrollment)
 	if !ok { // the socket of findLoop
@@ -234,19 +236,19 @@
 	return nil, gnet.None
 }
 
-// allBytes has gnet's Next return all that a connection has received.
+// allBytes makes gnet's Next return all bytes that a connection has received.
 const allBytes = -1
 
-// OnTraffic is called by gnet, on the loop, when a connection has received bytes.
+// OnTraffic is called by gnet on the loop when a connection has received bytes.
 func (l *Loop) OnTraffic(connection gnet.Conn) gnet.Action {
-	data, _ := connection.Next(allBytes) // it fails only when asked for more than there is
+	data, _ := connection.Next(allBytes) // Next fails only for more bytes than were received
 	if socket, ok := connection.Context().(Socket); ok {
 		socket.Received(data)
 	}
 	return gnet.None
 }
 
-// OnClose is called by gnet, on the loop, when a connection has been closed.
+// OnClose is called by gnet on the loop when a connection has been closed.
 func (l *Loop) OnClose(connection gnet.Conn, err error) gnet.Action {
 	if socket, ok := connection.Context().(Socket); ok {
 		socket.Closed(err)
@@ -254,16 +256,16 @@
 	return gnet.None
 }
 
-// queueTick queues a tick on the loop, unless one is queued already: ticks must not pile up behind a busy loop. The
-// alarm calls it on a goroutine of its own.
+// queueTick queues a tick on the loop unless one is queued already, since ticks must not accumulate while the loop is
+// busy. The alarm calls it on a separate goroutine.
 func (l *Loop) queueTick() {
 	if l.tickQueued.CompareAndSwap(false, true) {
 		l.Do(l.tick)
 	}
 }
 
-// startTimers sets the alarm for the earliest timer, from now on. A periodic tick of a few milliseconds would be
-// simpler, but cost CPU time also while a pooler is idle.
+// startTimers makes the alarm follow the earliest timer. A periodic tick every few milliseconds would be simpler, but
+// would use CPU time even while the pooler is idle.
 func (l *Loop) startTimers() {
 	l.timers.Alarm(func(at time.Duration) {
 		l.tickDue = at
@@ -278,8 +280,8 @@
 	l.timers.Tick()
 }
 
-// logStall logs a tick that comes late, since the loop stalled. If the logged CPU time since the last tick is short,
-// the process was not scheduled; otherwise it was busy.
+// logStall logs a late tick, which shows that the loop stalled. It also logs the CPU time since the last tick: if that
+// is short, the process was not scheduled; otherwise it was busy.
 func (l *Loop) logStall() {
 	cpuUsed, err := processCPUTime()
 	if err != nil {
@@ -295,7 +297,7 @@
 	l.cpuUsed = cpuUsed
 }
 
-// processCPUTime is how much CPU time the process has used, in user and in kernel mode.
+// processCPUTime returns the CPU time that the process has used in user and kernel mode.
 func processCPUTime() (time.Duration, error) {
 	var usage unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
--- a/internal/eventloop/socket_test.go
+++ b/internal/eventloop/socket_test.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// An interrupted peek is repeated, and any other result of it decides whether the connection is quiet.
-func TestPeekThatIsInterrupted(t *testing.T) {
+// An interrupted peek is repeated until another result shows whether there is something to read.
+func TestRepeatsInterruptedPeek(t *testing.T) {
 	for name, test := range map[string]struct {
 		errs    []error // of the peeks, in order
 		isQuiet bool
--- a/internal/pg/backend.go
+++ b/internal/pg/backend.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	authenticationOK = 0   // the code in an Authentication message that requests nothing
-	transactionIdle  = 'I' // the status in ReadyForQuery outside of a transaction
-	encryptionDenied = 'N' // the one byte that answers a request for SSL or GSS encryption
+	authenticationOK = 0   // the code of an Authentication message that reports success
+	transactionIdle  = 'I' // the status in ReadyForQuery outside a transaction
+	encryptionDenied = 'N' // the single byte that denies a request for SSL or GSS encryption
 )
 
 // Types of the fields of an ErrorResponse.
@@ -37,12 +37,12 @@
 	fieldDetail            = 'D'
 )
 
-// AppendReady appends ReadyForQuery.
+// AppendReady appends a ReadyForQuery message for a connection outside a transaction.
 func AppendReady(dst []byte) []byte {
 	return appendMessage(dst, backendReadyForQuery, func(body []byte) []byte { return append(body, transactionIdle) })
 }
 
-// AppendError appends an ErrorResponse with a severity and an SQLSTATE. The detail is left out if it is empty.
+// AppendError appends an ErrorResponse with a severity and an SQLSTATE. An empty detail is omitted.
 func AppendError(dst []byte, severity, code, message, detail string) []byte {
 	return appendMessage(dst, backendErrorResponse, func(body []byte) []byte {
 		body = appendString(append(body, fieldSeverity), severity)
@@ -56,13 +56,13 @@
 	})
 }
 
-// AppendFailure appends an error that leaves the connection ready for the next query.
+// AppendFailure appends an ErrorResponse with an SQLSTATE, and a ReadyForQuery for the next query.
 func AppendFailure(dst []byte, code, message string) []byte {
 	return AppendReady(AppendError(dst, SeverityError, code, message, ""))
 }
 
-// AppendRejection appends the rejection of a statement that was not run. Its detail is the Retry-After in milliseconds,
-// rounded up.
+// AppendRejection appends the rejection of a statement that was not run, and a ReadyForQuery. The detail of the error
+// is the Retry-After in milliseconds, rounded up.
 func AppendRejection(dst []byte, after time.Duration) []byte {
 	milliseconds := int64((after + time.Millisecond - 1) / time.Millisecond)
 	detail := strconv.FormatInt(milliseconds, 10)
@@ -77,7 +77,7 @@
 	})
 }
 
-// AppendValue appends a complete answer of one value: a row of one column, as databases send it.
+// AppendValue appends a complete answer, including ReadyForQuery, whose result is one row with one column.
 func AppendValue(dst []byte, value string) []byte {
 	dst = appendMessage(dst, backendRowDescription, appendValueDescription)
 	dst = appendMessage(dst, backendDataRow, func(body []byte) []byte {
@@ -98,14 +98,14 @@
 	)
 	body = binary.BigEndian.AppendUint16(body, 1)
 	body = appendString(body, "val")
-	body = append(body, 0, 0, 0, 0, 0, 0) // it is no column of a table
+	body = append(body, 0, 0, 0, 0, 0, 0) // table OID and column number: not the column of a table
 	body = binary.BigEndian.AppendUint32(body, byteaOID)
 	body = binary.BigEndian.AppendUint16(body, variableLength)
 	body = binary.BigEndian.AppendUint32(body, noModifier)
 	return binary.BigEndian.AppendUint16(body, binaryFormat)
 }
 
-// AppendComplete appends the CommandComplete of a statement that is answered without a database: see
+// AppendComplete appends the CommandComplete message of a statement that is answered without a database. See
 // ConcernsConnectionOnly.
 func AppendComplete(dst []byte, sql string) []byte { return appendCommandComplete(dst, verb(sql)) }
 
--- a/internal/pg/framing.go
+++ b/internal/pg/framing.go
@@ -5,34 +5,34 @@
 	"encoding/binary"
 )
 
-// messageType is the byte that begins each message but those of the startup phase of a client.
+// messageType is the first byte of a message. Messages of a client's startup phase have none.
 type messageType byte
 
 // Sizes of the parts of a message's header, in bytes.
 const (
 	typeBytes   = 1
-	lengthBytes = 4 // the length counts itself and the body, but not the type
+	lengthBytes = 4 // the length field counts itself and the body, but not the type
 )
 
-// codeBytes is the size of the code that begins the body of an Authentication message or of an untyped message.
+// codeBytes is the size of the code at the start of the body of an Authentication message or an untyped message.
 const codeBytes = 4
 
-// frame is one message as it is cut off the byte stream.
+// frame is one message of the byte stream.
 type frame struct {
 	kind messageType // 0 for an untyped message
-	body []byte      // valid until the framer is fed again
+	body []byte      // valid until the framer's next feed
 }
 
-// framer cuts a byte stream into messages.
+// framer splits a byte stream into messages.
 type framer struct {
-	buffer []byte // what was fed and is not cut off yet
-	limit  int    // greatest length of a message, in bytes, without its type
+	buffer []byte // bytes that were fed and not yet returned in a message
+	limit  int    // maximum value of a message's length field, in bytes
 }
 
 // feed appends bytes of the stream.
 func (f *framer) feed(data []byte) { f.buffer = append(f.buffer, data...) }
 
-// discard removes bytes from the front. An empty buffer is released.
+// discard removes bytes from the front of the buffer. An empty buffer is released.
 func (f *framer) discard(size int) {
 	f.buffer = f.buffer[size:]
 	if len(f.buffer) == 0 {
@@ -40,24 +40,25 @@
 	}
 }
 
-// nextTyped returns the next message. Complete is false if part of it is yet to come.
+// nextTyped removes and returns the next message. complete is false if the buffer holds only part of it.
 func (f *framer) nextTyped() (message frame, complete bool, err error) {
 	if len(f.buffer) > 0 {
 		message.kind = messageType(f.buffer[0])
 	}
-	message.body, complete, err = f.cut(typeBytes)
+	message.body, complete, err = f.nextBody(typeBytes)
 	return message, complete, err
 }
 
-// nextUntyped returns the next message of a stream whose messages have no type yet.
+// nextUntyped is like nextTyped for the startup phase, whose messages have no type.
 func (f *framer) nextUntyped() (message frame, complete bool, err error) {
-	message.body, complete, err = f.cut(0)
+	message.body, complete, err = f.nextBody(0)
 	return message, complete, err
 }
 
-// cut removes the next message from the buffer and returns its body. The message's length stands at the offset. One
-// over the limit is an error before the body has come, so that a peer cannot claim memory without bound.
-func (f *framer) cut(offset int) (body []byte, complete bool, err error) {
+// nextBody removes the next message from the buffer and returns its body. The message's length field is at the offset.
+// A length over the limit is an error even before the body has arrived, since a peer must not make the buffer grow
+// without bound.
+func (f *framer) nextBody(offset int) (body []byte, complete bool, err error) {
 	header := offset + lengthBytes
 	if len(f.buffer) < header {
 		return nil, false, nil
@@ -75,7 +76,7 @@
 	return body, true, nil
 }
 
-// appendMessage appends a typed message whose body is appended by a function.
+// appendMessage appends a typed message. appendBody appends the body.
 func appendMessage(dst []byte, kind messageType, appendBody func([]byte) []byte) []byte {
 	start := len(dst) + typeBytes
 	dst = appendBody(append(dst, byte(kind), 0, 0, 0, 0))
@@ -83,10 +84,10 @@
 	return dst
 }
 
-// appendString appends a string as the protocol has it: ended by a zero byte.
+// appendString appends a zero-terminated string.
 func appendString(dst []byte, value string) []byte { return append(append(dst, value...), 0) }
 
-// cutString cuts a zero-terminated string off the front of a body.
+// cutString splits a body after the zero-terminated string at its start.
 func cutString(body []byte) (value string, rest []byte, found bool) {
 	before, rest, found := bytes.Cut(body, []byte{0})
 	if !found {
--- a/internal/pg/frontend.go
+++ b/internal/pg/frontend.go
@@ -19,7 +19,7 @@
 	frontendCopyFail     messageType = 'f'
 )
 
-// Codes that begin the body of an untyped message: a request, or the version of the protocol.
+// Codes at the start of the body of an untyped message: a request code or the protocol version.
 const (
 	requestCancel   = 80877102
 	requestSSL      = 80877103
@@ -36,7 +36,7 @@
 	parameterApplication = "application_name"
 )
 
-// AppendQuery appends a Query message whose text is made of parts.
+// AppendQuery appends a Query message whose text is the concatenation of the parts.
 func AppendQuery(dst []byte, parts ...string) []byte {
 	return appendMessage(dst, frontendQuery, func(body []byte) []byte {
 		for _, part := range parts {
@@ -49,7 +49,7 @@
 // AppendStartup appends a StartupMessage of protocol version 3.0.
 func AppendStartup(dst []byte, user, database string) []byte {
 	start := len(dst)
-	dst = append(dst, 0, 0, 0, 0) // the length, below
+	dst = append(dst, 0, 0, 0, 0) // the length, set below
 	dst = binary.BigEndian.AppendUint32(dst, protocolVersion)
 	dst = appendString(appendString(dst, parameterUser), user)
 	dst = appendString(appendString(dst, parameterDatabase), database)
--- a/internal/pg/link.go
+++ b/internal/pg/link.go
@@ -2,56 +2,56 @@
 
 import "encoding/binary"
 
-// Link is the client's side of one database connection: its owner feeds it what the database sends. One query is in
-// flight at a time. It is not safe for concurrent use.
+// Link is the client side of one database connection. Its owner feeds it the bytes that the database sends. Only one
+// query may be in flight at a time. It is not safe for concurrent use.
 type Link struct {
-	in           framer
-	streamAbove  int // rows whose length exceeds this are passed on in pieces, in bytes
-	maxValue     int // greatest length of a value, in bytes
+	input        framer
+	streamAbove  int // message length above which a row is streamed instead of buffered, in bytes
+	maxValue     int // maximum length of a value, in bytes
 	state        linkState
-	reply        Reply  // as far as it has come
-	rowBytesLeft int    // bytes of the streamed row that are yet to come
-	piece        []byte // of the streamed row, not yet taken by Piece
+	reply        Reply  // the part of the current reply that has arrived
+	rowBytesLeft int    // bytes of the streamed row that have not arrived yet
+	piece        []byte // bytes of the streamed row that Piece has not returned yet
 }
 
-// NewLink returns a link that buffers messages of up to maxMessage bytes, passes on rows of over streamAbove bytes in
-// pieces, and accepts values of up to maxValue bytes.
+// NewLink returns a link that buffers messages of up to maxMessage bytes, streams rows of more than streamAbove bytes
+// and accepts values of up to maxValue bytes.
 func NewLink(maxMessage, streamAbove, maxValue int) *Link {
-	return &Link{in: framer{limit: maxMessage}, streamAbove: min(streamAbove, maxMessage), maxValue: maxValue}
+	return &Link{input: framer{limit: maxMessage}, streamAbove: min(streamAbove, maxMessage), maxValue: maxValue}
 }
 
-// Piece returns what has come of a streamed row since the last call, with all that precedes the row in the reply; nil
-// if there is none.
+// Piece returns the bytes of a streamed row that have arrived since the last call, nil if there are none. The first
+// piece begins with the messages that precede the row in the reply. The caller owns the bytes.
 func (l *Link) Piece() []byte {
 	piece := l.piece
 	l.piece = nil
 	return piece
 }
 
-// Resume skips the startup, for a connection on which it is over already.
+// Resume skips the startup phase, for a connection that has completed it already.
 func (l *Link) Resume() {
 	if l.state == linkStarting {
 		l.state = linkIdle
 	}
 }
 
-// Partial returns the reply as far as it has come, for a connection that ends.
+// Partial returns the part of the current reply that has arrived, for a connection that has ended.
 func (l *Link) Partial() Reply { return l.reply }
 
-// progress is what one step of reading has come to.
+// progress is the result of one step of reading.
 type progress uint8
 
-// What a step may come to.
 const (
-	needsBytes progress = iota // the buffer holds no complete message
-	tookBytes                  // something was read, and more may be in the buffer
-	replyEnded                 // the last message of a reply was read
+	needsBytes    progress = iota // the buffer does not hold enough bytes for another step
+	consumedBytes                 // bytes were read, and the buffer may hold more
+	replyEnded                    // the last message of a reply was read
 )
 
-// Feed takes in bytes and returns the reply that they end. After an error the connection is of no more use, and
-// neither is it after bytes behind a reply: what comes unrequested must not pass for the answer to the next query.
+// Feed reads bytes and returns the reply that they complete, if any. After an error the connection cannot be used any
+// more. Bytes after the end of a reply make the reply Fatal, since they must not be taken for the answer to the next
+// query.
 func (l *Link) Feed(data []byte) (reply Reply, done bool, err error) {
-	l.in.feed(data)
+	l.input.feed(data)
 	for {
 		step, err := l.step()
 		switch {
@@ -63,25 +63,25 @@
 	}
 }
 
-// step reads one message, or part of a streamed row.
+// step reads one message or part of a streamed row.
 func (l *Link) step() (progress, error) {
 	if l.state == linkStreaming {
-		return l.passOnRow(), nil
+		return l.streamRow(), nil
 	}
 	if length, long := l.longRow(); long {
 		return l.beginStreaming(length)
 	}
-	message, complete, err := l.in.nextTyped()
+	message, complete, err := l.input.nextTyped()
 	if err != nil || !complete {
 		return needsBytes, err
 	}
-	return l.takeMessage(message)
+	return l.handleMessage(message)
 }
 
-// takeReply returns the reply and begins the next one. A connection that failed during startup stays in it.
+// takeReply returns the reply and resets the link for the next one. A connection that failed at startup stays starting.
 func (l *Link) takeReply() Reply {
 	reply := l.reply
-	reply.Fatal = reply.Fatal || len(l.in.buffer) > 0
+	reply.Fatal = reply.Fatal || len(l.input.buffer) > 0
 	l.reply = Reply{}
 	if l.state != linkStarting || !reply.Fatal {
 		l.state = linkIdle
@@ -89,9 +89,9 @@
 	return reply
 }
 
-// longRow reports whether the buffer begins with a row that is too long to be buffered, and the length of the message.
+// longRow reports whether the buffer begins with a row to be streamed, and returns the value of its length field.
 func (l *Link) longRow() (length int64, long bool) {
-	header := l.in.buffer
+	header := l.input.buffer
 	if l.state == linkStarting || len(header) < typeBytes+lengthBytes {
 		return 0, false
 	}
@@ -102,18 +102,18 @@
 	return length, length > int64(l.streamAbove)
 }
 
-// beginStreaming checks the head of a long row, whose message has a length, and begins to pass it on. Of the value only
-// its length is checked.
+// beginStreaming checks the header of a long row and the length of its value, and begins to stream the row. length is
+// the value of the message's length field.
 func (l *Link) beginStreaming(length int64) (progress, error) {
 	const headBytes = typeBytes + lengthBytes + rowBodyBytes
 	if _, allowed := l.state.after(backendDataRow); !allowed {
 		return needsBytes, ErrUnexpectedMessage
 	}
 	valueLength := length - lengthBytes - rowBodyBytes
-	if valueLength > int64(l.maxValue) { // so that no peer can send without end
+	if valueLength > int64(l.maxValue) { // a peer must not send a row without end
 		return needsBytes, ErrMessageTooLong
 	}
-	head := l.in.buffer
+	head := l.input.buffer
 	if len(head) < headBytes {
 		return needsBytes, nil
 	}
@@ -128,49 +128,49 @@
 	l.reply.Streamed = true
 	l.rowBytesLeft = int(length) + typeBytes
 	l.state = linkStreaming
-	return tookBytes, nil
+	return consumedBytes, nil
 }
 
-// passOnRow passes on what the buffer holds of the long row.
-func (l *Link) passOnRow() progress {
-	size := min(l.rowBytesLeft, len(l.in.buffer))
-	l.piece = append(l.piece, l.in.buffer[:size]...)
-	l.in.discard(size)
+// streamRow moves the bytes of the streamed row from the buffer to the piece.
+func (l *Link) streamRow() progress {
+	size := min(l.rowBytesLeft, len(l.input.buffer))
+	l.piece = append(l.piece, l.input.buffer[:size]...)
+	l.input.discard(size)
 	l.rowBytesLeft -= size
 	if l.rowBytesLeft == 0 {
 		l.state = linkRow
 	}
-	if len(l.in.buffer) == 0 {
+	if len(l.input.buffer) == 0 {
 		return needsBytes
 	}
-	return tookBytes
+	return consumedBytes
 }
 
-// takeMessage takes in one message of a database. Each has to come in its place and in its form, so that a damaged
-// answer does not pass for a complete one.
-func (l *Link) takeMessage(message frame) (progress, error) {
+// handleMessage processes one message of a database. It rejects messages that are out of order or malformed, since a
+// damaged answer must not be taken for a complete one.
+func (l *Link) handleMessage(message frame) (progress, error) {
 	switch message.kind {
 	case backendReadyForQuery:
-		return l.takeReadyForQuery(message.body)
+		return l.handleReadyForQuery(message.body)
 	case backendRowDescription, backendDataRow, backendCommandComplete:
-		return tookBytes, l.takeResult(message)
+		return consumedBytes, l.handleResult(message)
 	case backendEmptyQueryResponse:
-		return tookBytes, l.takeEmptyQueryResponse(message.body)
+		return consumedBytes, l.handleEmptyQueryResponse(message.body)
 	case backendErrorResponse:
-		return l.takeErrorResponse(message.body)
+		return l.handleErrorResponse(message.body)
 	case backendParameterStatus:
-		return tookBytes, l.reply.takeParameter(message.body)
+		return consumedBytes, l.reply.setParameter(message.body)
 	case backendAuthentication:
-		return tookBytes, l.takeAuthentication(message.body)
+		return consumedBytes, l.handleAuthentication(message.body)
 	case backendKeyData, backendNoticeResponse, backendNotificationResponse, backendNoData:
-		return tookBytes, nil
+		return consumedBytes, nil
 	default:
 		return needsBytes, ErrUnexpectedMessage
 	}
 }
 
-// takeReadyForQuery takes in the end of a reply. Databases are never left inside a transaction.
-func (l *Link) takeReadyForQuery(body []byte) (progress, error) {
+// handleReadyForQuery ends the reply. The status of an open transaction is an error: a connection must not stay in one.
+func (l *Link) handleReadyForQuery(body []byte) (progress, error) {
 	_, allowed := l.state.after(backendReadyForQuery)
 	if !allowed || len(body) != 1 || body[0] != transactionIdle {
 		return needsBytes, ErrMalformedMessage
@@ -178,13 +178,13 @@
 	return replyEnded, nil
 }
 
-// takeResult takes in a message that is passed on to the client.
-func (l *Link) takeResult(message frame) error {
-	if err := l.state.take(message.kind); err != nil {
+// handleResult checks a message of a result and appends it to the rows of the reply.
+func (l *Link) handleResult(message frame) error {
+	if err := l.state.advance(message.kind); err != nil {
 		return err
 	}
 	reply := &l.reply
-	if len(reply.Rows)+len(message.body) > l.in.limit { // the messages of one reply share one limit
+	if len(reply.Rows)+len(message.body) > l.input.limit { // the limit applies to all rows of a reply together
 		return ErrMessageTooLong
 	}
 	reply.Rows = appendMessage(reply.Rows, message.kind, func(body []byte) []byte {
@@ -207,35 +207,35 @@
 	return nil
 }
 
-// takeEmptyQueryResponse takes in the answer to a query without a statement, which stands for CommandComplete.
-func (l *Link) takeEmptyQueryResponse(body []byte) error {
+// handleEmptyQueryResponse processes the message that replaces CommandComplete in the answer to an empty query.
+func (l *Link) handleEmptyQueryResponse(body []byte) error {
 	if len(body) > 0 {
 		return ErrUnexpectedMessage
 	}
-	if err := l.state.take(backendEmptyQueryResponse); err != nil {
+	if err := l.state.advance(backendEmptyQueryResponse); err != nil {
 		return err
 	}
 	l.reply.Complete = true
 	return nil
 }
 
-// takeErrorResponse takes in an ErrorResponse. A fatal one ends the reply, since no ReadyForQuery follows it.
-func (l *Link) takeErrorResponse(body []byte) (progress, error) {
-	if err := l.state.take(backendErrorResponse); err != nil {
+// handleErrorResponse processes an ErrorResponse. A fatal error ends the reply, since no ReadyForQuery follows it.
+func (l *Link) handleErrorResponse(body []byte) (progress, error) {
+	if err := l.state.advance(backendErrorResponse); err != nil {
 		return needsBytes, err
 	}
-	if err := l.reply.takeError(body); err != nil {
+	if err := l.reply.setError(body); err != nil {
 		return needsBytes, err
 	}
 	l.reply.Fatal = l.reply.Fatal || l.state == linkStarting
 	if l.reply.Fatal {
 		return replyEnded, nil
 	}
-	return tookBytes, nil
+	return consumedBytes, nil
 }
 
-// takeAuthentication takes in the answer to the startup message. No method of authentication is supported.
-func (l *Link) takeAuthentication(body []byte) error {
+// handleAuthentication processes the answer to the startup message. No authentication method is supported.
+func (l *Link) handleAuthentication(body []byte) error {
 	if l.state != linkStarting || len(body) < codeBytes || binary.BigEndian.Uint32(body) != authenticationOK {
 		return ErrAuthenticationRequested
 	}
--- a/internal/pg/link_state.go
+++ b/internal/pg/link_state.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// linkState is the phase of a database connection and of the reply that is under way on it.
+// linkState is the state of a database connection and of the reply in progress.
 type linkState uint8
 
 const (
-	// linkStarting: the first ReadyForQuery is yet to come.
+	// linkStarting: the first ReadyForQuery has not arrived yet.
 	linkStarting linkState = iota
-	// linkIdle: nothing of a reply has come.
+	// linkIdle: no message of a reply's result has arrived.
 	linkIdle
-	// linkDescribed: RowDescription has come.
+	// linkDescribed: RowDescription has arrived.
 	linkDescribed
-	// linkStreaming: a row is passed on in pieces.
+	// linkStreaming: a row is being streamed.
 	linkStreaming
-	// linkRow: the row has come.
+	// linkRow: the row has arrived.
 	linkRow
-	// linkComplete: CommandComplete or EmptyQueryResponse has come.
+	// linkComplete: CommandComplete or EmptyQueryResponse has arrived.
 	linkComplete
-	// linkFailed: an error has come that leaves the connection usable.
+	// linkFailed: an error has arrived that leaves the connection usable.
 	linkFailed
 )
 
@@ -40,8 +40,8 @@
 	return fmt.Sprintf("link state %d", uint8(s))
 }
 
-// after returns the state after a message of a reply, false if the message may not come now. An error during startup
-// ends the connection, so it leads to no other state.
+// after returns the state after a message, and whether the message is allowed in state s. An error during startup ends
+// the connection and does not change the state.
 func (s linkState) after(kind messageType) (linkState, bool) {
 	switch kind {
 	case backendRowDescription:
@@ -64,8 +64,8 @@
 	}
 }
 
-// take is the transition of a message of a reply.
-func (s *linkState) take(kind messageType) error {
+// advance changes the state for a message. It returns ErrUnexpectedMessage if the message is not allowed.
+func (s *linkState) advance(kind messageType) error {
 	next, allowed := s.after(kind)
 	if !allowed {
 		return ErrUnexpectedMessage
--- a/internal/pg/link_test.go
+++ b/internal/pg/link_test.go
@@ -11,8 +11,8 @@
 // Limits of the links in tests, in bytes.
 const (
 	linkLimit   = 128
-	linkWhole   = 64  // rows above it are streamed
-	linkLongest = 400 // value
+	linkWhole   = 64  // greatest length of a row that is not streamed
+	linkLongest = 400 // greatest length of a value
 )
 
 var (
@@ -31,7 +31,7 @@
 	return packet('D', "\x00\x01"+string([]byte{byte(size >> 24), byte(size >> 16), byte(size >> 8), byte(size)})+value)
 }
 
-// newTestLink returns a link with small limits, whose startup is over if started.
+// newTestLink returns a link with small limits. If started, its startup phase is skipped.
 func newTestLink(started bool) *Link {
 	link := NewLink(linkLimit, linkWhole, linkLongest)
 	if started {
@@ -40,9 +40,8 @@
 	return link
 }
 
-// A link takes in the startup of a connection, whatever part of it has come; an error or bytes behind it end the
-// connection.
-func TestLinkStartup(t *testing.T) {
+// A link reads complete and incomplete startup phases. An error or bytes after ReadyForQuery make the reply fatal.
+func TestLinkReadsStartup(t *testing.T) {
 	cases := map[string]struct {
 		input string
 		want  Reply
@@ -66,7 +65,7 @@
 			true,
 			linkStarting,
 		},
-		"bytes behind ready": {authenticated + ready + "x", Reply{Fatal: true}, true, linkStarting},
+		"bytes after ready": {authenticated + ready + "x", Reply{Fatal: true}, true, linkStarting},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -82,7 +81,7 @@
 
 var answered = Reply{Rows: []byte(described + row("ab") + completed), Complete: true, Value: []byte("ab")}
 
-// with returns the reply answered with a change.
+// with returns a changed copy of the reply answered.
 func with(change func(*Reply)) Reply {
 	reply := answered
 	change(&reply)
@@ -131,16 +130,16 @@
 		failed + packet('S', "mode\x00ro\x00") + ready,
 		Reply{Code: "53300", Message: "full", Detail: "40", Mode: "ro"},
 	},
-	"bytes behind the reply": {
+	"bytes after the reply": {
 		described + row("ab") + completed + ready + "D", with(func(r *Reply) { r.Fatal = true }),
 	},
-	"a reply behind the reply": {
+	"a reply after the reply": {
 		described + row("ab") + completed + ready + completed + ready, with(func(r *Reply) { r.Fatal = true }),
 	},
 }
 
-// A complete reply is returned with its rows, error, parameters and whether the connection can be used again.
-func TestLinkReplies(t *testing.T) {
+// Feed returns a complete reply with its rows, error and parameters, and whether the connection can be used again.
+func TestLinkReturnsCompleteReply(t *testing.T) {
 	for name, test := range linkReplies {
 		t.Run(name, func(t *testing.T) {
 			link := newTestLink(true)
@@ -155,8 +154,8 @@
 	}
 }
 
-// A replication position is taken from wal_time if it is a number in its range; any other text counts as none.
-func TestLinkTakesPositionsInRange(t *testing.T) {
+// The replication position is read from wal_time if that is a number within range. Any other text means no position.
+func TestLinkIgnoresPositionOutOfRange(t *testing.T) {
 	cases := map[string]time.Duration{
 		"1":             time.Millisecond,
 		"1.9":           time.Millisecond,
@@ -191,7 +190,7 @@
 	"complete during startup":    {starting, completed, ErrUnexpectedMessage},
 	"empty query during startup": {starting, packet('I', ""), ErrUnexpectedMessage},
 	"long row during startup":    {starting, row(strings.Repeat("x", linkWhole)), ErrUnexpectedMessage},
-	"authentication asked for":   {starting, packet('R', "\x00\x00\x00\x03"), ErrAuthenticationRequested},
+	"authentication requested":   {starting, packet('R', "\x00\x00\x00\x03"), ErrAuthenticationRequested},
 	"authentication cut short":   {starting, packet('R', "\x00\x00\x00"), ErrAuthenticationRequested},
 	"authentication again":       {started, authenticated, ErrAuthenticationRequested},
 	"unknown type":               {started, packet('W', ""), ErrUnexpectedMessage},
@@ -202,11 +201,11 @@
 	"complete twice":             {started, completed + completed, ErrUnexpectedMessage},
 	"empty query in a result":    {started, described + packet('I', ""), ErrUnexpectedMessage},
 	"empty query with a body":    {started, packet('I', "x"), ErrUnexpectedMessage},
-	"row behind an error":        {started, failed + row("a"), ErrUnexpectedMessage},
-	"complete behind an error":   {started, failed + completed, ErrUnexpectedMessage},
-	"error behind an error":      {started, failed + failed, ErrUnexpectedMessage},
-	"error behind complete":      {started, completed + failed, ErrUnexpectedMessage},
-	"error behind empty query":   {started, packet('I', "") + failed, ErrUnexpectedMessage},
+	"row after an error":         {started, failed + row("a"), ErrUnexpectedMessage},
+	"complete after an error":    {started, failed + completed, ErrUnexpectedMessage},
+	"error after an error":       {started, failed + failed, ErrUnexpectedMessage},
+	"error after complete":       {started, completed + failed, ErrUnexpectedMessage},
+	"error after empty query":    {started, packet('I', "") + failed, ErrUnexpectedMessage},
 	"ready without a reply":      {started, ready, ErrMalformedMessage},
 	"ready in a result":          {started, described + ready, ErrMalformedMessage},
 	"ready before complete":      {started, described + row("a") + ready, ErrMalformedMessage},
@@ -249,7 +248,7 @@
 		ErrMessageTooLong,
 	},
 	"long row without description": {started, row(strings.Repeat("x", linkWhole)), ErrUnexpectedMessage},
-	"long row behind an error":     {started, failed + row(strings.Repeat("x", linkWhole)), ErrUnexpectedMessage},
+	"long row after an error":      {started, failed + row(strings.Repeat("x", linkWhole)), ErrUnexpectedMessage},
 	"long row over the longest": {
 		started, described + row(strings.Repeat("x", linkLongest+1)), ErrMessageTooLong,
 	},
@@ -261,8 +260,8 @@
 	},
 }
 
-// A message that comes out of its place, or has not its form, is an error of its own kind.
-func TestLinkErrors(t *testing.T) {
+// A message that is out of order, malformed or too long returns the error for that fault.
+func TestLinkRejectsInvalidMessage(t *testing.T) {
 	for name, test := range linkErrors {
 		t.Run(name, func(t *testing.T) {
 			reply, done, err := newTestLink(test.started).Feed([]byte(test.input))
@@ -273,8 +272,8 @@
 	}
 }
 
-// Replies are the same however their bytes are cut, and one follows another.
-func TestLinkRepliesAreTheSameInPieces(t *testing.T) {
+// A link reads consecutive replies, and they do not depend on how their bytes are split.
+func TestLinkRepliesDoNotDependOnSplit(t *testing.T) {
 	replies := []string{
 		authenticated + packet('S', "mode\x00rw\x00") + ready,
 		described + row("ab") + completed + ready,
@@ -306,8 +305,8 @@
 	}
 }
 
-// Partial returns what has come of a reply whose connection ends.
-func TestLinkPartialReply(t *testing.T) {
+// Partial returns the part of an incomplete reply that has arrived.
+func TestPartialReturnsIncompleteReply(t *testing.T) {
 	link := newTestLink(true)
 	_, done, err := link.Feed([]byte(described + row("ab") + completed))
 	require.NoError(t, err)
@@ -317,16 +316,17 @@
 	}, link.Partial())
 }
 
-// A long row is passed on as it comes: with what precedes it first, and without what follows it.
+// A long row is streamed as it arrives. The first piece begins with the messages before the row, and no piece contains
+// the messages after it.
 func TestLinkStreamsLongRows(t *testing.T) {
 	cases := map[string]struct {
 		value    string
 		streamed bool
 	}{
-		"longest that is buffered": {strings.Repeat("x", linkWhole-10), false},
-		"shortest that is not":     {strings.Repeat("x", linkWhole-9), true},
-		"over the message limit":   {strings.Repeat("x", linkLimit+1), true},
-		"longest":                  {strings.Repeat("x", linkLongest), true},
+		"longest that is buffered":  {strings.Repeat("x", linkWhole-10), false},
+		"shortest that is streamed": {strings.Repeat("x", linkWhole-9), true},
+		"over the message limit":    {strings.Repeat("x", linkLimit+1), true},
+		"longest":                   {strings.Repeat("x", linkLongest), true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -347,25 +347,25 @@
 	}
 }
 
-// feedInPieces feeds a reply in pieces of a size and returns it with what the link has passed on.
+// feedInPieces feeds a reply in pieces of a size. It returns the reply and all bytes that the link streamed.
 func feedInPieces(t *testing.T, link *Link, input string, size int) (Reply, string) {
 	t.Helper()
-	passed := ""
+	streamed := ""
 	for {
 		piece := input[:min(size, len(input))]
 		input = input[len(piece):]
 		reply, done, err := link.Feed([]byte(piece))
 		require.NoError(t, err)
-		passed += string(link.Piece())
+		streamed += string(link.Piece())
 		require.Equal(t, input == "", done)
 		if done {
-			return reply, passed
+			return reply, streamed
 		}
 	}
 }
 
-// A long row begins to stream once its head is complete, and a second call of Piece returns nothing anew.
-func TestLinkStreamingState(t *testing.T) {
+// Streaming of a long row begins once the row's header is complete. A second call of Piece returns no bytes again.
+func TestLinkStreamsFromCompleteRowHeader(t *testing.T) {
 	link := newTestLink(true)
 	long := row(strings.Repeat("x", linkLimit))
 	feed := func(input string) {
@@ -373,7 +373,7 @@
 		require.NoError(t, err)
 		require.False(t, done)
 	}
-	feed(described + long[:10]) // the head is not complete
+	feed(described + long[:10]) // the row's header is not complete
 	require.Equal(t, linkDescribed, link.state, link.state.String())
 	require.Nil(t, link.Piece())
 	feed(long[10:20])
@@ -386,8 +386,8 @@
 	require.Nil(t, link.Piece())
 }
 
-// In each state exactly the messages that the protocol allows there are taken.
-func TestLinkTransitions(t *testing.T) {
+// Each state accepts exactly the messages that the protocol allows in it.
+func TestLinkStatesAcceptAllowedMessagesOnly(t *testing.T) {
 	none := linkState(0xff)
 	const types = "ZTDCIE"
 	cases := map[linkState][len(types)]linkState{
--- a/internal/pg/messages_test.go
+++ b/internal/pg/messages_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// packet returns a typed message, built independently of the package's own functions.
+// packet returns a typed message. It does not use the functions under test.
 func packet(kind byte, body string) string {
 	length := binary.BigEndian.AppendUint32(nil, uint32(4+len(body)))
 	return string(kind) + string(length) + body
@@ -21,7 +21,7 @@
 	return string(binary.BigEndian.AppendUint32(nil, uint32(4+len(body)))) + body
 }
 
-// unhex returns the bytes of hexadecimal digits, which may be spaced.
+// unhex decodes hexadecimal digits, which may be separated by spaces.
 func unhex(t *testing.T, digits string) string {
 	t.Helper()
 	text, err := hex.DecodeString(strings.Join(strings.Fields(digits), ""))
@@ -29,8 +29,8 @@
 	return string(text)
 }
 
-// Each message that is written has the bytes that the protocol's documentation gives for it.
-func TestAppendedMessagesAreThoseOfTheProtocol(t *testing.T) {
+// Each appended message has the bytes that the protocol's documentation specifies.
+func TestAppendedMessagesMatchProtocol(t *testing.T) {
 	query := Query{Head: "SELECT 1 /* id=a,c=read,d=", Tail: ",cluster=3 */"}
 	cases := map[string]struct {
 		got  []byte
@@ -66,11 +66,11 @@
 			AppendStartup(nil, "u", "d"),
 			"0000001b 00030000 7573657200 7500 646174616261736500 6400 00",
 		},
-		"query with its wait": {query.AppendFor(nil, 1999*time.Microsecond), "51 0000002d" +
+		"query with a wait": {query.AppendFor(nil, 1999*time.Microsecond), "51 0000002d" +
 			hex.EncodeToString([]byte("SELECT 1 /* id=a,c=read,d=1,cluster=3 */")) + "00"},
 		"query without time left": {query.AppendFor(nil, -time.Second), "51 0000002d" +
 			hex.EncodeToString([]byte("SELECT 1 /* id=a,c=read,d=1,cluster=3 */")) + "00"},
-		"behind other bytes": {AppendQuery([]byte("ab"), "c"), "6162 51 00000006 6300"},
+		"after other bytes": {AppendQuery([]byte("ab"), "c"), "6162 51 00000006 6300"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/pg/query.go
+++ b/internal/pg/query.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Query is a statement with the label in the comment that ends it, such as
+// Query is a statement that ends in a comment with a label, such as
 // "SELECT a FROM t WHERE k = 'x' /* id=1,c=read,d=500,cluster=3 */".
 type Query struct {
 	ID          string        // field id: the client's name for the request
 	Class       string        // field c: name of the request's class
 	Group       int           // field cluster: number of the group of databases
-	TimeLeft    time.Duration // field d: how long the client waits
-	MinPosition time.Duration // field after: position that a read must see, from the Unix epoch; 0: none
-	Key         uint64        // hash of the first quoted text of the statement, the session's key; 0: none
+	TimeLeft    time.Duration // field d: how long the client waits for the answer
+	MinPosition time.Duration // field after: position that a read must see, as time since the Unix epoch; 0: none
+	Key         uint64        // session key: hash of the first quoted string in the statement; 0: none
 	Head        string        // the statement before the digits of field d
-	Tail        string        // the statement behind the digits of field d
+	Tail        string        // the statement after the digits of field d
 	HasGroup    bool          // the label has the field cluster
 	LabelOffset int           // offset of the comment in the statement, in bytes
-	Comment     string        // the text of the comment, without its delimiters
+	Comment     string        // the text of the comment without its delimiters
 }
 
 const (
@@ -37,7 +37,7 @@
 	labelPosition = "after"
 )
 
-// waitBits bounds the milliseconds that a client may wait, about 24 days.
+// waitBits is the maximum size of a client's wait in milliseconds, in bits: about 24 days.
 const waitBits = 31
 
 // labelField is one field of a label.
@@ -46,7 +46,7 @@
 	start, end  int // offsets of the value in the statement, in bytes
 }
 
-// ParseQuery reads the label of a statement. The error is one of ErrNoLabel, ErrBadGroup, ErrBadWait and
+// ParseQuery parses the label of a statement. The error is one of ErrNoLabel, ErrBadGroup, ErrBadWait and
 // ErrBadPosition.
 func ParseQuery(sql string) (query Query, err error) {
 	start, end, found := findLabel(sql)
@@ -60,7 +60,7 @@
 		if comma := strings.IndexByte(sql[fieldStart:end], ','); comma >= 0 {
 			fieldEnd = fieldStart + comma
 		}
-		if err := query.setField(sql, cutField(sql, fieldStart, fieldEnd)); err != nil {
+		if err := query.setField(sql, parseField(sql, fieldStart, fieldEnd)); err != nil {
 			return query, err
 		}
 		fieldStart = fieldEnd + len(",")
@@ -69,26 +69,26 @@
 	if !isComplete {
 		return query, ErrNoLabel
 	}
-	query.Key = keyOf(sql[:start])
+	query.Key = hashKey(sql[:start])
 	return query, nil
 }
 
-// findLabel returns the offsets of the delimiters of the comment that ends a statement.
+// findLabel returns the offsets of both delimiters of the comment at the end of a statement.
 func findLabel(sql string) (start, end int, found bool) {
 	start = strings.LastIndex(sql, commentOpen)
 	if start < 0 {
 		return 0, 0, false
 	}
 	size := strings.Index(sql[start:], commentClose)
-	if size < len(commentOpen) { // none, or that of "/*/", whose star belongs to the opening
+	if size < len(commentOpen) { // no closing delimiter, or "/*/", whose star belongs to the opening one
 		return 0, 0, false
 	}
 	end = start + size
 	return start, end, isEmpty(sql[end+len(commentClose):])
 }
 
-// cutField returns the field that stands between two offsets of a statement.
-func cutField(sql string, start, end int) labelField {
+// parseField returns the field between two offsets of a statement.
+func parseField(sql string, start, end int) labelField {
 	name, value, _ := strings.Cut(sql[start:end], "=")
 	valueStart := end - len(value)
 	value = strings.TrimRight(value, " ")
@@ -100,7 +100,7 @@
 	}
 }
 
-// setField takes in one field of a statement's label. Unknown fields are skipped.
+// setField sets the value of one field of a statement's label. Unknown fields are skipped.
 func (q *Query) setField(sql string, field labelField) (err error) {
 	switch field.name {
 	case labelID:
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// Field returns the value of a field of the comment, empty if the field is not there.
+// Field returns the value of the first field with a name in the comment, empty if there is none.
 func (q *Query) Field(name string) string {
 	for rest, more := q.Comment, true; more; {
 		var field string
@@ -141,8 +141,8 @@
 	return ""
 }
 
-// keyOf returns the hash of the first quoted text of a statement, 0 if there is none or it is empty.
-func keyOf(sql string) uint64 {
+// hashKey returns the hash of the first quoted string in a statement, 0 if there is none or it is empty.
+func hashKey(sql string) uint64 {
 	_, rest, opened := strings.Cut(sql, "'")
 	if !opened {
 		return 0
@@ -152,11 +152,11 @@
 		return 0
 	}
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(key)) // it never fails
+	_, _ = hash.Write([]byte(key)) // a hash's Write never fails
 	return max(hash.Sum64(), 1)    // 0 means no key
 }
 
-// AppendFor appends the Query message of the statement with the time to wait replaced, at least 1 ms.
+// AppendFor appends a Query message of the statement whose field d is replaced by the wait, at least 1 ms.
 func (q *Query) AppendFor(dst []byte, wait time.Duration) []byte {
 	milliseconds := max(1, int64(wait/time.Millisecond))
 	return AppendQuery(dst, q.Head, strconv.FormatInt(milliseconds, 10), q.Tail)
--- a/internal/pg/query_test.go
+++ b/internal/pg/query_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Hashes (FNV-1a, 64 bits) of keys.
+// FNV-1a hashes of the keys 'p' and 'x'.
 const (
 	hashOfP = 0xaf63ed4c8602096f
 	hashOfX = 0xaf63f54c86021707
@@ -42,7 +42,7 @@
 			Head: "/*id=a,c=w,d=", Tail: ",after=0*/",
 		},
 	},
-	"spaces round the fields": {
+	"spaces around the fields": {
 		"x /* id = a , c=w  , d=20  ,cluster=-1 */ ;\n",
 		Query{
 			ID: " a", Class: "w", TimeLeft: 20 * time.Millisecond, Group: -1, HasGroup: true, LabelOffset: 2,
@@ -98,8 +98,8 @@
 	},
 }
 
-// The fields of a label are read as they stand in the comment that ends the statement.
-func TestParseQuery(t *testing.T) {
+// ParseQuery reads the label in the comment at the end of a statement, and AppendFor replaces its wait.
+func TestParseQueryReadsLabel(t *testing.T) {
 	for name, test := range labelledQueries {
 		t.Run(name, func(t *testing.T) {
 			query, err := ParseQuery(test.sql)
@@ -111,14 +111,14 @@
 	}
 }
 
-// Texts that clients are sent.
+// Texts that are sent to clients.
 const (
 	noLabel = "the statement does not end in a comment with id, c and d"
 	badWait = "d is not a positive number of milliseconds"
 )
 
-// A label that is missing, incomplete or out of its range is an error of its own kind, with a text for the client.
-func TestParseQueryErrors(t *testing.T) {
+// A label that is missing, incomplete or out of range returns the error for that fault, whose text clients receive.
+func TestParseQueryRejectsInvalidLabel(t *testing.T) {
 	cases := map[string]struct {
 		sql  string
 		want error
@@ -157,8 +157,8 @@
 	}
 }
 
-// Field returns the value of any field of the comment, also of one that is no part of the label.
-func TestFieldsOfComments(t *testing.T) {
+// Field returns the value of any field of the comment, even if the field is not part of the label.
+func TestFieldReturnsAnyCommentField(t *testing.T) {
 	query := Query{Comment: " id=a,c=w , app=shop  ,app=other,empty=,odd, k=v=w "}
 	cases := map[string]string{
 		"id": "a", "c": "w", "app": "shop", "empty": "", "odd": "", "k": "v=w", "missing": "", "": "",
@@ -170,11 +170,11 @@
 	}
 }
 
-// SET, RESET and DISCARD alone concern only the connection, in any case of letters and with any space before them.
-func TestStatementsOfTheConnectionOnly(t *testing.T) {
+// Only SET, RESET and DISCARD concern just the connection, in upper or lower case and with any whitespace before them.
+func TestOnlySetResetDiscardConcernConnectionOnly(t *testing.T) {
 	cases := map[string]struct {
-		harmless bool
-		tag      string
+		connectionOnly bool
+		tag            string
 	}{
 		"SET x = 1":            {true, "SET"},
 		" \r\n\tset x = 1":     {true, "SET"},
@@ -189,14 +189,14 @@
 	}
 	for sql, want := range cases {
 		t.Run(sql, func(t *testing.T) {
-			require.Equal(t, want.harmless, ConcernsConnectionOnly(sql))
+			require.Equal(t, want.connectionOnly, ConcernsConnectionOnly(sql))
 			require.Equal(t, packet('C', want.tag+"\x00"), string(AppendComplete(nil, sql)))
 		})
 	}
 }
 
-// Of a load report the fields that are numbers are read, and the others are left out.
-func TestParseReport(t *testing.T) {
+// ParseReport returns the fields of a load report whose values are numbers and omits the others.
+func TestParseReportOmitsNonNumbers(t *testing.T) {
 	cases := map[string]map[string]float64{
 		"x0=1767225600.123,x1=1,util=0.61": {"x0": 1767225600.123, "x1": 1, "util": 0.61},
 		" x0=1 , x1=2":                     {"x0": 1, "x1": 2},
--- a/internal/pg/reply.go
+++ b/internal/pg/reply.go
@@ -8,31 +8,31 @@
 
 // Reply is what a database sent up to ReadyForQuery, or up to a fatal error.
 type Reply struct {
-	Rows     []byte        // RowDescription, DataRow and CommandComplete as they came
-	Complete bool          // CommandComplete has come and there was no error
-	Value    []byte        // first column of the first row
+	Rows     []byte        // RowDescription, DataRow and CommandComplete messages, unchanged
+	Complete bool          // CommandComplete or EmptyQueryResponse has arrived, and no error
+	Value    []byte        // value of the result's only column; nil without a row or if it was streamed
 	Code     string        // SQLSTATE of an error; empty if there was none
 	Message  string        // message of the error
 	Detail   string        // detail of the error
-	Mode     string        // ParameterStatus mode: the role that the database says it has
-	Position time.Duration // ParameterStatus wal_time: replication position, from the Unix epoch; 0: none
+	Mode     string        // ParameterStatus mode: the role that the database reports
+	Position time.Duration // ParameterStatus wal_time: replication position, as time since the Unix epoch; 0: none
 	Stats    string        // ParameterStatus stats: a load report
 	Fatal    bool          // the connection cannot be used again
-	Streamed bool          // the row has been passed on in pieces; Rows holds the rest
+	Streamed bool          // the row was returned by Piece; Rows holds only the messages after it
 }
 
 // Names of the ParameterStatus messages that databases send with their replies.
 const (
 	parameterMode     = "mode"
 	parameterStats    = "stats"
-	parameterPosition = "wal_time" // milliseconds from the Unix epoch
+	parameterPosition = "wal_time" // milliseconds since the Unix epoch
 )
 
-// positionLimit bounds replication positions, in milliseconds: the year 2109.
+// positionLimit is the limit of replication positions, in milliseconds since the Unix epoch: the year 2109.
 const positionLimit = 1 << 42
 
-// takeParameter takes in the body of a ParameterStatus. Unknown names are skipped.
-func (r *Reply) takeParameter(body []byte) error {
+// setParameter sets the parameter in the body of a ParameterStatus. Unknown names are skipped.
+func (r *Reply) setParameter(body []byte) error {
 	name, rest, named := cutString(body)
 	value, rest, found := cutString(rest)
 	if !named || !found || len(rest) > 0 {
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// takeError takes in the body of an ErrorResponse, which voids the rows that came before it.
-func (r *Reply) takeError(body []byte) error {
+// setError sets the error in the body of an ErrorResponse, and removes the result that preceded it.
+func (r *Reply) setError(body []byte) error {
 	r.Complete = false
 	r.Rows = nil
 	r.Value = nil
@@ -65,7 +65,7 @@
 		if !found || len(rest) == 0 {
 			return ErrMalformedMessage
 		}
-		r.takeErrorField(field, value)
+		r.setErrorField(field, value)
 		body = rest
 	}
 	if r.Code == "" || len(body) > 1 {
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// takeErrorField takes in one field of an ErrorResponse. Fields of other types are skipped.
-func (r *Reply) takeErrorField(field byte, value string) {
+// setErrorField sets the value of one field of an ErrorResponse. Fields of other types are skipped.
+func (r *Reply) setErrorField(field byte, value string) {
 	switch field {
 	case fieldCode:
 		r.Code = value
@@ -88,11 +88,11 @@
 	}
 }
 
-// describesOneColumn reports whether a body is that of a RowDescription with one column.
+// describesOneColumn reports whether a body is a valid RowDescription body with one column.
 func describesOneColumn(body []byte) bool {
 	const (
 		countBytes  = 2
-		columnBytes = 18 // behind the name: table, attribute, type, size, modifier, format
+		columnBytes = 18 // after the name: table, attribute, type, size, modifier, format
 	)
 	if len(body) < countBytes || binary.BigEndian.Uint16(body) != 1 {
 		return false
@@ -108,7 +108,7 @@
 	rowBodyBytes     = columnCountBytes + valueLengthBytes // without the value
 )
 
-// onlyColumn returns a copy of the value of a DataRow with one column, nil if the body is anything else.
+// onlyColumn returns a copy of the value of a DataRow with one column, nil for any other body.
 func onlyColumn(body []byte) []byte {
 	if len(body) < rowBodyBytes || binary.BigEndian.Uint16(body) != 1 {
 		return nil
@@ -120,7 +120,7 @@
 	return append([]byte{}, value...)
 }
 
-// isCommandTag reports whether a body is that of a CommandComplete.
+// isCommandTag reports whether a body is a valid CommandComplete body.
 func isCommandTag(body []byte) bool {
 	_, rest, found := cutString(body)
 	return found && len(rest) == 0
--- a/internal/pg/report.go
+++ b/internal/pg/report.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// ParseReport reads a load report such as "x0=1767225600.123,x1=1,util=0.61" and returns the values by the names of
-// their fields. Fields whose value is no number are left out.
+// ParseReport parses a load report such as "x0=1767225600.123,x1=1,util=0.61" and returns its values by field name.
+// Fields whose value is not a number are omitted.
 func ParseReport(text string) map[string]float64 {
 	report := map[string]float64{}
 	for _, field := range strings.Split(text, ",") {
--- a/internal/pg/session.go
+++ b/internal/pg/session.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// nameBytes is the greatest length of a name in PostgreSQL: NAMEDATALEN - 1.
+// nameBytes is the maximum length of a name in PostgreSQL, in bytes: NAMEDATALEN - 1.
 const nameBytes = 63
 
 // Texts of errors that are sent to clients.
@@ -16,43 +16,43 @@
 	textMalformedQuery     = "malformed query message"
 )
 
-// Command is a request that was parsed from what a client sent. Answers have to be sent in the order of the commands.
+// Command is a request that was parsed from a client's messages. Answers must be sent in the order of the commands.
 type Command struct {
-	Reply        []byte // the answer if it is known already; nil for a query
+	Reply        []byte // the answer if no database is needed for it; nil for a query
 	Query        string // a statement for the databases, if Reply is nil
-	Close        bool   // the connection ends after Reply
-	RejectReason string // why the input was not accepted, for the log; empty if it was
+	Close        bool   // the connection must be closed after Reply is sent
+	RejectReason string // why the message was rejected, for the log; empty if it was accepted
 }
 
-// asksForNothing reports whether the message needs no answer and changes nothing.
-func (c *Command) asksForNothing() bool { return c.Reply == nil && c.Query == "" && !c.Close }
+// isNoOp reports whether the command has no answer and no effect.
+func (c *Command) isNoOp() bool { return c.Reply == nil && c.Query == "" && !c.Close }
 
-// Session is the server's side of one client connection: its owner feeds it what the client sends, and takes the
-// commands in that. It is not safe for concurrent use.
+// Session is the server side of one client connection. Its owner feeds it the bytes that the client sends, and reads
+// the commands from it. It is not safe for concurrent use.
 type Session struct {
-	// Parameters of the startup message, each cut to the greatest length of a name, in bytes.
+	// Parameters of the startup message, each truncated to nameBytes.
 	User, Database, Application string
 
-	in    framer
+	input framer
 	state sessionState
 }
 
 // NewSession returns a session that accepts messages of up to maxMessage bytes.
-func NewSession(maxMessage int) *Session { return &Session{in: framer{limit: maxMessage}} }
+func NewSession(maxMessage int) *Session { return &Session{input: framer{limit: maxMessage}} }
 
-// Resume starts a session whose startup message is not part of the stream.
+// Resume skips the startup phase, for a stream that does not contain the startup message.
 func (s *Session) Resume() { s.state.start() }
 
-// Started reports whether the startup message has been accepted. It stays true when the session is closed.
+// Started reports whether the startup message was accepted. It stays true after the session is closed.
 func (s *Session) Started() bool { return s.state.started() }
 
-// Buffered returns the number of bytes that are buffered and not yet read as commands.
-func (s *Session) Buffered() int { return len(s.in.buffer) }
+// Buffered returns the number of buffered bytes that Next has not read yet.
+func (s *Session) Buffered() int { return len(s.input.buffer) }
 
-// Feed takes in bytes. They are buffered until Next returns the commands in them.
-func (s *Session) Feed(data []byte) { s.in.feed(data) }
+// Feed buffers bytes of the client. Next returns the commands in them.
+func (s *Session) Feed(data []byte) { s.input.feed(data) }
 
-// Next returns the next command, false if more bytes are needed for it or the session is closed.
+// Next returns the next command. It returns false if more bytes are needed or the session is closed.
 func (s *Session) Next() (Command, bool) {
 	for !s.state.closed() {
 		message, complete, err := s.nextMessage()
@@ -62,7 +62,7 @@
 		if !complete {
 			return Command{}, false
 		}
-		if command := s.handle(message); !command.asksForNothing() {
+		if command := s.handle(message); !command.isNoOp() {
 			return command, true
 		}
 	}
@@ -71,15 +71,15 @@
 
 func (s *Session) nextMessage() (message frame, complete bool, err error) {
 	if s.state == sessionStarting {
-		return s.in.nextUntyped()
+		return s.input.nextUntyped()
 	}
-	return s.in.nextTyped()
+	return s.input.nextTyped()
 }
 
-// Fatal closes the session with an error. What is buffered is dropped.
+// Fatal closes the session and returns the command that sends a fatal error. Buffered bytes are dropped.
 func (s *Session) Fatal(code, why string) Command {
 	s.state.end()
-	s.in.buffer = nil
+	s.input.buffer = nil
 	return Command{Reply: AppendError(nil, SeverityFatal, code, why, ""), Close: true, RejectReason: why}
 }
 
@@ -89,7 +89,7 @@
 	return Command{Close: true}
 }
 
-// handle takes in a message and returns the command in it, which may ask for nothing.
+// handle returns the command of a message, which may be a no-op.
 func (s *Session) handle(message frame) Command {
 	if s.state == sessionStarting {
 		return s.handleStartup(message.body)
@@ -97,8 +97,8 @@
 	return s.handleMessage(message)
 }
 
-// handleStartup takes in an untyped message: a request for encryption, which is denied, a request to cancel, or the
-// startup message itself.
+// handleStartup returns the command of an untyped message: a request for encryption, which is denied, a CancelRequest
+// or a StartupMessage.
 func (s *Session) handleStartup(body []byte) Command {
 	if len(body) < codeBytes {
 		return s.Fatal(CodeProtocol, textStartupTooShort)
@@ -106,7 +106,7 @@
 	switch code := binary.BigEndian.Uint32(body); {
 	case code == requestSSL || code == requestGSS:
 		return Command{Reply: []byte{encryptionDenied}}
-	case code == requestCancel: // it names nothing: no client was sent a BackendKeyData
+	case code == requestCancel: // it cannot match a connection: clients are sent no BackendKeyData
 		return s.disconnect()
 	case code>>majorShift != protocolMajor:
 		return s.Fatal(CodeUnsupported, textBadVersion)
@@ -116,12 +116,12 @@
 		return s.Fatal(CodeProtocol, textMalformedStartup)
 	}
 	s.state.start()
-	s.takeParameters(parameters)
-	return Command{Reply: appendWelcome(nil)}
+	s.setParameters(parameters)
+	return Command{Reply: appendStartupReply(nil)}
 }
 
-// takeParameters reads pairs of a name and a value. An empty name ends them.
-func (s *Session) takeParameters(parameters []byte) {
+// setParameters reads pairs of a name and a value up to an empty name.
+func (s *Session) setParameters(parameters []byte) {
 	for {
 		name, rest, _ := cutString(parameters)
 		if name == "" {
@@ -141,8 +141,9 @@
 	}
 }
 
-// appendWelcome appends the answer to a startup message: no authentication, and the parameters that drivers want.
-func appendWelcome(dst []byte) []byte {
+// appendStartupReply appends the answer to a startup message: AuthenticationOk, the parameters that client drivers
+// require and ReadyForQuery.
+func appendStartupReply(dst []byte) []byte {
 	dst = appendMessage(dst, backendAuthentication, func(body []byte) []byte {
 		return binary.BigEndian.AppendUint32(body, authenticationOK)
 	})
@@ -152,7 +153,7 @@
 	return AppendReady(dst)
 }
 
-// handleMessage takes in a message after startup.
+// handleMessage returns the command of a message after startup.
 func (s *Session) handleMessage(message frame) Command {
 	switch message.kind {
 	case frontendTerminate:
@@ -173,7 +174,7 @@
 	}
 }
 
-// rejectExtendedQuery rejects the first message of an extended query. Those behind it are skipped until Sync.
+// rejectExtendedQuery rejects the first message of an extended query. The messages up to Sync are skipped.
 func (s *Session) rejectExtendedQuery() Command {
 	if s.state == sessionSkipping {
 		return Command{}
@@ -183,7 +184,7 @@
 	return Command{Reply: reply, RejectReason: textExtendedQuery}
 }
 
-// handleQuery takes in a Query message. One without a statement is answered here.
+// handleQuery returns the command of a Query message. An empty query is answered without a database.
 func (s *Session) handleQuery(body []byte) Command {
 	if s.state == sessionSkipping {
 		return Command{}
--- a/internal/pg/session_state.go
+++ b/internal/pg/session_state.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// sessionState is the phase of a client connection.
+// sessionState is the state of a client connection.
 type sessionState uint8
 
 const (
-	// sessionStarting: the startup message is yet to come.
+	// sessionStarting: the startup message has not arrived yet.
 	sessionStarting sessionState = iota
-	// sessionReady: messages are taken.
+	// sessionReady: messages are accepted.
 	sessionReady
-	// sessionSkipping: an extended query has failed, and messages are skipped until Sync.
+	// sessionSkipping: an extended query was rejected, and messages are skipped until Sync.
 	sessionSkipping
-	// sessionClosed: it has ended after its startup message.
+	// sessionClosed: the session ended after the startup message was accepted.
 	sessionClosed
-	// sessionClosedAtStartup: it has ended without an accepted startup message.
+	// sessionClosedAtStartup: the session ended before a startup message was accepted.
 	sessionClosedAtStartup
 )
 
@@ -37,31 +37,31 @@
 // started reports whether the startup message was accepted.
 func (s sessionState) started() bool { return s != sessionStarting && s != sessionClosedAtStartup }
 
-// closed reports whether no more messages are taken.
+// closed reports whether the session accepts no more messages.
 func (s sessionState) closed() bool { return s == sessionClosed || s == sessionClosedAtStartup }
 
-// start is the transition of an accepted startup message.
+// start is the transition for an accepted startup message.
 func (s *sessionState) start() {
 	if *s == sessionStarting {
 		*s = sessionReady
 	}
 }
 
-// skip is the transition of a failed extended query.
+// skip is the transition for a rejected extended query.
 func (s *sessionState) skip() {
 	if *s == sessionReady {
 		*s = sessionSkipping
 	}
 }
 
-// sync is the transition of a Sync message, which ends skipping.
+// sync is the transition for a Sync message, which ends skipping.
 func (s *sessionState) sync() {
 	if *s == sessionSkipping {
 		*s = sessionReady
 	}
 }
 
-// end closes from any state.
+// end is the transition to the closed state, from any state.
 func (s *sessionState) end() {
 	if s.started() {
 		*s = sessionClosed
--- a/internal/pg/session_test.go
+++ b/internal/pg/session_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Messages and replies of sessions; the bytes are those of the protocol's documentation.
+// Messages and replies of sessions, with the bytes that the protocol's documentation specifies.
 var (
 	startupMessage = untyped("\x00\x03\x00\x00user\x00ann\x00database\x00shop\x00application_name\x00cart\x00\x00")
 	sslRequest     = untyped("\x04\xd2\x16\x2f")
@@ -15,28 +15,28 @@
 	cancelRequest  = untyped("\x04\xd2\x16\x2e\x00\x00\x00\x01\x00\x00\x00\x02")
 
 	readyReply   = packet('Z', "I")
-	welcomeReply = packet('R', "\x00\x00\x00\x00") +
+	startupReply = packet('R', "\x00\x00\x00\x00") +
 		packet('S', "server_version\x0016.0\x00") +
 		packet('S', "client_encoding\x00UTF8\x00") +
 		packet('S', "standard_conforming_strings\x00on\x00") + readyReply
 )
 
-const sessionLimit = 64 // bytes of a message
+const sessionLimit = 64 // maximum length of a message, in bytes
 
-// errorReply returns an ErrorResponse, built independently of the package's own functions.
+// errorReply returns an ErrorResponse. It does not use the functions under test.
 func errorReply(severity, code, text string) string {
 	return packet('E', "S"+severity+"\x00V"+severity+"\x00C"+code+"\x00M"+text+"\x00\x00")
 }
 
-// fatal is the command of a session that ends with an error.
+// fatal returns the command of a session that ends with an error.
 func fatal(code, text string) Command {
 	return Command{Reply: []byte(errorReply("FATAL", code, text)), Close: true, RejectReason: text}
 }
 
-// answer is a command that is answered at once.
+// answer returns a command that is answered without a database.
 func answer(reply string) Command { return Command{Reply: []byte(reply)} }
 
-// commands returns all commands that a session has now.
+// commands returns all commands that a session has ready.
 func commands(session *Session) []Command {
 	var all []Command
 	for {
@@ -54,15 +54,15 @@
 	state sessionState
 }{
 	"nothing":         {"", nil, sessionStarting},
-	"startup message": {startupMessage, []Command{answer(welcomeReply)}, sessionReady},
+	"startup message": {startupMessage, []Command{answer(startupReply)}, sessionReady},
 	"startup without parameters": {
-		untyped("\x00\x03\x00\x00\x00"), []Command{answer(welcomeReply)}, sessionReady,
+		untyped("\x00\x03\x00\x00\x00"), []Command{answer(startupReply)}, sessionReady,
 	},
 	"later minor version": {
-		untyped("\x00\x03\x00\x02\x00"), []Command{answer(welcomeReply)}, sessionReady,
+		untyped("\x00\x03\x00\x02\x00"), []Command{answer(startupReply)}, sessionReady,
 	},
 	"SSL, then startup": {
-		sslRequest + startupMessage, []Command{answer("N"), answer(welcomeReply)}, sessionReady,
+		sslRequest + startupMessage, []Command{answer("N"), answer(startupReply)}, sessionReady,
 	},
 	"GSS, then SSL": {gssRequest + sslRequest, []Command{answer("N"), answer("N")}, sessionStarting},
 	"cancel":        {cancelRequest, []Command{{Close: true}}, sessionClosedAtStartup},
@@ -89,7 +89,7 @@
 	},
 	"longest message": {
 		untyped("\x00\x03\x00\x00" + strings.Repeat("\x00", sessionLimit-8)),
-		[]Command{answer(welcomeReply)},
+		[]Command{answer(startupReply)},
 		sessionReady,
 	},
 	"too long": {
@@ -103,8 +103,8 @@
 	},
 }
 
-// A session answers each message of the startup phase, or ends with an error, and is then in the right state.
-func TestSessionStartup(t *testing.T) {
+// A session answers each message of the startup phase or ends with an error, and reaches the expected state.
+func TestSessionAnswersStartup(t *testing.T) {
 	for name, test := range sessionStartups {
 		t.Run(name, func(t *testing.T) {
 			session := NewSession(sessionLimit)
@@ -116,8 +116,8 @@
 	}
 }
 
-// The user, database and application of the startup message are kept, each cut to the length of a name.
-func TestSessionParameters(t *testing.T) {
+// A session stores the user, database and application of the startup message, each truncated to the length of a name.
+func TestSessionStoresStartupParameters(t *testing.T) {
 	long := strings.Repeat("n", 64)
 	cases := map[string]struct {
 		parameters                  string
@@ -126,18 +126,18 @@
 		"all": {
 			"user\x00ann\x00database\x00shop\x00application_name\x00cart\x00\x00", "ann", "shop", "cart",
 		},
-		"others skipped":  {"options\x00-c x\x00user\x00ann\x00\x00", "ann", "", ""},
-		"last one counts": {"user\x00ann\x00user\x00bea\x00\x00", "bea", "", ""},
-		"empty value":     {"user\x00\x00database\x00shop\x00\x00", "", "shop", ""},
-		"empty name ends": {"user\x00ann\x00\x00database\x00shop\x00\x00", "ann", "", ""},
-		"longest name":    {"user\x00" + long[:63] + "\x00\x00", long[:63], "", ""},
-		"cut at 63 bytes": {"user\x00" + long + "\x00database\x00shop\x00\x00", long[:63], "shop", ""},
+		"unknown skipped":       {"options\x00-c x\x00user\x00ann\x00\x00", "ann", "", ""},
+		"last one counts":       {"user\x00ann\x00user\x00bea\x00\x00", "bea", "", ""},
+		"empty value":           {"user\x00\x00database\x00shop\x00\x00", "", "shop", ""},
+		"empty name ends":       {"user\x00ann\x00\x00database\x00shop\x00\x00", "ann", "", ""},
+		"longest name":          {"user\x00" + long[:63] + "\x00\x00", long[:63], "", ""},
+		"truncated to 63 bytes": {"user\x00" + long + "\x00database\x00shop\x00\x00", long[:63], "shop", ""},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			session := NewSession(1 << 10)
 			session.Feed([]byte(untyped("\x00\x03\x00\x00" + test.parameters)))
-			require.Equal(t, []Command{answer(welcomeReply)}, commands(session))
+			require.Equal(t, []Command{answer(startupReply)}, commands(session))
 			require.Equal(t, test.user, session.User)
 			require.Equal(t, test.database, session.Database)
 			require.Equal(t, test.application, session.Application)
@@ -184,10 +184,10 @@
 		parse + packet('B', "") + packet('D', "") + packet('E', ""), []Command{extended}, sessionSkipping,
 	},
 	"query before Sync": {parse + query, []Command{extended}, sessionSkipping},
-	"query behind Sync": {
+	"query after Sync": {
 		parse + query + sync + query, []Command{extended, answer(readyReply), {Query: "SELECT 1"}}, sessionReady,
 	},
-	"extended query again behind Sync": {
+	"extended query again after Sync": {
 		parse + sync + parse, []Command{extended, answer(readyReply), extended}, sessionSkipping,
 	},
 	"function call before Sync": {parse + packet('F', ""), []Command{extended, call}, sessionSkipping},
@@ -214,8 +214,9 @@
 	"part of the header":    {"Q\x00\x00\x00", nil, sessionReady},
 }
 
-// After startup each message gives the commands that the simple query protocol demands; all else is rejected.
-func TestSessionMessages(t *testing.T) {
+// After startup a session returns the commands of the simple query protocol and rejects the extended query protocol,
+// function calls and invalid messages.
+func TestSessionAcceptsSimpleQueriesOnly(t *testing.T) {
 	for name, test := range sessionMessages {
 		t.Run(name, func(t *testing.T) {
 			session := NewSession(sessionLimit)
@@ -228,8 +229,8 @@
 	}
 }
 
-// Pipelined bytes give the same commands however they are cut.
-func TestSessionCommandsAreTheSameInPieces(t *testing.T) {
+// The commands of pipelined messages do not depend on how the bytes are split.
+func TestSessionCommandsDoNotDependOnSplit(t *testing.T) {
 	input := sslRequest + startupMessage + packet('Q', "SELECT 1\x00") + packet('P', "") + packet('Q', "SELECT 2\x00") +
 		packet('S', "") + packet('Q', ";\x00") + packet('Q', "SELECT 3\x00") + packet('X', "")
 	whole := NewSession(sessionLimit)
@@ -250,8 +251,8 @@
 	}
 }
 
-// Buffered counts the bytes that are not read as commands yet. Fatal drops them, and nothing is read from then on.
-func TestSessionHoldsWhatIsNotRead(t *testing.T) {
+// Buffered counts the bytes that Next has not read yet. Fatal drops them, and Next returns no command after it.
+func TestFatalDropsBufferedBytes(t *testing.T) {
 	session := NewSession(sessionLimit)
 	require.Zero(t, session.Buffered())
 	session.Feed([]byte(startupMessage + "Q\x00"))
@@ -267,8 +268,8 @@
 	require.False(t, ok)
 }
 
-// Each transition leads from each state to the one that is listed, and no transition leaves a closed state.
-func TestSessionTransitions(t *testing.T) {
+// Each transition leads from each state to the listed state, and no transition leaves a closed state.
+func TestSessionStateTransitions(t *testing.T) {
 	cases := map[sessionState]struct {
 		start, skip, sync, end sessionState
 	}{
--- a/internal/pg/statement.go
+++ b/internal/pg/statement.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// spaces are the characters that separate words of a statement, as far as they are looked at here.
-const spaces = " \t\r\n"
+// whitespace is the set of characters that may separate words of a statement.
+const whitespace = " \t\r\n"
 
-// ConcernsConnectionOnly reports whether a statement only concerns the connection's own state: such a statement is
+// ConcernsConnectionOnly reports whether a statement only changes the state of its connection. Such a statement is
 // answered without a database.
 func ConcernsConnectionOnly(sql string) bool {
 	switch verb(sql) {
@@ -17,12 +17,12 @@
 
 // verb returns the first word of a statement in upper case.
 func verb(sql string) string {
-	word := strings.TrimLeft(sql, spaces)
-	if end := strings.IndexAny(word, spaces+";"); end >= 0 {
+	word := strings.TrimLeft(sql, whitespace)
+	if end := strings.IndexAny(word, whitespace+";"); end >= 0 {
 		word = word[:end]
 	}
 	return strings.ToUpper(word)
 }
 
-// isEmpty reports whether a query holds no statement.
-func isEmpty(sql string) bool { return strings.Trim(sql, spaces+";") == "" }
+// isEmpty reports whether a query contains no statement.
+func isEmpty(sql string) bool { return strings.Trim(sql, whitespace+";") == "" }
