--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -111,8 +111,8 @@
 }
 
 // Run starts the loop on a new goroutine and calls start on the loop. It blocks until Stop is called or the listener
-// cannot be opened. It returns the errors of starting the engine, opening the listener and stopping the engine. Errors
-// of the first two are returned only after retries for StartTimeout.
+// cannot be opened. It returns the errors of starting the engine, opening the listener and stopping the engine.
+// Failures to start the engine and momentary failures to listen are first retried for StartTimeout.
 func (l *Loop) Run(start func()) (err error) {
 	l.alarm = time.AfterFunc(noAlarm, l.queueTick)
 	defer l.alarm.Stop()
--- a/internal/pg/link.go
+++ b/internal/pg/link.go
@@ -178,13 +178,13 @@
 	return replyEnded, nil
 }
 
-// handleResult checks a message of a result and appends it to the rows of the reply.
+// handleResult checks a message of a result, and appends it to the reply's Rows, which are sent to the client.
 func (l *Link) handleResult(message frame) error {
 	if err := l.state.advance(message.kind); err != nil {
 		return err
 	}
 	reply := &l.reply
-	if len(reply.Rows)+len(message.body) > l.input.limit { // the limit applies to all rows of a reply together
+	if len(reply.Rows)+len(message.body) > l.input.limit { // the limit applies to a result as a whole
 		return ErrMessageTooLong
 	}
 	reply.Rows = appendMessage(reply.Rows, message.kind, func(body []byte) []byte {
--- a/internal/pg/query.go
+++ b/internal/pg/query.go
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// Field returns the value of the first field with a name in the comment, empty if there is none.
+// Field returns the value of the comment's first field with the given name, empty if there is none.
 func (q *Query) Field(name string) string {
 	for rest, more := q.Comment, true; more; {
 		var field string
