--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -10,21 +10,23 @@
 	"capercove/internal/pg"
 )
 
-// idleChecksPerTimeout is how many times idle connections are looked for within limits.IdleTimeout.
+// idleChecksPerTimeout is how many times closeIdle runs within limits.IdleTimeout.
 const idleChecksPerTimeout = 32
 
-// manyStartingDivisor is the part of limits.MaxStarting above which a connection in its startup may be evicted at once:
-// so many connections are hardly all about to send their startup message.
+// manyStartingDivisor determines when a connection in its startup may be evicted at once: when more than
+// MaxStarting / manyStartingDivisor connections are in their startup. With so many, most clients probably never send
+// their startup message.
 const manyStartingDivisor = 4
 
-// Accept admits or rejects a client's connection, and returns its owner. The event loop calls it.
+// Accept admits or rejects a client's connection, and returns its eventloop.Socket. The event loop calls it.
 func (frontend *Frontend) Accept(socket gnet.Conn) eventloop.Socket {
 	connection := &clientConnection{
 		frontend: frontend,
 		socket:   socket,
 		session:  pg.NewSession(frontend.limits.MaxMessageBytes),
 	}
-	// The event loop sets the context only after this returns, and a write in here may find the connection closed.
+	// The event loop sets the context only after Accept returns. A write within Accept may fail, and gnet then calls
+	// Closed through the context.
 	socket.SetContext(connection)
 	if frontend.makeRoom() {
 		frontend.admit(connection)
@@ -34,9 +36,9 @@
 	return connection
 }
 
-// makeRoom reports whether the table has room for one more connection. If the table is full, or too many connections in
-// it are in their startup, it evicts the connection that has been idle for the longest, if there is one to evict. Only
-// a full table has no room then.
+// makeRoom reports whether the table has room for one more connection. If the table is full, or too many of its
+// connections are in their startup, makeRoom evicts the connection that has been idle for the longest. If no connection
+// may be evicted, there is still room unless the table is full.
 func (frontend *Frontend) makeRoom() bool {
 	isFull := frontend.table.size() >= frontend.limits.MaxConnections
 	manyStarting := frontend.table.starting >= frontend.limits.MaxStarting
@@ -47,15 +49,16 @@
 	return evicted || !isFull
 }
 
-// LimitConnections bounds the table to its present size and so many more connections, and to MaxConnections of bounds.
+// LimitConnections sets the maximum size of the table to its present size plus more, but at most to
+// bounds.MaxConnections.
 func (frontend *Frontend) LimitConnections(bounds limits.Frontend, more int) {
 	frontend.limits.MaxConnections = min(bounds.MaxConnections, frontend.table.size()+more)
 }
 
-// ConnectionCount is how many connections are in the table.
+// ConnectionCount returns the number of connections in the table.
 func (frontend *Frontend) ConnectionCount() int { return frontend.table.size() }
 
-// admit enters a connection into the table and begins its startup.
+// admit adds a connection to the table and starts its startup timeout.
 func (frontend *Frontend) admit(connection *clientConnection) {
 	frontend.counters.Accepted++
 	frontend.lastConnection++
@@ -68,16 +71,16 @@
 	connection.beginStartup()
 }
 
-// reject tells a client that there are too many connections, and closes its connection.
+// reject sends a client the error that there are too many connections, and closes its connection.
 func (frontend *Frontend) reject(connection *clientConnection) {
 	frontend.counters.Rejected++
-	frontend.noteBadInput(textTooManyConnections)
+	frontend.recordBadInput(textTooManyConnections)
 	connection.stopReading()
 	mayLinger := frontend.mayLinger()
 	frontend.table.move(connection, placeLingering)
 	connection.write(pg.AppendError(nil, pg.SeverityFatal, pg.CodeTooManyConnections, textTooManyConnections, ""))
 	switch {
-	case connection.stage == stageClosed: // the write found it closed
+	case connection.stage == stageClosed: // the write failed, and gnet closed the connection
 	case mayLinger:
 		connection.halfClose()
 	default:
@@ -90,8 +93,9 @@
 	return frontend.table.lingering < frontend.limits.MaxRejecting
 }
 
-// evict closes the connection that has been idle for the longest, and reports whether there was one to evict. Otherwise
-// clients that send one request and stay connected, or connect and send nothing, would keep all others out.
+// evict closes the connection that has been idle for the longest, and reports whether there was one to evict. Without
+// eviction, clients that send one request and stay connected, or connect and send nothing, would fill the table and
+// block all new clients.
 func (frontend *Frontend) evict() bool {
 	oldest := frontend.longestIdle()
 	if oldest == nil {
@@ -107,7 +111,8 @@
 	return true
 }
 
-// longestIdle returns the connection that has been idle for the longest of those that may be evicted; nil if none may.
+// longestIdle returns, among the connections that may be evicted, the one that has been idle for the longest. It
+// returns nil if no connection may be evicted.
 func (frontend *Frontend) longestIdle() *clientConnection {
 	now := frontend.core.Now()
 	var oldest *clientConnection
@@ -123,7 +128,7 @@
 	return oldest
 }
 
-// minIdleToEvict is how long a connection must have been idle before it may be evicted.
+// minIdleToEvict returns how long a connection must have been idle before it may be evicted.
 func (frontend *Frontend) minIdleToEvict(connection *clientConnection) time.Duration {
 	isStarting := connection.place == placeStarting
 	manyStarting := frontend.table.starting > frontend.limits.MaxStarting/manyStartingDivisor
@@ -136,9 +141,9 @@
 	return frontend.limits.IdleTimeout
 }
 
-// closeIdle closes connections that have been idle for too long, down to limits.MinIdle, now and periodically. Clients
-// that send one request and stay connected may reach a limit elsewhere on the number of connections, long before the
-// table is full.
+// closeIdle closes connections that have been idle for too long, until limits.MinIdle open connections are left. It
+// then schedules its next run. Clients that send one request and stay connected may otherwise reach a connection limit
+// outside the pooler long before the table is full.
 func (frontend *Frontend) closeIdle() {
 	now := frontend.core.Now()
 	timeout := frontend.limits.IdleTimeout
@@ -162,7 +167,7 @@
 	frontend.core.Wheel.At(now+frontend.limits.IdleTimeout/idleChecksPerTimeout, frontend.closeIdle)
 }
 
-// openConnections is how many connections of the table are not closing.
+// openConnections returns the number of connections in the table that are not closing.
 func (frontend *Frontend) openConnections() int {
 	open := 0
 	for connection := range frontend.table.entries {
--- a/internal/frontend/arrivals_test.go
+++ b/internal/frontend/arrivals_test.go
@@ -13,10 +13,10 @@
 	const resolution = 10 * time.Millisecond
 	var waiting arrivals
 	require.Zero(t, waiting.sinceLastByte(0, time.Second), "nothing is known to wait")
-	waiting.note(100, 1*time.Second, resolution)
-	waiting.note(50, 1*time.Second+resolution-1, resolution)
-	waiting.note(100, 2*time.Second, resolution)
-	waiting.note(1, 3*time.Second, resolution)
+	waiting.record(100, 1*time.Second, resolution)
+	waiting.record(50, 1*time.Second+resolution-1, resolution)
+	waiting.record(100, 2*time.Second, resolution)
+	waiting.record(1, 3*time.Second, resolution)
 	require.Len(t, waiting.marks, 3)
 	now := 10 * time.Second
 	require.Equal(t, 9*time.Second, waiting.sinceLastByte(251-20, now), "the first 20 bytes")
@@ -27,7 +27,7 @@
 	waiting.clear()
 	require.Zero(t, waiting.sinceLastByte(0, now))
 	for i := range 1000 {
-		waiting.note(1, now+time.Duration(i)*resolution/100, resolution)
+		waiting.record(1, now+time.Duration(i)*resolution/100, resolution)
 	}
 	require.Len(t, waiting.marks, 10, "one for each resolution of time")
 }
--- a/internal/frontend/bounds.go
+++ b/internal/frontend/bounds.go
@@ -1,10 +1,11 @@
 package frontend
 
-// recheckTicks is after how many ticks of the timers a connection is checked again.
+// recheckTicks is the delay, in timer ticks, after which recheckLater serves a connection again.
 const recheckTicks = 2
 
-// enforceBounds closes the connection if its client does not read its responses, or sends too much ahead of them. It
-// closes the connection with the largest buffers while those of all connections together are too large.
+// enforceBounds closes the connection if its client does not read its responses, or sends too many bytes ahead of them.
+// While the buffers of all connections together are too large, enforceBounds also closes the connection with the
+// largest buffers, which may be this one.
 func (connection *clientConnection) enforceBounds() {
 	frontend := connection.frontend
 	unsent, unparsed := connection.socket.OutboundBuffered(), connection.session.Buffered()
@@ -21,18 +22,19 @@
 	buffersTooMuch := unsent > frontend.limits.MaxOutputBytes || unparsed > frontend.limits.MaxInputBytes
 	switch {
 	case hasStalled:
-		frontend.noteBadInput(textResponseUnread)
+		frontend.recordBadInput(textResponseUnread)
 		connection.closeNow()
 	case buffersTooMuch:
-		frontend.noteBadInput(textTooMuchBuffered)
+		frontend.recordBadInput(textTooMuchBuffered)
 		connection.closeNow()
-	case unsent > 0 || connection.awaitsRoom():
+	case unsent > 0 || connection.isStreamPaused():
 		connection.recheckLater()
 	}
 }
 
-// recheckLater serves the connection again in a few ticks, unless that is due already: gnet does not report when what
-// was written has been sent.
+// recheckLater schedules a check of the connection in recheckTicks, unless one is scheduled already: it is served, or
+// closed further if it is closing. Such polling is needed because gnet does not report when its output buffer has been
+// sent.
 func (connection *clientConnection) recheckLater() {
 	if connection.recheck != nil || connection.stage == stageClosed {
 		return
@@ -51,14 +53,14 @@
 	})
 }
 
-// setBufferedBytes records how many bytes are buffered for the connection.
+// setBufferedBytes records how many bytes are buffered for the connection, and updates the total of the frontend.
 func (connection *clientConnection) setBufferedBytes(bytes int) {
 	connection.frontend.bufferedBytes += bytes - connection.bufferedBytes
 	connection.bufferedBytes = bytes
 }
 
-// enforceTotalBuffered closes the connection with the largest buffers, as long as those of all connections together are
-// too large. A client with small buffers must not lose its responses because of the others.
+// enforceTotalBuffered closes the connection with the largest buffers, repeatedly, until the buffers of all connections
+// together are within limits.MaxBufferedBytes. Clients with small buffers thereby keep their responses.
 func (frontend *Frontend) enforceTotalBuffered() {
 	for frontend.bufferedBytes > frontend.limits.MaxBufferedBytes {
 		var largest *clientConnection
@@ -70,7 +72,7 @@
 		if largest == nil || largest.bufferedBytes == 0 {
 			return
 		}
-		frontend.noteBadInput(textTooMuchBuffered)
+		frontend.recordBadInput(textTooMuchBuffered)
 		largest.closeNow()
 	}
 }
--- a/internal/frontend/close.go
+++ b/internal/frontend/close.go
@@ -6,8 +6,8 @@
 	"capercove/internal/eventloop"
 )
 
-// closeAfterFlush half-closes the connection once all that was written has been sent: a close would drop what gnet
-// still buffers. Meanwhile enforceBounds closes the connection if the client does not read.
+// closeAfterFlush half-closes the connection as soon as gnet's output buffer has been sent, because closing earlier
+// would drop the buffered output. Until then, enforceBounds closes the connection if the client does not read.
 func (connection *clientConnection) closeAfterFlush() {
 	connection.advanceTo(stageFlushing)
 	if connection.socket.OutboundBuffered() == 0 {
@@ -18,32 +18,32 @@
 }
 
 // halfClose shuts down the sending side of the connection. The connection is closed when the client closes its side, or
-// after the RejectionTimeout. A full close while bytes of the client are unread, or arrive at that moment, would be a
-// reset, and destroy what the client has yet to read, such as its answer. What arrives from here on is read and
-// dropped.
+// after limits.RejectionTimeout. Until then, bytes from the client are read and dropped. A full close while bytes of
+// the client are unread or still arriving would send a reset, which can destroy a response that the client has not read
+// yet.
 func (connection *clientConnection) halfClose() {
 	if connection.stage >= stageHalfClosed {
 		return
 	}
 	connection.advanceTo(stageHalfClosed)
 	connection.timeout.Stop()
-	// An error means that the client is gone. The event loop or the timeout closes the connection then.
+	// An error means that the client has closed the connection. The event loop or the timeout then closes it here too.
 	_ = unix.Shutdown(connection.socket.Fd(), unix.SHUT_WR)
 	frontend := connection.frontend
 	deadline := frontend.core.Now() + frontend.limits.RejectionTimeout
 	connection.timeout = frontend.core.Wheel.At(deadline, connection.closeNow)
 }
 
-// closeNow closes the connection at once; Closed has been called when it returns. It does nothing if the connection is
-// closed.
+// closeNow closes the connection at once: Closed has been called when closeNow returns. It does nothing if the
+// connection is closed already.
 func (connection *clientConnection) closeNow() {
 	if connection.stage != stageClosed {
 		eventloop.CloseNow(connection.socket)
 	}
 }
 
-// Closed implements eventloop.Socket. It releases all that belongs to the connection and cancels its open requests. It
-// may be called within any write to the connection.
+// Closed implements eventloop.Socket. It stops the timers of the connection, removes it from the table and cancels its
+// open requests. Any write to the connection may call Closed before the write returns.
 func (connection *clientConnection) Closed(error) {
 	if connection.stage == stageClosed {
 		return
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -17,38 +17,37 @@
 	socket   gnet.Conn
 	session  *pg.Session
 
-	// Its state: one enum for each question that is independent of the others.
+	// The state of the connection, in fields that are independent of each other.
 	place        place
 	stage        closeStage
 	input        inputState
 	drain        drainRule
-	sentBadInput bool // it may be evicted at once
-	serving      bool // serve runs; it must not be entered again
+	sentBadInput bool // the connection may be evicted without having been idle
+	serving      bool // serve is running and must not be entered recursively
 
-	responses []*clientResponse // to its commands, in their order; those that are not final or not yet written
-	arrivals  arrivals          // of the bytes that the session buffers
-	lastUse   time.Duration     // when it was admitted, or was last written to
+	responses []*clientResponse // in command order; those that are not final or not written yet
+	arrivals  arrivals          // arrival times of the bytes that the session buffers
+	lastUse   time.Duration     // time of admission or of the last response
 
-	timeout      *timerwheel.Timer // of its startup, of its incomplete message, or of its half-close
-	partialSince time.Duration     // when its incomplete message began to arrive
+	timeout      *timerwheel.Timer // of the startup, of an incomplete message, or of the half-close
+	partialSince time.Duration     // when the first bytes of the incomplete message were read
 	recheck      *timerwheel.Timer // set by recheckLater; nil otherwise
 
-	bufferedBytes   int           // its part of Frontend.bufferedBytes, when enforceBounds last ran
+	bufferedBytes   int           // the connection's part of Frontend.bufferedBytes, when enforceBounds last ran
 	unsentBytes     int           // in gnet's output buffer, when enforceBounds last ran
 	unsentChangedAt time.Duration // when unsentBytes last changed
 }
 
-// write writes to the client. A connection that the write finds closed has had its Closed called when this returns,
-// so there is nothing to do about an error.
+// write writes to the client. Errors need no handling: if the write fails, gnet calls Closed before write returns.
 func (connection *clientConnection) write(data []byte) { _, _ = connection.socket.Write(data) }
 
-// isIdle tells whether the client has no response to come, and has sent nothing that is yet to be handled.
+// isIdle reports whether the client is owed no response and has sent nothing that is not handled yet.
 func (connection *clientConnection) isIdle() bool {
 	return len(connection.responses) == 0 && connection.session.Buffered() == 0 &&
 		connection.socket.OutboundBuffered() == 0 && eventloop.IsQuiet(connection.socket)
 }
 
-// isBetweenRequests tells whether the connection is idle after its startup.
+// isBetweenRequests reports whether the connection has finished its startup and is idle.
 func (connection *clientConnection) isBetweenRequests() bool {
 	return connection.session.Started() && connection.isIdle()
 }
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -2,8 +2,8 @@
 
 import "capercove/internal/eventloop"
 
-// Drain closes the connections that are between requests, and each other connection as soon as it is. A connection that
-// is accepted from here on is closed after its first query.
+// Drain closes the connections that are between requests, and every other connection as soon as it is between requests.
+// A connection that is accepted while draining is closed after its first query.
 func (frontend *Frontend) Drain() {
 	frontend.draining = true
 	for connection := range frontend.table.entries {
@@ -13,8 +13,8 @@
 	}
 }
 
-// AllAnswered tells whether all responses have been sent and all that clients have sent is read. Connections in their
-// startup and those that are closing count only with what is not sent yet.
+// AllAnswered reports whether all responses have been sent and no client has unread or unanswered input. For
+// connections in their startup and closing ones, only unsent output counts.
 func (frontend *Frontend) AllAnswered() bool {
 	for connection := range frontend.table.entries {
 		if connection.socket.OutboundBuffered() > 0 {
@@ -30,10 +30,10 @@
 	return true
 }
 
-// Stop closes all connections, each when its responses have been sent. The function answerAll has the core answer all
-// open requests, and reject those that are submitted from then on: requests that have been read and not submitted, and
-// those on connections that were accepted when the listener was closed. No request is forwarded any more, as its answer
-// would be lost with the process.
+// Stop closes each connection when its responses have been sent. The function answerAll must make the core answer all
+// open requests and reject all requests that are submitted later: those that have been read but not submitted, and
+// those on connections that were accepted when the listener was closed. No further request is forwarded, because its
+// answer would be lost when the process ends.
 func (frontend *Frontend) Stop(answerAll func()) {
 	frontend.draining = true
 	answerAll()
@@ -44,13 +44,13 @@
 	}
 }
 
-// stop closes the connection as soon as all unread requests have been rejected and all responses have been sent.
+// stop closes the connection once all unread requests have been rejected and all responses have been sent.
 func (connection *clientConnection) stop() {
 	connection.serve()
 	switch {
 	case connection.stage.isClosing():
 	case connection.socket.OutboundBuffered() > 0 || !eventloop.IsQuiet(connection.socket):
-		// Unread requests are rejected as they are read, and flush closes the connection behind them.
+		// Unread requests are rejected when they are read, and flush then closes the connection.
 		connection.allowDrain()
 		connection.recheckLater()
 	default:
@@ -58,12 +58,12 @@
 	}
 }
 
-// mayDrain tells whether the connection is to be closed as soon as it is between requests.
+// mayDrain reports whether the connection is to be closed as soon as it is between requests.
 func (connection *clientConnection) mayDrain() bool {
 	return connection.frontend.draining && connection.drain == drainBetweenRequests
 }
 
-// AllClosed tells whether no connection is left, in the table or lingering.
+// AllClosed reports whether no connection is left, neither in the table nor lingering.
 func (frontend *Frontend) AllClosed() bool {
 	return frontend.table.size() == 0 && frontend.table.lingering == 0
 }
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -7,14 +7,14 @@
 	"capercove/internal/pg"
 )
 
-// pauseReadingDivisor is the part of limits.MaxOutputBytes above which no commands are read: the client does not read
-// its responses.
+// pauseReadingDivisor determines when a connection's commands are no longer read: when more than
+// MaxOutputBytes / pauseReadingDivisor bytes are unsent because the client does not read its responses.
 const pauseReadingDivisor = 4
 
-// arrivalResolutionTicks is the resolution of arrival times, in ticks of the timers.
+// arrivalResolutionTicks is the resolution of recorded arrival times, in timer ticks.
 const arrivalResolutionTicks = 2
 
-// Received implements eventloop.Socket: it buffers bytes of the client, and reads the commands in them.
+// Received implements eventloop.Socket. It buffers bytes from the client and handles the complete commands.
 func (connection *clientConnection) Received(data []byte) {
 	if connection.stage != stageOpen {
 		return
@@ -25,13 +25,13 @@
 	}
 	connection.session.Feed(data)
 	arrivedAt := frontend.core.Now() - connection.timeInKernel()
-	connection.arrivals.note(len(data), arrivedAt, arrivalResolutionTicks*frontend.limits.TimerTick)
-	connection.noteReceived()
+	connection.arrivals.record(len(data), arrivedAt, arrivalResolutionTicks*frontend.limits.TimerTick)
+	connection.markReceived()
 	connection.serve()
 }
 
-// timeInKernel is how long the bytes that are received now have waited in the kernel: the first ones of a connection
-// while it waited to be accepted, later ones while the event loop stalled.
+// timeInKernel returns how long the bytes being received have waited in the kernel. The first bytes of a connection may
+// have waited for the connection to be accepted, and later bytes for the end of a stall of the event loop.
 func (connection *clientConnection) timeInKernel() time.Duration {
 	requests := connection.frontend.core
 	stalled := requests.ReadDelay(requests.Now())
@@ -49,25 +49,24 @@
 	return age
 }
 
-// serve reads the commands that the pipeline has room for, and writes the responses whose turn has come. It is called
-// whenever there may be something to do: bytes have arrived, a response is complete, or gnet may have sent what was
-// written.
+// serve reads as many commands as the pipeline has room for, and writes the responses that are next in order. It is
+// called when bytes have arrived, when a response is complete, and when gnet may have sent more of its output buffer.
 func (connection *clientConnection) serve() {
-	if connection.serving { // a command that is answered within its submission must not recurse
+	if connection.serving { // a command that is answered during its submission calls serve again
 		return
 	}
 	connection.serving = true
 	defer func() { connection.serving = false }()
 	if connection.stage != stageClosed && connection.leavesTooMuchUnread() {
-		connection.enforceBounds() // which serves the connection again later
+		connection.enforceBounds() // schedules the next call of serve
 		return
 	}
 	for {
 		connection.readCommands()
 		pending := len(connection.responses)
 		connection.flush()
-		// Commands that wait in the session behind a full pipeline are read as soon as a response makes room: no
-		// further event may come.
+		// Commands that wait in the session behind a full pipeline must be read as soon as a written response makes
+		// room, because there may be no further event to call serve.
 		wasFull := pending == connection.frontend.limits.MaxPipelined
 		hasRoom := len(connection.responses) < pending
 		if connection.stage != stageOpen || !wasFull || !hasRoom {
@@ -76,14 +75,14 @@
 	}
 }
 
-// leavesTooMuchUnread tells whether the client has to read more of its responses before its next commands are read.
+// leavesTooMuchUnread reports whether the client must read more of its responses before further commands are read.
 func (connection *clientConnection) leavesTooMuchUnread() bool {
 	maxUnread := connection.frontend.limits.MaxOutputBytes / pauseReadingDivisor
 	return connection.socket.OutboundBuffered() > maxUnread
 }
 
-// readCommands handles commands until the pipeline is full, a command ends the connection, or the next message is not
-// complete.
+// readCommands handles commands until the pipeline is full, a command ends the connection, or the next message is
+// incomplete.
 func (connection *clientConnection) readCommands() {
 	for connection.stage == stageOpen && len(connection.responses) < connection.frontend.limits.MaxPipelined {
 		command, ok := connection.session.Next()
@@ -91,28 +90,28 @@
 			connection.awaitMessage()
 			return
 		}
-		connection.noteComplete()
+		connection.markComplete()
 		connection.finishStartup()
 		connection.handleCommand(command)
 	}
 }
 
-// awaitMessage notes that the next message is incomplete, or that nothing of it has arrived. An incomplete message gets
-// a timeout, unless it is the startup message, which has one already.
+// awaitMessage records whether the next message is incomplete or has not begun to arrive. It sets the timeout of an
+// incomplete message, except for the startup message, whose timeout is already running.
 func (connection *clientConnection) awaitMessage() {
 	connection.arrivals.clear()
 	if connection.session.Buffered() == 0 {
-		connection.noteComplete()
+		connection.markComplete()
 		return
 	}
 	if connection.place != placeStarting {
 		connection.restartMessageTimeout()
 	}
-	connection.notePartial()
+	connection.markPartial()
 }
 
-// restartMessageTimeout sets the timeout of an incomplete message of which bytes have just arrived: the ReceiveTimeout
-// from now, but at most the MessageTimeout from its first byte.
+// restartMessageTimeout sets the timeout of an incomplete message of which bytes have just arrived. The timeout is
+// limits.ReceiveTimeout from now, but at most limits.MessageTimeout from the first byte of the message.
 func (connection *clientConnection) restartMessageTimeout() {
 	frontend := connection.frontend
 	now := frontend.core.Now()
@@ -124,8 +123,8 @@
 	connection.timeout = frontend.core.Wheel.At(due, connection.abortPartialMessage)
 }
 
-// abortPartialMessage is called when an incomplete message has timed out. It sends a fatal error behind the responses
-// to the commands before, and closes the connection.
+// abortPartialMessage is called when an incomplete message has timed out. It sends a fatal error after the responses to
+// the earlier commands, and then closes the connection.
 func (connection *clientConnection) abortPartialMessage() {
 	if connection.input == inputPartial {
 		connection.handleCommand(connection.session.Fatal(pg.CodeProtocol, textMessageUnfinished))
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -9,12 +9,12 @@
 	"capercove/internal/pg"
 )
 
-// responseState is how much of a response there is.
+// responseState is how far a response has progressed.
 //
-//	pending -> streaming -> complete   a long answer
-//	pending -> complete                an answer that comes whole
-//	streaming -> last                  a long answer that broke off
-//	complete, last                     a command that needs no request, from the start
+//	pending -> streaming -> complete   a streamed answer
+//	pending -> complete                an answer that arrives as a whole
+//	streaming -> last                  a streamed answer that broke off
+//	complete, last                     initial states of a command that needs no request
 type responseState uint8
 
 const (
@@ -22,9 +22,9 @@
 	responsePending responseState = iota
 	// responseStreaming: the request has no final answer, and a part of the response has been written.
 	responseStreaming
-	// responseComplete: nothing will be added.
+	// responseComplete: no bytes will be added.
 	responseComplete
-	// responseLast: as responseComplete, and the connection is closed behind it.
+	// responseLast: no bytes will be added, and the connection is closed after the response.
 	responseLast
 )
 
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("responseState(%d)", uint8(state))
 }
 
-// isFinal tells whether nothing will be added to the response.
+// isFinal reports whether no bytes will be added to the response.
 func (state responseState) isFinal() bool { return state >= responseComplete }
 
 // clientResponse is the response to one command. It implements core.Client, core.StreamingClient and
@@ -52,9 +52,9 @@
 	connection *clientConnection
 	request    *core.Request // nil for a command that needs none
 	state      responseState
-	bytes      []byte // that are yet to be written
-	// more requests the next piece of a long answer, once. It is nil unless the client had no room for a piece: see
-	// Piece.
+	bytes      []byte // not written yet
+	// more requests the next piece of a streamed answer, and may be called once. It is set while the stream is paused,
+	// and nil otherwise: see Piece.
 	more func()
 }
 
@@ -63,31 +63,31 @@
 	_ core.DepartureDetector = (*clientResponse)(nil)
 )
 
-// awaitAnswer has the response wait for the final answer to a request.
+// awaitAnswer marks the response as pending until the final answer to a request.
 func (response *clientResponse) awaitAnswer(request *core.Request) {
 	response.state = responsePending
 	response.request = request
 }
 
-// Served implements core.Client: it passes on the rows as the database sent them, or the rest of a long answer.
+// Served implements core.Client. It forwards the rows as the database sent them, or the rest of a streamed answer.
 func (response *clientResponse) Served(answer []byte) {
 	response.complete(responseComplete, pg.AppendReady(append(response.bytes, answer...)))
 }
 
-// Rejected implements core.Client: the client learns that nothing was run and when to retry.
+// Rejected implements core.Client. The client receives an error that says that nothing was run and when to retry.
 func (response *clientResponse) Rejected(after time.Duration) {
 	response.complete(responseComplete, pg.AppendRejection(nil, after))
 }
 
-// Failed implements core.Client: the client learns that the request failed. If a part of the answer has been written
-// already, the connection is closed behind it without an error message: half a value must not look like a whole one.
-func (response *clientResponse) Failed(why core.Failure) {
+// Failed implements core.Client. The client receives an error, unless a part of the answer has been written already. In
+// that case the connection is closed without an error message, because a partial value must not look like a whole one.
+func (response *clientResponse) Failed(reason core.Failure) {
 	if response.state == responseStreaming {
 		response.complete(responseLast, nil)
 		return
 	}
 	var failure []byte
-	switch why {
+	switch reason {
 	case core.DeadlineExceeded:
 		failure = pg.AppendFailure(nil, pg.CodeQueryCanceled, "no answer in time; it may have run")
 	case core.Unusable:
@@ -98,14 +98,14 @@
 	response.complete(responseComplete, failure)
 }
 
-// HasLeft implements core.Leaver: it tells whether the client has closed its connection, also if the event loop has not
-// read that yet.
+// HasLeft implements core.DepartureDetector. It reports whether the client has closed its connection, even if the event
+// loop has not read the close yet.
 func (response *clientResponse) HasLeft() bool {
 	return response.connection.stage == stageClosed || eventloop.HasHungUp(response.connection.socket)
 }
 
-// complete gives the response its final state and the rest of its bytes. If its turn has come it is written, which may
-// make room in the pipeline.
+// complete sets the final state of the response and the rest of its bytes. If the response is next in order, it is
+// written, which may make room in the pipeline.
 func (response *clientResponse) complete(state responseState, rest []byte) {
 	response.state = state
 	response.bytes = rest
@@ -115,14 +115,14 @@
 	}
 }
 
-// isNext tells whether the turn of the response has come: all responses before it have been written.
+// isNext reports whether the response is next in order: all responses before it have been written.
 func (response *clientResponse) isNext() bool {
 	responses := response.connection.responses
 	return len(responses) > 0 && responses[0] == response
 }
 
-// flush writes the responses whose turn has come. It closes the connection behind its last response, or if the frontend
-// drains and the connection is between requests.
+// flush writes the responses that are next in order. It closes the connection after its last response, and also if the
+// frontend is draining and the connection is between requests.
 func (connection *clientConnection) flush() {
 	output, isLast := connection.takeOutput()
 	if connection.stage == stageClosed {
@@ -132,7 +132,7 @@
 		connection.lastUse = connection.frontend.core.Now()
 		connection.write(output)
 	}
-	if connection.stage == stageClosed { // the write found it closed
+	if connection.stage == stageClosed { // the write failed, and gnet closed the connection
 		return
 	}
 	if isLast || (connection.mayDrain() && connection.isBetweenRequests()) {
@@ -142,8 +142,9 @@
 	connection.enforceBounds()
 }
 
-// takeOutput removes the responses whose turn has come, up to the first one that is not final or is the connection's
-// last one, and returns their bytes. Of one that is not final it takes the bytes that there are.
+// takeOutput removes the final responses that are next in order, up to the connection's last response, and returns
+// their bytes. It also returns the available bytes of the first response that is not final, but does not remove that
+// response.
 func (connection *clientConnection) takeOutput() (output []byte, isLast bool) {
 	for len(connection.responses) > 0 {
 		response := connection.responses[0]
@@ -159,7 +160,7 @@
 	return output, false
 }
 
-// takeBytes returns the bytes that are yet to be written, and counts them as written.
+// takeBytes returns the bytes that are not written yet, and treats them as written from then on.
 func (response *clientResponse) takeBytes() []byte {
 	bytes := response.bytes
 	response.bytes = nil
--- a/internal/frontend/startup.go
+++ b/internal/frontend/startup.go
@@ -1,14 +1,14 @@
 package frontend
 
-// beginStartup sets the timeout of the startup message. Without it, connections that are opened and never used would
-// stay open.
+// beginStartup sets the timeout of the startup message. Without this timeout, connections that are opened and never
+// used would stay open.
 func (connection *clientConnection) beginStartup() {
 	frontend := connection.frontend
 	connection.timeout = frontend.core.Wheel.At(connection.lastUse+frontend.limits.StartupTimeout, connection.closeNow)
 }
 
-// finishStartup is called after each message. If that was the startup message, it counts the connection as started and
-// stops the timeout.
+// finishStartup is called after each message. If the message was the startup message, finishStartup moves the
+// connection to placeStarted and stops the timeout.
 func (connection *clientConnection) finishStartup() {
 	if connection.place != placeStarting || !connection.session.Started() {
 		return
--- a/internal/frontend/state.go
+++ b/internal/frontend/state.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// closeStage is how far the close of a connection has progressed. A connection goes through the stages in this order.
-// It may skip stages, but never goes back.
+// closeStage is how far the close of a connection has progressed. A connection passes through the stages in this order.
+// It may skip stages, but never returns to an earlier one.
 //
-// The functions that advance the stage, the stages that each is called in, and when:
+// The functions that advance the stage, the stages in which each is called, and when:
 //
 //	stopReading      open               a command or an error ends the connection, or the connection is rejected
 //	closeAfterFlush  open, lastCommand  the last response is written, the connection is idle, or the frontend drains
-//	                                    or stops; called again while flushing, until all has been sent
-//	halfClose        all before         closeAfterFlush, when all has been sent; also a rejection or an eviction
-//	Closed           all                either side has closed the connection; also within one of the other functions,
-//	                                    since a write to a closed connection calls Closed before it returns
+//	                                    or stops; called again while flushing, until all output has been sent
+//	halfClose        all before         closeAfterFlush, when all output has been sent; a rejection or an eviction
+//	Closed           all                either side has closed the connection; also during one of the other functions,
+//	                                    since a failed write calls Closed before it returns
 //
-// A connection may be in any stage in any place (see place), except: while lingering it is never open, and is in
-// lastCommand only while its rejection is written; in placeNone it is open, within Accept, or closed.
+// The stage is independent of the place (see place), with two exceptions. In placeLingering a connection is never open,
+// and is in lastCommand only while its rejection is written. In placeNone it is either open, during Accept, or closed.
 type closeStage uint8
 
 const (
@@ -23,13 +23,13 @@
 	stageOpen closeStage = iota
 	// stageLastCommand: no further command is read; the responses to the commands so far are written.
 	stageLastCommand
-	// stageFlushing: the connection is half-closed as soon as all that was written has been sent.
+	// stageFlushing: the connection is half-closed as soon as all output has been sent.
 	stageFlushing
-	// stageHalfClosed: the sending side is shut down, and the client is expected to close its side. What arrives is
-	// read and dropped. Responses behind one that broke off may still be written; such a write fails and closes the
+	// stageHalfClosed: the sending side is shut down, and the client is expected to close its side. Bytes that arrive
+	// are read and dropped. Responses after one that broke off may still be written; such a write fails and closes the
 	// connection.
 	stageHalfClosed
-	// stageClosed: nothing is written or read any more, and no timer runs.
+	// stageClosed: no bytes are written or read, and no timer runs.
 	stageClosed
 )
 
@@ -50,28 +50,28 @@
 	return fmt.Sprintf("closeStage(%d)", uint8(stage))
 }
 
-// isClosing tells whether the sending side is shut down, or will be as soon as all has been sent.
+// isClosing reports whether the sending side is shut down, or will be as soon as all output has been sent.
 func (stage closeStage) isClosing() bool { return stage >= stageFlushing }
 
-// advanceTo goes on to a stage, unless the connection has passed it already.
+// advanceTo sets the stage, unless the connection is in a later one already.
 func (connection *clientConnection) advanceTo(to closeStage) {
 	connection.stage = max(connection.stage, to)
 }
 
-// stopReading takes no further command.
+// stopReading stops the reading of further commands.
 func (connection *clientConnection) stopReading() { connection.advanceTo(stageLastCommand) }
 
-// inputState is how much of the client's messages has arrived. It is independent of the closeStage: a connection may be
-// closed while a message is incomplete, and the message's timeout runs on behind a response that broke off.
+// inputState is whether a message of the client is incomplete. It is independent of the closeStage: a connection may be
+// closed while a message is incomplete, and the message's timeout keeps running after a response that broke off.
 type inputState uint8
 
 const (
-	// inputNone: the client has sent nothing.
+	// inputNone: no bytes have arrived.
 	inputNone inputState = iota
-	// inputComplete: the client has sent something, and no message is known to be incomplete.
+	// inputComplete: bytes have arrived, and no message is known to be incomplete.
 	inputComplete
-	// inputPartial: the client's last message is incomplete. Its timeout runs; for the startup message, that is the
-	// timeout of the startup.
+	// inputPartial: the client's last message is incomplete, and its timeout is running. For the startup message, that
+	// is the startup timeout.
 	inputPartial
 )
 
@@ -88,32 +88,33 @@
 	return fmt.Sprintf("inputState(%d)", uint8(input))
 }
 
-// noteReceived notes that the client has sent something.
-func (connection *clientConnection) noteReceived() {
+// markReceived records that bytes have arrived.
+func (connection *clientConnection) markReceived() {
 	if connection.input == inputNone {
 		connection.input = inputComplete
 	}
 }
 
-// noteComplete notes that no message is incomplete.
-func (connection *clientConnection) noteComplete() {
+// markComplete records that no message is incomplete.
+func (connection *clientConnection) markComplete() {
 	if connection.input == inputPartial {
 		connection.input = inputComplete
 	}
 }
 
-// notePartial notes that a message is incomplete.
-func (connection *clientConnection) notePartial() { connection.input = inputPartial }
+// markPartial records that a message is incomplete.
+func (connection *clientConnection) markPartial() { connection.input = inputPartial }
 
-// drainRule is when a draining frontend may close a connection.
+// drainRule determines when a draining frontend may close a connection.
 type drainRule uint8
 
 const (
-	// drainBetweenRequests: whenever the connection is between requests. It was admitted before the frontend drained,
-	// it has sent a query, or the frontend stops.
+	// drainBetweenRequests: whenever the connection is between requests. This rule applies to a connection that was
+	// admitted before the drain or has sent a query, and to all connections when the frontend stops.
 	drainBetweenRequests drainRule = iota
-	// drainAfterQuery: not before the first query. A client whose query arrives after the close repeats it on a new
-	// connection, but perhaps only once: on a connection that was opened while draining, the query may be that repeat.
+	// drainAfterQuery: only after the first query. A client whose query meets a closed connection retries it on a new
+	// connection, but perhaps only once. The first query on a connection that was opened during the drain may be that
+	// retry.
 	drainAfterQuery
 )
 
@@ -128,5 +129,5 @@
 	return fmt.Sprintf("drainRule(%d)", uint8(rule))
 }
 
-// allowDrain lets a draining frontend close the connection whenever it is between requests.
+// allowDrain permits a draining frontend to close the connection whenever it is between requests.
 func (connection *clientConnection) allowDrain() { connection.drain = drainBetweenRequests }
--- a/internal/frontend/state_test.go
+++ b/internal/frontend/state_test.go
@@ -48,14 +48,14 @@
 // An input is never without bytes again once the client has sent some, and only a partial one becomes complete.
 func TestInputStates(t *testing.T) {
 	connection := &clientConnection{}
-	connection.noteComplete()
+	connection.markComplete()
 	require.Equal(t, inputNone, connection.input, "nothing has come")
-	connection.noteReceived()
+	connection.markReceived()
 	require.Equal(t, inputComplete, connection.input)
-	connection.notePartial()
-	connection.noteReceived()
+	connection.markPartial()
+	connection.markReceived()
 	require.Equal(t, inputPartial, connection.input, "more of it has come, and not yet its end")
-	connection.noteComplete()
+	connection.markComplete()
 	require.Equal(t, inputComplete, connection.input)
 }
 
--- a/internal/frontend/statement.go
+++ b/internal/frontend/statement.go
@@ -7,7 +7,8 @@
 	"capercove/internal/tenant"
 )
 
-// handleCommand answers a command at once, or submits its statement to the core.
+// handleCommand queues the response to a command. The response is complete at once, unless the command has a statement
+// that is submitted to the core.
 func (connection *clientConnection) handleCommand(command pg.Command) {
 	frontend := connection.frontend
 	frontend.counters.Commands++
@@ -31,8 +32,8 @@
 	connection.submit(response, command.Query)
 }
 
-// submit submits a statement to the core, or answers it with an error if it is not acceptable. The client's time to
-// wait counts from the arrival of the statement's last byte.
+// submit submits a statement to the core, or answers it with an error if it is invalid. The deadline of the request
+// counts from the arrival of the statement's last byte.
 func (connection *clientConnection) submit(response *clientResponse, sql string) {
 	frontend := connection.frontend
 	request, rejection := frontend.intake.PostgresRequest(wireName, sql, connection.caller(), frontend.backend)
@@ -47,13 +48,13 @@
 	frontend.core.Submit(request)
 }
 
-// markBadInput counts bad input of the connection, and permits its eviction at any time.
-func (connection *clientConnection) markBadInput(why string) {
+// markBadInput counts bad input of the connection, and permits the connection's eviction without idle time.
+func (connection *clientConnection) markBadInput(reason string) {
 	connection.sentBadInput = true
-	connection.frontend.noteBadInput(why)
+	connection.frontend.recordBadInput(reason)
 }
 
-// caller describes the client, for its tenant; it is empty if tenants are not classified.
+// caller returns the properties of the client that determine its tenant. It is empty if tenants are not classified.
 func (connection *clientConnection) caller() tenant.Caller {
 	if !connection.frontend.intake.ClassifiesTenants() {
 		return tenant.Caller{}
--- a/internal/frontend/streaming.go
+++ b/internal/frontend/streaming.go
@@ -1,11 +1,12 @@
 package frontend
 
-// sharedBuffersDivisor is the part of limits.MaxBufferedBytes up to which long answers may fill the buffers of all
-// clients. The rest is for other answers and for input.
-const sharedBuffersDivisor = 2
+// streamBuffersDivisor determines how far streamed answers may fill the buffers of all clients: up to
+// MaxBufferedBytes / streamBuffersDivisor. The rest is reserved for other answers and for input.
+const streamBuffersDivisor = 2
 
-// Piece implements core.StreamingClient: it writes a piece of a long answer, or buffers it until the turn of the
-// response has come. It returns false if the client has no room for a further piece, and calls more when it has.
+// Piece implements core.StreamingClient. It writes a piece of a streamed answer, or buffers the piece until the
+// response is next in order. If the client's buffers are full, it returns false and calls more once as soon as they
+// have room.
 func (response *clientResponse) Piece(data []byte, more func()) bool {
 	connection := response.connection
 	response.bytes = append(response.bytes, data...)
@@ -20,23 +21,23 @@
 	return false
 }
 
-// hasRoomForPiece tells whether the client has taken enough of the pieces before, and whether the memory that all
-// clients share permits one more.
+// hasRoomForPiece reports whether the client has read enough of the previous pieces, and whether the total size of the
+// buffers permits a further piece.
 func (connection *clientConnection) hasRoomForPiece() bool {
 	limits := &connection.frontend.limits
 	return connection.stage != stageClosed &&
 		connection.socket.OutboundBuffered() <= limits.StreamChunkBytes &&
-		connection.frontend.bufferedBytes <= limits.MaxBufferedBytes/sharedBuffersDivisor
+		connection.frontend.bufferedBytes <= limits.MaxBufferedBytes/streamBuffersDivisor
 }
 
-// awaitsRoom tells whether the response whose turn it is has to request its next piece when there is room.
-func (connection *clientConnection) awaitsRoom() bool {
+// isStreamPaused reports whether the response that is next in order is a stream that is paused until there is room.
+func (connection *clientConnection) isStreamPaused() bool {
 	return len(connection.responses) > 0 && connection.responses[0].more != nil
 }
 
-// resumeStreaming requests the next piece of a long answer if there is room for it, or else checks again later.
+// resumeStreaming requests the next piece of a paused stream if there is room for it, and otherwise checks again later.
 func (connection *clientConnection) resumeStreaming() {
-	if !connection.awaitsRoom() {
+	if !connection.isStreamPaused() {
 		return
 	}
 	response := connection.responses[0]
--- a/internal/frontend/table.go
+++ b/internal/frontend/table.go
@@ -2,24 +2,24 @@
 
 import "fmt"
 
-// place is where a connection is counted.
+// place is the category in which the connectionTable counts a connection.
 //
-//	none -> starting -> started        it is admitted, and sends its startup message
-//	starting or started -> lingering   it is evicted
-//	none -> lingering                  it is rejected
-//	any other -> none                  it has been closed
+//	none -> starting -> started        the connection is admitted, and sends its startup message
+//	starting or started -> lingering   the connection is evicted
+//	none -> lingering                  the connection is rejected
+//	any other -> none                  the connection has been closed
 type place uint8
 
 const (
-	// placeNone: not counted, as it is closed or Accept has not decided on it yet.
+	// placeNone: not counted, because the connection is closed or Accept has not admitted or rejected it yet.
 	placeNone place = iota
-	// placeStarting: in the table, with no startup message read. A connection whose startup fails stays here until it
-	// has been closed.
+	// placeStarting: in the table, with no startup message read. A connection whose startup fails remains in this place
+	// until it has been closed.
 	placeStarting
 	// placeStarted: in the table, with its startup message read.
 	placeStarted
-	// placeLingering: rejected or evicted, and half-closed so that its client can still read why. It has no entry in
-	// the table; limits.MaxRejecting bounds the number of those that stay.
+	// placeLingering: rejected or evicted, and half-closed so that the client can still read its responses. The
+	// connection has no entry in the table. limits.MaxRejecting bounds the number of connections that remain here.
 	placeLingering
 )
 
@@ -38,24 +38,24 @@
 	return fmt.Sprintf("place(%d)", uint8(where))
 }
 
-// connectionTable holds the connections that count against limits.MaxConnections, and counts the lingering ones.
+// connectionTable contains the connections that count against limits.MaxConnections, and counts the lingering ones.
 type connectionTable struct {
-	entries   map[*clientConnection]struct{} // those in placeStarting or placeStarted
-	starting  int                            // number of those in placeStarting
-	lingering int                            // number of those in placeLingering
+	entries   map[*clientConnection]struct{} // connections in placeStarting or placeStarted
+	starting  int                            // number of connections in placeStarting
+	lingering int                            // number of connections in placeLingering
 }
 
 func newConnectionTable() connectionTable {
 	return connectionTable{entries: map[*clientConnection]struct{}{}}
 }
 
-// size is how many entries the table has.
+// size returns the number of entries.
 func (table *connectionTable) size() int { return len(table.entries) }
 
-// started is how many entries have finished their startup.
+// started returns the number of entries that have finished their startup.
 func (table *connectionTable) started() int { return len(table.entries) - table.starting }
 
-// move counts a connection in another place.
+// move moves a connection to another place, and updates the entries and counts.
 func (table *connectionTable) move(connection *clientConnection, to place) {
 	switch connection.place {
 	case placeStarting:
