--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -142,8 +142,8 @@
 }
 
 // closeIdle closes connections that have been idle for too long, until limits.MinIdle open connections are left. It
-// then schedules its next run. Clients that send one request and stay connected may otherwise reach a connection limit
-// outside the pooler long before the table is full.
+// then schedules its next run. Otherwise clients that send one request and stay connected may reach another limit on
+// the number of connections long before the table is full.
 func (frontend *Frontend) closeIdle() {
 	now := frontend.core.Now()
 	timeout := frontend.limits.IdleTimeout
--- a/internal/frontend/admission_test.go
+++ b/internal/frontend/admission_test.go
@@ -15,18 +15,18 @@
 	"capercove/internal/testbed"
 )
 
-// With fewSockets descriptors the table of connections is full before tableBound clients are connected.
+// With a limit of fewSockets descriptors, the connection table is full before tableBound clients are connected.
 const (
 	fewSockets = 128
 	tableBound = 56
 )
 
-// withFewSockets leaves the program room for fewer than tableBound clients.
+// withFewSockets limits the descriptors of the program, which then has room for fewer than tableBound clients.
 func withFewSockets(bed *testbed.Bed) { bed.Sockets = fewSockets }
 
-// keepIdleClients are edits after which no client gives way because it is idle: a full table stays full, however long
-// the steps of a test take and whatever becomes of the requests that fill it.
-func keepIdleClients() []testbed.Edit {
+// withoutIdleTimeouts returns edits that prevent the eviction of started connections for being idle. A full table then
+// stays full, however long the steps of a test take and even if the requests of its clients end.
+func withoutIdleTimeouts() []testbed.Edit {
 	edit := func(old, replacement string) testbed.Edit {
 		return testbed.Edit{File: "internal/limits/constants.go", Old: old, New: replacement}
 	}
@@ -36,7 +36,7 @@
 	}
 }
 
-// sendAndReadFirst sends a startup and a statement on a connection, and returns the first byte of what it reads.
+// sendAndReadFirst sends a startup message and a statement on a connection, and returns the first byte of the response.
 func sendAndReadFirst(bed *testbed.Bed, connection net.Conn, statement string) byte {
 	bed.T.Helper()
 	_, err := connection.Write(testbed.StartupAndQuery(statement))
@@ -47,10 +47,11 @@
 	return first[0]
 }
 
-// typeErrorResponse is the type of an ErrorResponse.
+// typeErrorResponse is the type byte of an ErrorResponse message.
 const typeErrorResponse = 'E'
 
-// fillTable opens connections that wait for their answers until the program rejects one. It returns all of them.
+// fillTable opens connections with pending requests until the program rejects one. It returns all of them, including
+// the rejected one.
 func fillTable(bed *testbed.Bed) (busy []net.Conn) {
 	bed.T.Helper()
 	for range tableBound {
@@ -61,16 +62,17 @@
 			return busy
 		}
 	}
-	require.Fail(bed.T, "there is room")
+	require.Fail(bed.T, "no connection was rejected")
 	return nil
 }
 
-// However many connections arrive at once while the table is full, each client reads that it is rejected, also behind
-// connections that were reset before the program accepted them. The program counts none of them for ever: it ends.
-func TestRejectedAtAFullTable(t *testing.T) {
-	const many = 12 // more than may linger
-	// The variant ends only when it has no connection, and evicts none: the table stays full.
-	edits := append(keepIdleClients(), testbed.Edit{
+// While the table is full, each of many clients that connect at once reads its rejection, even if they connect after
+// connections that were reset before the program accepted them. At the end no connection remains counted: the program
+// would not end otherwise.
+func TestFullTableRejectsEveryClient(t *testing.T) {
+	const many = 12 // more connections than may linger
+	// The variant ends only when no connection is left, and evicts none, so the table stays full.
+	edits := append(withoutIdleTimeouts(), testbed.Edit{
 		File: "internal/limits/computed.go",
 		Old:  "Timeout:      timeout,",
 		New:  "Timeout:      time.Hour,",
@@ -102,13 +104,13 @@
 	rejections := bed.Counters(func(testbed.Counters) bool { return true }).Front.TurnedAway
 	require.GreaterOrEqual(t, rejections, 3*many, "the table was full")
 	bed.Signal(syscall.SIGTERM)
-	require.NoError(t, bed.Wait(), "connections are still counted")
+	require.NoError(t, bed.Wait(), "a connection is still counted")
 }
 
-// A client that finds the table full reads that it is rejected, to the end and without a reset, though it has sent a
-// statement.
-func TestRejectionIsReadToTheEnd(t *testing.T) {
-	bed := testbed.Start(t, testbed.WithProgram(testbed.Variant(t, keepIdleClients()...)), withFewSockets)
+// A client that is rejected because the table is full can read the whole error, followed by the end of the connection
+// and no reset, although it has sent a statement.
+func TestRejectedClientReadsWholeError(t *testing.T) {
+	bed := testbed.Start(t, testbed.WithProgram(testbed.Variant(t, withoutIdleTimeouts()...)), withFewSockets)
 	rejected := 0
 	for range tableBound {
 		connection := bed.Dial()
@@ -123,7 +125,7 @@
 	require.Greater(t, rejected, 0)
 }
 
-// isServed sends a statement on a new connection, and reports whether its value arrives in time.
+// isServed sends a statement on a new connection, and reports whether the value arrives in time.
 func isServed(bed *testbed.Bed) bool {
 	bed.T.Helper()
 	connection := bed.Dial()
@@ -141,9 +143,9 @@
 	}
 }
 
-// Clients that send one request and stay connected, or connect and send nothing, do not keep others out. A client that
-// waits for its answer keeps its connection.
-func TestClientsThatStay(t *testing.T) {
+// Clients that send one request and stay connected, or connect and send nothing, are evicted to admit new clients. A
+// client that waits for its answer keeps its connection.
+func TestIdleClientsAreEvictedForNewOnes(t *testing.T) {
 	bed := testbed.Start(t, withFewSockets)
 	busy := bed.Client()
 	busy.Send(testbed.Query(bed.Statement("write", "hang", 3*time.Second)))
@@ -154,11 +156,11 @@
 		bed.Eventually(func() bool { return isServed(bed) }, "a new client is served")
 	}
 	require.Equal(t, pg.CodeQueryCanceled, busy.Next().Code)
-	testbed.RequireEnd(t, bed.Dial()) // a client that sends nothing is closed
+	testbed.RequireEnd(t, bed.Dial()) // a connection without a startup message is closed
 }
 
-// Most clients that send one request and stay connected are closed after a while, though the table is not full.
-func TestIdleClientsAreClosed(t *testing.T) {
+// Most clients that send one request and stay connected are closed after a while, although the table is not full.
+func TestIdleClientsAreClosedBeforeTableIsFull(t *testing.T) {
 	bed := testbed.Start(t, withFewSockets)
 	for range 40 {
 		require.True(t, bed.Client().Ask(bed.Statement("report", "a", testbed.AnswerTimeout)).Complete)
--- a/internal/frontend/badinput_test.go
+++ b/internal/frontend/badinput_test.go
@@ -10,24 +10,24 @@
 	"capercove/internal/testbed"
 )
 
-// A statement with an invalid comment is answered with an error of its own, and its connection stays open.
-func TestBadStatements(t *testing.T) {
+// A statement with an invalid comment is answered with an error that names its fault, and the connection stays open.
+func TestInvalidStatementsAreRejected(t *testing.T) {
 	bed := testbed.Start(t)
 	client := bed.Client()
 	good := bed.Statement("read", "a", testbed.AnswerTimeout)
 	with := func(old, replacement string) string { return strings.Replace(good, old, replacement, 1) }
 	for name, test := range map[string]struct{ sql, code string }{
-		"no comment":                 {"SELECT 1", pg.CodeSyntax},
-		"unknown class":              {with("c=read", "c=none"), pg.CodeBadValue},
-		"unknown group":              {with("cluster=3", "cluster=9"), pg.CodeBadValue},
-		"no group":                   {with(",cluster=3", ""), pg.CodeBadValue},
-		"a group that is no number":  {with("cluster=3", "cluster=x"), pg.CodeSyntax},
-		"a deadline of nothing":      {with("d=1000", "d=0"), pg.CodeSyntax},
-		"a deadline out of range":    {with("d=1000", "d=99999999999999"), pg.CodeSyntax},
-		"no id":                      {with("id=", "ix="), pg.CodeSyntax},
-		"a comment without an end":   {with("*/", ""), pg.CodeSyntax},
-		"one star for both ends":     {"SELECT 1 /*/", pg.CodeSyntax},
-		"a commit that is no number": {with("cluster=3", "cluster=3,after=-"), pg.CodeSyntax},
+		"no comment":                      {"SELECT 1", pg.CodeSyntax},
+		"unknown class":                   {with("c=read", "c=none"), pg.CodeBadValue},
+		"unknown group":                   {with("cluster=3", "cluster=9"), pg.CodeBadValue},
+		"no group":                        {with(",cluster=3", ""), pg.CodeBadValue},
+		"a group that is not a number":    {with("cluster=3", "cluster=x"), pg.CodeSyntax},
+		"a deadline of zero":              {with("d=1000", "d=0"), pg.CodeSyntax},
+		"a deadline out of range":         {with("d=1000", "d=99999999999999"), pg.CodeSyntax},
+		"no id":                           {with("id=", "ix="), pg.CodeSyntax},
+		"a comment without an end":        {with("*/", ""), pg.CodeSyntax},
+		"one star for both ends":          {"SELECT 1 /*/", pg.CodeSyntax},
+		"a position that is not a number": {with("cluster=3", "cluster=3,after=-"), pg.CodeSyntax},
 	} {
 		t.Run(name, func(t *testing.T) {
 			require.Equal(t, test.code, client.Ask(test.sql).Code, test.sql)
@@ -38,8 +38,8 @@
 }
 
 // A second request with the ID of an open one, and messages of the extended query protocol, are answered with an error,
-// and the connection stays open. A statement of 64 KiB as hex is served.
-func TestUnsupportedCommands(t *testing.T) {
+// and the connection stays open. A statement with a 64 KiB value, written as 128 KiB of hex, is served.
+func TestUnsupportedCommandsKeepConnectionOpen(t *testing.T) {
 	bed := testbed.Start(t)
 	client := bed.Client()
 	twice := testbed.Query(bed.Statement("write", "hang", testbed.AnswerTimeout))
@@ -54,20 +54,20 @@
 	require.True(t, client.Ask(bed.Statement("read", "a", testbed.AnswerTimeout)).Complete)
 }
 
-// Bytes that are no message of the protocol, a message that is too long, and one that stays incomplete are answered
-// with a fatal error, and the connection is closed. Other clients are still served.
-func TestMalformedMessages(t *testing.T) {
+// Bytes that are not a message of the protocol, a message that is too long, and a message that stays incomplete are
+// answered with a fatal error, and the connection is closed. Other clients are still served.
+func TestMalformedMessagesCloseConnection(t *testing.T) {
 	bed := testbed.Start(t)
 	client := bed.Client()
 	start := string(pg.AppendStartup(nil, "client", "core"))
 	for name, bytes := range map[string]string{
-		"a startup that is too long":     "\xff\xff\xff\xff",
-		"a startup that is too short":    "\x00\x00\x00\x04",
-		"an old version of the protocol": "\x00\x00\x00\x08\x00\x02\x00\x00",
-		"a query that is too long":       start + "Q\x7f\xff\xff\xff",
-		"a query without its end":        start + "Q\x00\x00\x00\x05x",
-		"an unknown message":             start + "!\x00\x00\x00\x04",
-		"half a query":                   start + "Q\x00\x00\x00\x20half",
+		"a startup message that is too long":  "\xff\xff\xff\xff",
+		"a startup message that is too short": "\x00\x00\x00\x04",
+		"an old version of the protocol":      "\x00\x00\x00\x08\x00\x02\x00\x00",
+		"a query that is too long":            start + "Q\x7f\xff\xff\xff",
+		"a query without a terminator":        start + "Q\x00\x00\x00\x05x",
+		"an unknown message type":             start + "!\x00\x00\x00\x04",
+		"half a query":                        start + "Q\x00\x00\x00\x20half",
 	} {
 		t.Run(name, func(t *testing.T) {
 			connection := bed.Dial()
--- a/internal/frontend/bounds_test.go
+++ b/internal/frontend/bounds_test.go
@@ -10,13 +10,14 @@
 	"capercove/internal/testbed"
 )
 
-// pipelineLimit is the value of limits.MaxPipelined: how many commands of a connection may wait for their answers.
+// pipelineLimit is the value of limits.MaxPipelined, the number of commands of a connection that may be pending.
 const pipelineLimit = 8
 
-// Clients that send ahead fill the buffers of all clients almost to their bound. A client that exceeds the bound with a
-// little keeps its connection and gets its answers, and one of the clients with the largest buffers is closed.
-func TestMemoryThatOthersHold(t *testing.T) {
-	const allClients, eachClient = 12 << 20, 2_000_000 // bytes: the bound of all buffers, and what one client fills
+// Several clients send ahead and fill the buffers almost to their common bound. When a client with small buffers
+// exceeds the bound, it keeps its connection and gets its answers, and a client with the largest buffers is closed
+// instead.
+func TestBufferBoundClosesLargestClient(t *testing.T) {
+	const allClients, eachClient = 12 << 20, 2_000_000 // bytes: the bound of all buffers, and the share of one client
 	const buffered = allClients - 50<<10               // bytes that are buffered before the last client
 	program := testbed.Variant(t, testbed.Edit{
 		File: "internal/limits/frontend.go",
@@ -42,15 +43,15 @@
 	bed.Eventually(func() bool { return bed.Sent("hold") == 1 }, "the statement has been sent")
 	long := testbed.Query(bed.Statement("write", strings.Repeat("y", 200<<10), testbed.Timeout))
 	client.Send(long[:len(long)-1])
-	bed.AwaitLine("more is sent or left unread", "one is closed")
+	bed.AwaitLine("more is sent or left unread", "a client is closed")
 	bed.Databases[0].Release()
 	require.Equal(t, "from db-0", string(client.Next().Value))
 	client.Send(long[len(long)-1:])
 	require.Equal(t, "from db-0", string(client.Next().Value))
 }
 
-// A client that sends on without an end while its first answer is pending is closed, and other clients are served.
-func TestClientThatSendsOn(t *testing.T) {
+// A client that keeps sending while its first answer is pending is closed, and other clients are served.
+func TestClientThatSendsTooMuchIsClosed(t *testing.T) {
 	bed := testbed.Start(t)
 	client := bed.Client()
 	client.Send(testbed.Query(bed.Statement("write", "hang", 3*testbed.AnswerTimeout)))
@@ -60,6 +61,6 @@
 		_, err = client.Write(more)
 	}
 	require.Error(t, err)
-	bed.AwaitLine("more is sent", "the log says why")
+	bed.AwaitLine("more is sent", "the reason is logged")
 	require.True(t, bed.Client().Ask(bed.Statement("write", "a", testbed.AnswerTimeout)).Complete)
 }
--- a/internal/frontend/counters_test.go
+++ b/internal/frontend/counters_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The counters' names and their order in log lines are a contract with readers of the log.
+// Tools that read the log rely on the counters' names and their order.
 func TestCountersAsJSON(t *testing.T) {
 	text, err := json.Marshal(Counters{
 		Accepted: 1, Rejected: 2, Evicted: 3, Expired: 4, Closed: 5, Commands: 6, BadInputs: 7,
--- a/internal/frontend/departure_test.go
+++ b/internal/frontend/departure_test.go
@@ -13,26 +13,26 @@
 	"capercove/internal/testbed"
 )
 
-// lostAfter is how long after a client's close an attempt may still begin.
-const lostAfter = 100 * time.Millisecond
+// departureLimit is the maximum time after a client's close in which an attempt may still begin.
+const departureLimit = 100 * time.Millisecond
 
-// unreadClose is a case of TestCloseThatLiesUnread.
-type unreadClose struct {
-	text   string                                         // of the statement of which no attempt may begin any more
-	taken  int                                            // number of requests of before that are read
+// unreadCloseCase is a case of TestNoAttemptBeginsAfterUnreadClose.
+type unreadCloseCase struct {
+	text   string                                         // in the statement for which no further attempt may begin
+	taken  int                                            // number of requests sent by before that are read
 	before func(bed *testbed.Bed, client *testbed.Client) // sends requests before the program is paused; may be nil
-	during func(bed *testbed.Bed, client *testbed.Client) // called while the program is paused, just before the close
+	during func(bed *testbed.Bed, client *testbed.Client) // called during the pause, just before the client closes
 }
 
-// unreadCloses are named by where the client's requests are when it closes.
-var unreadCloses = map[string]unreadClose{
-	"the request lies unread too": {
+// unreadCloseCases are named by the state of the client's requests when the client closes its connection.
+var unreadCloseCases = map[string]unreadCloseCase{
+	"the request is unread too": {
 		text: "gone",
 		during: func(bed *testbed.Bed, client *testbed.Client) {
 			client.Send(testbed.Query(bed.Statement("write", "gone", testbed.Timeout)))
 		},
 	},
-	"more than one read of requests lies unread too": {
+	"more requests than fit one read are unread too": {
 		text: "gone",
 		during: func(bed *testbed.Bed, client *testbed.Client) {
 			var commands []byte
@@ -55,7 +55,7 @@
 		},
 		during: func(bed *testbed.Bed, _ *testbed.Client) { bed.Databases[0].Cut() },
 	},
-	"the request may be sent again": {
+	"the request may be retried": {
 		text:  "hang",
 		taken: 1,
 		before: func(bed *testbed.Bed, client *testbed.Client) {
@@ -65,23 +65,23 @@
 	},
 }
 
-// A client closes while the program is paused, so that the close lies unread, perhaps behind requests. Wherever its
-// requests are by then, no attempt is begun for it when the program goes on.
-func TestCloseThatLiesUnread(t *testing.T) {
-	for name, test := range unreadCloses {
+// A client closes its connection while the program is paused, so the program has not read the close when it resumes,
+// nor perhaps requests that were sent before the close. In each state of the requests, no further attempt may begin.
+func TestNoAttemptBeginsAfterUnreadClose(t *testing.T) {
+	for name, test := range unreadCloseCases {
 		t.Run(name, func(t *testing.T) {
 			bed := testbed.Start(t)
-			for range 5 { // a faulty program need not fail each time
+			for range 5 { // a fault may not show in every round
 				test.run(t, bed)
 			}
 		})
 	}
 }
 
-func (test unreadClose) run(t *testing.T, bed *testbed.Bed) {
+func (test unreadCloseCase) run(t *testing.T, bed *testbed.Bed) {
 	t.Helper()
 	serves := func() bool { return bed.Client().Ask(bed.Statement("write", "a", testbed.Timeout)).Complete }
-	bed.Eventually(serves, "it serves") // over a connection that is idle from then on
+	bed.Eventually(serves, "it serves") // leaves an idle connection to the database
 	taken, hanging := awaitNoneOpen(bed), bed.Sent("hang")
 	client := bed.Client()
 	if test.before != nil {
@@ -95,7 +95,7 @@
 	resume := bed.Pause()
 	test.during(bed, client)
 	require.NoError(t, client.Close())
-	testbed.Pass(3 * lostAfter)
+	testbed.Pass(3 * departureLimit)
 	resume()
 	bed.Eventually(serves, "it serves")
 	require.Equal(t, before, bed.Sent(test.text))
@@ -110,9 +110,9 @@
 	}).Core.Fronts[postgresFront].Taken
 }
 
-// A client that shuts down its sending side counts as gone, since its FIN is the same as that of a client that has
-// closed. Its connection is closed, and its attempt is cancelled.
-func TestClientThatEndsItsSide(t *testing.T) {
+// A client that shuts down its sending side is treated as having left, because its FIN cannot be distinguished from
+// that of a full close. Its connection is closed, and its attempt is cancelled.
+func TestClientHalfCloseCancelsAttempt(t *testing.T) {
 	bed := testbed.Start(t)
 	client := bed.Client()
 	client.Send(testbed.Query(bed.Statement("report", "hang", 4*testbed.Timeout)))
@@ -126,8 +126,8 @@
 	}, "the database's attempt is cancelled")
 }
 
-// When a client closes its connection, its attempt is cancelled: the database sees its connection close.
-func TestAttemptOfAGoneClientIsCancelled(t *testing.T) {
+// When a client closes its connection, its attempt is cancelled by closing the connection to the database.
+func TestClientCloseCancelsAttempt(t *testing.T) {
 	bed := testbed.Start(t)
 	client := bed.Client()
 	client.Send(testbed.Query(bed.Statement("write", "hang", 3*time.Second)))
--- a/internal/frontend/halfclose_test.go
+++ b/internal/frontend/halfclose_test.go
@@ -11,8 +11,8 @@
 	"capercove/internal/testbed"
 )
 
-// patientHalfClose builds the program with a RejectionTimeout so long that a stall of the machine does not exceed it.
-func patientHalfClose(t *testing.T) testbed.Option {
+// withLongRejectionTimeout builds the program with a RejectionTimeout that no stall of the machine exceeds.
+func withLongRejectionTimeout(t *testing.T) testbed.Option {
 	t.Helper()
 	return testbed.WithProgram(testbed.Variant(t, testbed.Edit{
 		File: "internal/limits/constants.go",
@@ -22,9 +22,9 @@
 }
 
 // Bytes that the client sends while the program closes the connection are read and dropped. The client reads its answer
-// and then the end of the connection, and no reset, which could have destroyed the answer.
-func TestBytesThatCrossTheEnd(t *testing.T) {
-	bed := testbed.Start(t, patientHalfClose(t))
+// and then the end of the connection. It gets no reset, which could destroy the answer.
+func TestBytesSentDuringCloseCauseNoReset(t *testing.T) {
+	bed := testbed.Start(t, withLongRejectionTimeout(t))
 	client := bed.Client()
 	client.Send([]byte("!\x00\x00\x00\x04"))
 	require.Equal(t, pg.CodeProtocol, client.Next().Code)
@@ -36,17 +36,17 @@
 	require.NoError(t, client.Close())
 	bed.Eventually(func() bool {
 		return bed.Client().Ask(bed.Statement("write", "a", testbed.AnswerTimeout)).Complete
-	}, "others are served")
+	}, "other clients are served")
 }
 
-// What a client sends while it is evicted is dropped: the client reads the end of the connection and no reset, and no
-// database receives the statement.
-func TestRequestThatCrossesAnEviction(t *testing.T) {
-	bed := testbed.Start(t, patientHalfClose(t), withFewSockets)
+// Requests that a client sends during its eviction are dropped: the client reads the end of the connection and no
+// reset, and no database receives the statement.
+func TestRequestSentDuringEvictionIsDropped(t *testing.T) {
+	bed := testbed.Start(t, withLongRejectionTimeout(t), withFewSockets)
 	bad := bed.Client()
 	require.Equal(t, pg.CodeSyntax, bad.Ask("SELECT 1").Code)
 	full := make(chan struct{})
-	go func() { // opens connections of clients that wait for their answers, until one is rejected
+	go func() { // opens connections with pending requests until one is rejected
 		defer close(full)
 		for range 60 {
 			client, admitted := bed.TryDial(testbed.Timeout)
--- a/internal/frontend/main_test.go
+++ b/internal/frontend/main_test.go
@@ -6,7 +6,7 @@
 	"capercove/internal/testbed"
 )
 
-// postgresFront is the name of the PostgreSQL frontend among the counters of requests.
+// postgresFront is the name of the PostgreSQL frontend in the counters of requests.
 const postgresFront = "postgres"
 
 func TestMain(m *testing.M) { testbed.Main(m) }
--- a/internal/frontend/pipeline_test.go
+++ b/internal/frontend/pipeline_test.go
@@ -11,11 +11,11 @@
 	"capercove/internal/testbed"
 )
 
-// Answers are sent in the order of the commands, also if a later answer is ready first.
-func TestAnswersComeInOrder(t *testing.T) {
+// Answers are sent in the order of the commands, even if a later answer is ready first.
+func TestAnswersKeepCommandOrder(t *testing.T) {
 	bed := testbed.Start(t)
 	client := bed.Client()
-	// For half of its time a request waits until it is sent.
+	// A request may wait for half of its time before it is sent.
 	commands := testbed.Query(bed.Statement("write", "hang", 3*time.Second))
 	commands = pg.AppendQuery(commands, "")
 	commands = pg.AppendQuery(commands, bed.Statement("report", "a", testbed.Timeout))
@@ -25,9 +25,9 @@
 	require.NotEmpty(t, client.Next().Value)
 }
 
-// A command behind a full pipeline is read when there is room again, though the client sends nothing more. Here one
-// answer holds up all others, which are then written together.
-func TestPipelineBeyondItsLimit(t *testing.T) {
+// A command behind a full pipeline is read when there is room again, although the client sends no more bytes. In this
+// test one answer delays all others, which are then written together.
+func TestCommandBeyondPipelineLimitIsServed(t *testing.T) {
 	const wait = 10 * testbed.Timeout
 	bed := testbed.Start(t)
 	client := bed.Client()
@@ -46,9 +46,9 @@
 	}
 }
 
-// A client sends far more commands than the pipeline has room for and closes. Those that were read are given up, and
-// the rest is not forwarded.
-func TestMuchSentAtOnceByOneThatGoes(t *testing.T) {
+// A client sends far more commands than the pipeline has room for, and closes its connection. The commands that were
+// read are cancelled, and the rest are not forwarded.
+func TestUnreadCommandsOfClosedClientAreDropped(t *testing.T) {
 	const many = 2000
 	bed := testbed.Start(t)
 	client := bed.Client()
--- a/internal/frontend/state_test.go
+++ b/internal/frontend/state_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each state has a name of its own, and a value that is none of them is told by its number.
-func TestNamesOfStates(t *testing.T) {
+// The states of each type have distinct names, and an undefined value is shown as a number.
+func TestStateNamesAreDistinct(t *testing.T) {
 	for name, values := range map[string][]fmt.Stringer{
 		"place":         {placeNone, placeStarting, placeStarted, placeLingering},
 		"closeStage":    {stageOpen, stageLastCommand, stageFlushing, stageHalfClosed, stageClosed},
@@ -20,7 +20,7 @@
 			seen := map[string]bool{}
 			for _, value := range values {
 				require.NotContains(t, value.String(), "(")
-				require.False(t, seen[value.String()], "%s stands for two", value)
+				require.False(t, seen[value.String()], "%s is the name of two values", value)
 				seen[value.String()] = true
 			}
 		})
@@ -32,7 +32,7 @@
 	require.Equal(t, "responseState(9)", responseState(9).String())
 }
 
-// Whatever the order of the transitions, a connection never goes back to an earlier stage.
+// A connection never returns to an earlier stage, whatever the order of the transitions.
 func TestStagesOnlyAdvance(t *testing.T) {
 	stages := []closeStage{stageOpen, stageLastCommand, stageFlushing, stageHalfClosed, stageClosed}
 	for _, from := range stages {
@@ -45,22 +45,22 @@
 	}
 }
 
-// An input is never without bytes again once the client has sent some, and only a partial one becomes complete.
-func TestInputStates(t *testing.T) {
+// Once bytes have arrived, the input never returns to inputNone, and only a partial input becomes complete.
+func TestInputStateTransitions(t *testing.T) {
 	connection := &clientConnection{}
 	connection.markComplete()
-	require.Equal(t, inputNone, connection.input, "nothing has come")
+	require.Equal(t, inputNone, connection.input, "no bytes have arrived")
 	connection.markReceived()
 	require.Equal(t, inputComplete, connection.input)
 	connection.markPartial()
 	connection.markReceived()
-	require.Equal(t, inputPartial, connection.input, "more of it has come, and not yet its end")
+	require.Equal(t, inputPartial, connection.input, "more bytes have arrived, but the message is still incomplete")
 	connection.markComplete()
 	require.Equal(t, inputComplete, connection.input)
 }
 
-// The counts of a table follow its connections from each place to each other.
-func TestPlacesOfTheTable(t *testing.T) {
+// The counts of a table are correct after a move of a connection from any place to any other.
+func TestTableCountsFollowMoves(t *testing.T) {
 	places := []place{placeNone, placeStarting, placeStarted, placeLingering}
 	for _, from := range places {
 		for _, to := range places {
@@ -78,7 +78,7 @@
 	}
 }
 
-// count is 1 for one that is counted.
+// count returns 1 if counted is true, and 0 otherwise.
 func count(counted bool) int {
 	if counted {
 		return 1
--- a/internal/frontend/statements_test.go
+++ b/internal/frontend/statements_test.go
@@ -13,8 +13,8 @@
 	"capercove/internal/testbed"
 )
 
-// A statement is forwarded unchanged except for d, the time left, and its value is passed back unchanged. A write goes
-// to the primary.
+// A statement is forwarded unchanged except for d, the time left, and its value is returned to the client unchanged. A
+// write is sent to the primary.
 func TestStatementsAreForwarded(t *testing.T) {
 	bed := testbed.Start(t)
 	client := bed.Client()
@@ -35,8 +35,8 @@
 }
 
 // A write that may have run fails and is sent only once. A rejection has the SQLSTATE 53300 and a number as its detail.
-// A write that never ran and a read are retried. Only the write that hangs ends at its deadline.
-func TestFinalAnswers(t *testing.T) {
+// A write that never ran and a read are retried. Only the write that gets no answer ends at its deadline.
+func TestOnlySafeRequestsAreRetried(t *testing.T) {
 	const hangingTime = 3 * time.Second
 	bed := testbed.Start(t)
 	client := bed.Client()
@@ -53,19 +53,19 @@
 		require.Equal(t, 1, bed.Sent(write.key), "%s: a write that may have run is sent once", write.key)
 		bed.Eventually(func() bool {
 			return client.Ask(bed.Statement("write", "x", testbed.AnswerTimeout)).Complete
-		}, "the primary is back")
+		}, "the primary serves again")
 	}
 	reply := client.Ask(bed.Statement("write", "full-4", testbed.Timeout)) // ends with the last retry
 	require.Equal(t, pg.CodeTooManyConnections, reply.Code)
 	require.Regexp(t, `^\d+$`, reply.Detail)
 	require.Greater(t, bed.Sent("full-4"), 1, "a write that never ran is retried")
 	reply = client.Ask(bed.Statement("report", "cut-5", testbed.Timeout))
-	require.Equal(t, pg.CodeTooManyConnections, reply.Code, "retries are harmless")
+	require.Equal(t, pg.CodeTooManyConnections, reply.Code, "a read whose retries all fail is rejected")
 	require.Greater(t, bed.Sent("cut-5"), 1, "a safe read is retried")
 }
 
-// A startup and a statement that arrive byte by byte are served.
-func TestBytesOneAtATime(t *testing.T) {
+// A startup message and a statement that arrive byte by byte are served.
+func TestMessagesSentByteByByteAreServed(t *testing.T) {
 	bed := testbed.Start(t)
 	connection := bed.Dial()
 	require.NoError(t, connection.(*net.TCPConn).SetNoDelay(true))
@@ -83,8 +83,8 @@
 	require.Len(t, bed.Databases[0].Statements(), 1)
 }
 
-// A statement may arrive slowly, as long as the pauses between its bytes are short.
-func TestSlowStatement(t *testing.T) {
+// A statement that arrives slowly is served if the pauses between its bytes are short.
+func TestSlowStatementIsServed(t *testing.T) {
 	const pieceBytes = 20
 	bed := testbed.Start(t)
 	client := bed.Client()
--- a/internal/frontend/timeleft_test.go
+++ b/internal/frontend/timeleft_test.go
@@ -14,9 +14,9 @@
 	"capercove/internal/testbed"
 )
 
-// The time that a command waits unread behind a full pipeline is subtracted from the time left that its database is
-// told.
-func TestTimeThatIsSpentUnread(t *testing.T) {
+// The time that a command waits unread behind a full pipeline is subtracted from the time left that is sent to its
+// database.
+func TestTimeLeftExcludesWaitBehindFullPipeline(t *testing.T) {
 	const spent, wait = 300 * time.Millisecond, 10 * testbed.Timeout
 	bed := testbed.Start(t)
 	client := bed.Client()
@@ -40,17 +40,17 @@
 	require.LessOrEqual(t, timeLeftOf(t, last), wait-spent)
 }
 
-// The time that a request lies unread, while the program is paused or cannot accept its connection, is subtracted from
-// the time left that its database is told.
-func TestTimeThatLiesUnread(t *testing.T) {
+// The time that a request waits in the kernel, while the program is paused or cannot accept its connection, is
+// subtracted from the time left that is sent to its database.
+func TestTimeLeftExcludesWaitInKernel(t *testing.T) {
 	const wait, spent, slack = 10 * testbed.Timeout, time.Second, 150 * time.Millisecond
 	for name, test := range map[string]struct {
-		hold  func(bed *testbed.Bed) (resume func())
-		isNew bool // the request is sent on a new connection
+		block func(bed *testbed.Bed) (resume func()) // keeps the program from reading the request
+		isNew bool                                   // the request is sent on a new connection
 	}{
-		"paused, on an open connection":           {hold: (*testbed.Bed).Pause},
-		"paused, on a new connection":             {hold: (*testbed.Bed).Pause, isNew: true},
-		"out of descriptors, on a new connection": {hold: withoutDescriptors, isNew: true},
+		"paused, on an open connection":           {block: (*testbed.Bed).Pause},
+		"paused, on a new connection":             {block: (*testbed.Bed).Pause, isNew: true},
+		"out of descriptors, on a new connection": {block: withoutDescriptors, isNew: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bed := testbed.Start(t)
@@ -60,7 +60,7 @@
 				sql := bed.Statement("write", key, wait)
 				message := testbed.Query(sql)
 				client := bed.Client()
-				resume := test.hold(bed)
+				resume := test.block(bed)
 				if test.isNew {
 					client.Conn = bed.Dial()
 					message = testbed.StartupAndQuery(sql)
@@ -76,7 +76,8 @@
 	}
 }
 
-// withoutDescriptors lets the program open no descriptor until resume is called: connections wait in the kernel.
+// withoutDescriptors prevents the program from opening descriptors until resume is called. New connections wait in the
+// kernel until then.
 func withoutDescriptors(bed *testbed.Bed) (resume func()) {
 	bed.T.Helper()
 	var before unix.Rlimit
@@ -88,10 +89,10 @@
 	return func() { limit(&before, nil) }
 }
 
-// standardStreams is the number of descriptors of the standard streams, which any process has.
+// standardStreams is the number of descriptors of the standard streams, which every process has.
 const standardStreams = 3
 
-// statementWith returns the first statement with a text in it that reached a database.
+// statementWith returns the first statement that reached a database and contains a text.
 func statementWith(bed *testbed.Bed, text string) string {
 	bed.T.Helper()
 	for _, database := range bed.Databases {
@@ -105,7 +106,7 @@
 	return ""
 }
 
-// timeLeftOf returns how long a statement tells its database that the pooler waits.
+// timeLeftOf returns the time left that a statement announces to its database in its parameter d.
 func timeLeftOf(t *testing.T, sql string) time.Duration {
 	t.Helper()
 	_, rest, _ := strings.Cut(sql, ",d=")
--- a/internal/frontend/world_test.go
+++ b/internal/frontend/world_test.go
@@ -21,29 +21,29 @@
 	"capercove/routing"
 )
 
-// world is a frontend with a core in the test's own process. The test advances the clock, answers as the databases, and
-// decides how each socket behaves. The world implements all interfaces that the core and the frontend need.
-type world struct {
+// harness runs a frontend with a core in the test's process. The test advances the clock, answers as the databases, and
+// decides how each socket behaves. The harness implements all interfaces that the core and the frontend need.
+type harness struct {
 	t        *testing.T
 	now      time.Duration
 	limits   limits.Frontend
 	core     *core.Core
 	frontend *frontend.Frontend
-	attempts []*core.Attempt // that are not answered yet, in the order in which they were sent
-	observed []uint64        // numbers of the connections whose close the observer was notified of
-	ids      int             // number of statements so far; the last one's ID
+	attempts []*core.Attempt // not answered yet, in the order of sending
+	observed []uint64        // numbers of the connections that were reported closed to the observer
+	ids      int             // number of statements so far, and ID of the last one
 }
 
-func newWorld(t *testing.T, change func(bounds *limits.Frontend)) *world {
+func newHarness(t *testing.T, change func(bounds *limits.Frontend)) *harness {
 	t.Helper()
 	const deadline = 5 * time.Second
-	world := &world{t: t, now: 1_800_000_000 * time.Second}
+	harness := &harness{t: t, now: 1_800_000_000 * time.Second}
 	bounds := limits.For(limits.Machine{MemoryMB: 64, Sockets: 256}, limits.Timeouts{
 		Connect: time.Second, Keepalive: 15 * time.Second, LongestDeadline: deadline,
 	})
-	world.limits = bounds.Frontend
+	harness.limits = bounds.Frontend
 	if change != nil {
-		change(&world.limits)
+		change(&harness.limits)
 	}
 	settings := routing.Settings{
 		Routers: 1, MaxAttempts: 1, CanCancel: true, DrainGrace: time.Second,
@@ -52,119 +52,122 @@
 			Read: routing.AnyRead, LatencyObjective: time.Second, Deadline: deadline, Weight: 1, LateWeight: 0.2,
 		}},
 	}
-	world.core = core.New(core.Settings{Settings: settings, Names: []string{"read"}}, 1, bounds.Request, zerolog.Nop(),
-		func() time.Duration { return world.now }, func() {}, func() {})
-	world.core.Attach(world, world, world)
-	world.core.Start()
+	harness.core = core.New(core.Settings{Settings: settings, Names: []string{"read"}}, 1, bounds.Request,
+		zerolog.Nop(), func() time.Duration { return harness.now }, func() {}, func() {})
+	harness.core.Attach(harness, harness, harness)
+	harness.core.Start()
 	node := routing.Node{ID: 1, State: routing.Ready, Group: 3}
-	world.core.ReplaceMembers([]core.Member{{Node: node, Name: "db"}})
-	world.frontend = frontend.New(world.limits, zerolog.Nop(), world.core, intake.New(world.core), world, world)
-	world.pass(50 * time.Millisecond)
-	return world
+	harness.core.ReplaceMembers([]core.Member{{Node: node, Name: "db"}})
+	harness.frontend = frontend.New(harness.limits, zerolog.Nop(), harness.core, intake.New(harness.core), harness,
+		harness)
+	harness.pass(50 * time.Millisecond)
+	return harness
 }
 
 // Statement implements intake.PostgresBackend.
-func (world *world) Statement(pg.Query) core.Statement { return world }
+func (harness *harness) Statement(pg.Query) core.Statement { return harness }
 
 // Send implements core.Statement.
-func (world *world) Send(attempt *core.Attempt) core.Transmission {
-	world.attempts = append(world.attempts, attempt)
-	return world
+func (harness *harness) Send(attempt *core.Attempt) core.Transmission {
+	harness.attempts = append(harness.attempts, attempt)
+	return harness
 }
 
 // Cancel implements core.Transmission.
-func (world *world) Cancel() {}
+func (harness *harness) Cancel() {}
 
 // Subscribe implements core.EndpointLister.
-func (world *world) Subscribe() {}
+func (harness *harness) Subscribe() {}
 
 // Probe implements core.HealthChecker.
-func (world *world) Probe(member *core.Member) {
-	evidence := routing.Evidence{Role: routing.Primary, Position: world.now}
-	world.core.Probed(member, routing.OK, 0, evidence)
+func (harness *harness) Probe(member *core.Member) {
+	evidence := routing.Evidence{Role: routing.Primary, Position: harness.now}
+	harness.core.Probed(member, routing.OK, 0, evidence)
 }
 
 // Changed implements core.Watcher.
-func (world *world) Changed(*core.Member) {}
+func (harness *harness) Changed(*core.Member) {}
 
 // Forgotten implements core.Watcher.
-func (world *world) Forgotten(*core.Member) {}
+func (harness *harness) Forgotten(*core.Member) {}
 
 // Bytes implements frontend.TrafficObserver.
-func (world *world) Bytes(uint64, []byte) {}
+func (harness *harness) Bytes(uint64, []byte) {}
 
 // Closed implements frontend.TrafficObserver.
-func (world *world) Closed(connection uint64) { world.observed = append(world.observed, connection) }
-
-// pass advances the clock, and fires the timers that are due on the way.
-func (world *world) pass(span time.Duration) {
-	for end := world.now + span; world.now < end; {
-		world.now += 5 * time.Millisecond
-		world.core.Tick()
-		world.core.Flush()
+func (harness *harness) Closed(connection uint64) {
+	harness.observed = append(harness.observed, connection)
+}
+
+// pass advances the clock in steps, and fires the timers that are due at each step.
+func (harness *harness) pass(span time.Duration) {
+	for end := harness.now + span; harness.now < end; {
+		harness.now += 5 * time.Millisecond
+		harness.core.Tick()
+		harness.core.Flush()
 	}
 }
 
 // statement returns a read with a new ID, as a client sends it.
-func (world *world) statement() []byte {
-	world.ids++
-	return testbed.Query(fmt.Sprintf("SELECT 1 /* id=%x,c=read,d=4000,cluster=3 */", world.ids))
-}
-
-// nextAttempt returns the attempt that was sent first of those that are not answered yet. The test has to answer it.
-func (world *world) nextAttempt() *core.Attempt {
-	world.t.Helper()
-	world.core.Flush()
-	require.NotEmpty(world.t, world.attempts)
-	attempt := world.attempts[0]
-	world.attempts = world.attempts[1:]
+func (harness *harness) statement() []byte {
+	harness.ids++
+	return testbed.Query(fmt.Sprintf("SELECT 1 /* id=%x,c=read,d=4000,cluster=3 */", harness.ids))
+}
+
+// nextAttempt removes and returns the earliest attempt that is not answered yet. The test has to answer it.
+func (harness *harness) nextAttempt() *core.Attempt {
+	harness.t.Helper()
+	harness.core.Flush()
+	require.NotEmpty(harness.t, harness.attempts)
+	attempt := harness.attempts[0]
+	harness.attempts = harness.attempts[1:]
 	return attempt
 }
 
-// answer answers the next attempt as its database.
-func (world *world) answer(value string) {
-	world.t.Helper()
-	evidence := routing.Evidence{Role: routing.Primary, Position: world.now}
-	world.core.Done(world.nextAttempt(), routing.OK, evidence, []byte(value))
-	world.core.Flush()
+// answer answers the next attempt on behalf of its database.
+func (harness *harness) answer(value string) {
+	harness.t.Helper()
+	evidence := routing.Evidence{Role: routing.Primary, Position: harness.now}
+	harness.core.Done(harness.nextAttempt(), routing.OK, evidence, []byte(value))
+	harness.core.Flush()
 }
 
-// connect opens a connection, whose client sends nothing yet.
-func (world *world) connect(prepare ...func(socket *fakeSocket)) *fakeSocket {
-	world.t.Helper()
+// connect opens a connection without sending a startup message. The prepare functions change the socket first.
+func (harness *harness) connect(prepare ...func(socket *fakeSocket)) *fakeSocket {
+	harness.t.Helper()
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
-	require.NoError(world.t, err)
+	require.NoError(harness.t, err)
 	socket := &fakeSocket{descriptor: pair[0], peer: pair[1]}
-	world.t.Cleanup(func() {
-		require.NoError(world.t, unix.Close(pair[0]))
-		require.NoError(world.t, unix.Close(pair[1]))
+	harness.t.Cleanup(func() {
+		require.NoError(harness.t, unix.Close(pair[0]))
+		require.NoError(harness.t, unix.Close(pair[1]))
 	})
 	for _, change := range prepare {
 		change(socket)
 	}
-	socket.owner = world.frontend.Accept(socket)
+	socket.owner = harness.frontend.Accept(socket)
 	return socket
 }
 
 // start opens a connection and sends its startup message.
-func (world *world) start() *fakeSocket {
-	world.t.Helper()
-	socket := world.connect()
+func (harness *harness) start() *fakeSocket {
+	harness.t.Helper()
+	socket := harness.connect()
 	socket.receive(pg.AppendStartup(nil, "client", "core"))
 	socket.written = nil
 	return socket
 }
 
-// fakeSocket is gnet's end of a connection. Only what the frontend calls is there.
+// fakeSocket is gnet's end of a connection. It implements only the methods that the frontend calls.
 type fakeSocket struct {
 	gnet.Conn
 
 	owner            eventloop.Socket
 	descriptor, peer int
 	written          []byte
-	outbound         int  // bytes that the client has yet to take
-	failWrites       bool // a write finds the connection closed
-	closed           int  // how often it was closed: 0 or 1
+	outbound         int  // bytes in the output buffer
+	failWrites       bool // a write fails, and closes the connection
+	closed           int  // number of closes: 0 or 1
 }
 
 var errBroken = errors.New("broken pipe")
@@ -181,7 +184,7 @@
 // EventLoop implements gnet.Conn.
 func (socket *fakeSocket) EventLoop() gnet.EventLoop { return fakeLoop{socket: socket} }
 
-// Write implements gnet.Conn: as gnet's, it closes a connection that it finds closed before it returns.
+// Write implements gnet.Conn. Like gnet, it closes the connection before it returns an error.
 func (socket *fakeSocket) Write(data []byte) (int, error) {
 	if socket.failWrites {
 		socket.close(errBroken)
@@ -191,7 +194,7 @@
 	return len(data), nil
 }
 
-// close closes the connection as gnet does: once.
+// close closes the connection and calls Closed, but only once, like gnet.
 func (socket *fakeSocket) close(err error) {
 	if socket.closed == 0 {
 		socket.closed++
@@ -199,16 +202,16 @@
 	}
 }
 
-// receive passes on bytes of the client.
+// receive delivers bytes from the client to the frontend.
 func (socket *fakeSocket) receive(data []byte) { socket.owner.Received(data) }
 
-// hasEnded tells whether the frontend has ended its side.
+// hasEnded reports whether the frontend has shut down its sending side.
 func (socket *fakeSocket) hasEnded() bool {
 	n, _, err := unix.Recvfrom(socket.peer, make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return err == nil && n == 0
 }
 
-// fakeLoop is gnet's event loop of a socket.
+// fakeLoop is the gnet event loop of a socket.
 type fakeLoop struct {
 	gnet.EventLoop
 	socket *fakeSocket
