--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test race race-program lint run oracle demo regression
+.PHONY: build test race race-program lint run oracle mixed demo regression
 
 build: # what the platform builds
 	@build=$$(sed -n 's/^build = "\(.*\)"  *#.*/\1/p' deploy/balancer.toml) && [ -n "$$build" ] && echo "$$build" && sh -c "$$build"
@@ -33,6 +33,11 @@
 oracle: # statements against PostgreSQL's own parser; the parser is a need of this alone
 	cd internal/statement/oracle && go test -count=1 ./...
 
+OLDER =
+mixed: # an older build and this one together; OLDER is the path of the older program
+	@test -x "$(OLDER)" || { echo "mixed: OLDER names no program"; exit 2; }
+	CAPERCOVE_OLDER_PROGRAM="$(abspath $(OLDER))" go test -count=1 ./internal/contract/mixed
+
 demo: build # a fleet, a pooler and load on loopback
 	bin/capercove-lab run --out found/demo scenarios/primary-killed.toml
 
