--- a/internal/contract/mixed/claims_test.go
+++ b/internal/contract/mixed/claims_test.go
@@ -25,7 +25,8 @@
 	return filepath.Join(bed.Dir, fmt.Sprintf("capercove-share-n0.%d", process.Pid))
 }
 
-// readClaim reads the claim of a process; false: it cannot be read at this moment.
+// readClaim reads the claim of a process; false: it cannot be read at this moment, or does not cover what is in use, as
+// where its fields have other names.
 func readClaim(bed *testbed.Bed, process *os.Process) (claim fdshare.Claim, readable bool) {
 	file, err := os.Open(claimPath(bed, process))
 	if err != nil {
@@ -33,7 +34,7 @@
 	}
 	defer func() { _ = file.Close() }() // it was only read
 	err = json.NewDecoder(file).Decode(&claim)
-	return claim, err == nil
+	return claim, err == nil && claim.InUse > 0 && claim.Quota >= claim.InUse
 }
 
 // Two processes of different builds divide the descriptors by each other's claims: the elder shrinks to what it uses
--- a/internal/contract/mixed/upgrade_test.go
+++ b/internal/contract/mixed/upgrade_test.go
@@ -11,6 +11,7 @@
 
 	"capercove/internal/pg"
 	"capercove/internal/testbed"
+	"capercove/internal/testbed/await"
 )
 
 // traffic is what clients send to a pooler, one statement after the other, and what becomes of it.
@@ -132,15 +133,15 @@
 	return sending.bed.Sent("id="+id) > 0
 }
 
-// awaitAnswers waits until so many more statements have been answered.
-func (sending *traffic) awaitAnswers(more int) {
+// awaitAnswers waits until trafficSpan more statements have been answered.
+func (sending *traffic) awaitAnswers() {
 	sending.bed.T.Helper()
 	count := func() int {
 		sending.mu.Lock()
 		defer sending.mu.Unlock()
 		return sending.answered
 	}
-	target := count() + more
+	target := count() + trafficSpan
 	sending.bed.Eventually(func() bool { return count() >= target }, "requests are answered")
 }
 
@@ -151,21 +152,35 @@
 	t.Parallel()
 	eachOrder(t, func(t *testing.T, order builds) {
 		bed := testbed.Start(t, testbed.WithListener, testbed.WithProgram(order.first))
+		waiting := bed.Client()
+		waiting.Send(testbed.Query(bed.Statement("report", "hold", testbed.Timeout)))
+		bed.Eventually(func() bool { return bed.Sent("hold") == 1 }, "a database holds a request of the first process")
 		sending := startTraffic(bed)
-		sending.awaitAnswers(trafficSpan)
+		sending.awaitAnswers()
 		replaceProgram(bed, order.second)
 		end := bed.Upgrade()
-		sending.awaitAnswers(trafficSpan)
-		require.NoError(t, end())
-		sending.awaitAnswers(trafficSpan)
+		sending.awaitAnswers()
+		ended := make(chan error, 1)
+		go func() { ended <- end() }()
+		sending.awaitAnswers()
+		bed.ReleaseDatabases()
+		require.True(t, waiting.Next().Complete, "the first process ends once it has answered")
+		require.NoError(t, await.Receive(t, ended))
+		sending.awaitAnswers()
 		sending.stop()
 		require.Empty(t, sending.lost)
 		require.Equal(t, sending.sent, sending.answered)
-		for _, sql := range bed.Databases[0].Statements() {
-			if strings.Contains(sql, "c=write") {
-				require.Equal(t, 1, bed.Sent(sql), sql)
+		writes := map[string]int{} // how often each was executed
+		for _, database := range bed.Databases {
+			for _, sql := range database.Statements() {
+				if strings.Contains(sql, "c=write") {
+					writes[sql]++
+				}
 			}
 		}
+		for sql, times := range writes {
+			require.Equal(t, 1, times, sql)
+		}
 		require.Less(t, sending.refused*fewOf, sending.sent)
 		t.Logf("%d requests, all answered, %d of them refused", sending.sent, sending.refused)
 	})
