--- a/internal/netretry/errors.go
+++ b/internal/netretry/errors.go
@@ -1,6 +1,6 @@
 // Package netretry handles transient failures of network calls. It provides a listener whose Accept fails only after
-// Close, retries with exponential backoff for calls at the start, and a classification of errors by what they
-// say about this machine and about the peer.
+// Close, and retries with exponential backoff. It also classifies errors as a shortage on this machine or as an
+// unreachable peer.
 package netretry
 
 import (
@@ -9,17 +9,17 @@
 	"syscall"
 )
 
-// ErrShortage is wrapped by errors of a shortage of system resources on this machine that have no errno.
+// ErrShortage is wrapped by errors without an errno that a shortage of system resources on this machine causes.
 var ErrShortage = errors.New("short of system resources")
 
-// shortages are the errors by which Linux reports a lack of descriptors, memory, ports or watches on this machine.
+// shortages are the errnos by which Linux reports a lack of descriptors, memory, ports or watches on this machine.
 var shortages = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.EINTR,
 }
 
-// unreachables are the errors by which Linux reports that no packet can be sent to an address. The cause may be on this
-// machine (a route, an interface, a firewall) or elsewhere, and may affect that address only.
+// unreachables are the errnos by which Linux reports that no packet can be sent to an address. The cause may be on this
+// machine (a route, an interface, a firewall) or elsewhere. It may affect only that address.
 var unreachables = []syscall.Errno{
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EHOSTDOWN,
 	syscall.ENONET, syscall.EPERM, syscall.EACCES,
@@ -35,11 +35,11 @@
 // IsMomentary reports whether an error is transient: the same call may succeed a moment later without intervention.
 func IsMomentary(err error) bool { return IsShortage(err) || IsUnreachable(err) }
 
-// Always reports true for each error. It is the condition of Within for calls that are retried after any error.
+// Always returns true. It is the condition of Within for calls that are retried after any error.
 func Always(error) bool { return true }
 
-// isOneOf reports whether an error wraps one of these errnos.
-func isOneOf(err error, class []syscall.Errno) bool {
+// isOneOf reports whether an error wraps one of the errnos.
+func isOneOf(err error, errnos []syscall.Errno) bool {
 	var errno syscall.Errno
-	return errors.As(err, &errno) && slices.Contains(class, errno)
+	return errors.As(err, &errno) && slices.Contains(errnos, errno)
 }
--- a/internal/netretry/failures.go
+++ b/internal/netretry/failures.go
@@ -21,14 +21,14 @@
 // unlogged is the value of Failures.lastLogged before the first log line.
 const unlogged = -1
 
-// NewFailures returns a counter of the failures of a call, which each log line names. The clock must be monotonic.
+// NewFailures returns a counter of failed calls. Each log line has the message call. The clock must be monotonic.
 func NewFailures(call string, period time.Duration, log zerolog.Logger, clock func() time.Duration) *Failures {
 	f := &Failures{call: call, period: period, log: log, clock: clock}
 	f.lastLogged.Store(unlogged)
 	return f
 }
 
-// Note counts one failure, and logs it unless another was logged within the period.
+// Note counts one failure, and logs it unless another one was logged within the period.
 func (f *Failures) Note(err error) {
 	count := f.count.Add(1)
 	now, last := int64(f.clock()), f.lastLogged.Load()
--- a/internal/netretry/listener.go
+++ b/internal/netretry/listener.go
@@ -8,8 +8,8 @@
 )
 
 // Listener is a net.Listener whose Accept fails only after Close; other errors are counted and retried with backoff.
-// Without it, servers such as those of net/http and gRPC stop serving when a single accept fails with an error that
-// does not declare itself temporary, such as ENOBUFS, ENOMEM, EPROTO or ENETDOWN.
+// Without this wrapper, servers such as those of net/http and gRPC stop serving after a single accept error that is not
+// declared temporary, such as ENOBUFS, ENOMEM, EPROTO or ENETDOWN.
 type Listener struct {
 	net.Listener
 	backoff   Backoff
@@ -40,7 +40,7 @@
 	}
 }
 
-// wait blocks for a time and returns true. It returns false as soon as the listener is closed.
+// wait blocks for the pause and returns true, or returns false as soon as the listener is closed.
 func (l *Listener) wait(pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/internal/netretry/retry.go
+++ b/internal/netretry/retry.go
@@ -10,29 +10,29 @@
 type Backoff struct {
 	// First is the wait after the first failure.
 	First time.Duration
-	// Most is the longest wait.
-	Most time.Duration
+	// Max is the longest wait.
+	Max time.Duration
 }
 
 // NewBackoff returns the backoff that the limits configure.
 func NewBackoff(bounds limits.Retry) Backoff {
-	return Backoff{First: bounds.FirstBackoff, Most: bounds.MaxBackoff}
+	return Backoff{First: bounds.FirstBackoff, Max: bounds.MaxBackoff}
 }
 
 // After returns the wait after a number of consecutive failures, which is at least one.
 func (b Backoff) After(failures int) time.Duration {
 	wait := b.First
 	for range failures - 1 {
-		if wait >= b.Most {
+		if wait >= b.Max {
 			break
 		}
 		wait *= 2
 	}
-	return min(wait, b.Most)
+	return min(wait, b.Max)
 }
 
-// Within retries a call until it succeeds, fails with an error for which retryable returns false, or the limit has
-// passed. It returns the error of the last attempt.
+// Within makes a call at least once. It retries the call until it succeeds, fails with an error for which retryable
+// returns false, or the limit has passed. It returns the error of the last attempt.
 func Within(limit time.Duration, backoff Backoff, retryable func(error) bool, call func() error) error {
 	expired := time.NewTimer(limit)
 	defer expired.Stop()
