--- a/internal/waitgroup/waitgroup.go
+++ b/internal/waitgroup/waitgroup.go
@@ -1,4 +1,4 @@
-// Package waitgroup waits for the goroutines of a sync.WaitGroup no longer than for a given time.
+// Package waitgroup waits for a sync.WaitGroup with a timeout.
 package waitgroup
 
 import (
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// ErrStillRunning is returned by Wait when the time is over before all goroutines of the group have ended.
+// ErrStillRunning is returned by Wait when the timeout expires before all goroutines of the group have ended.
 var ErrStillRunning = errors.New("goroutines are still running")
 
-// Wait waits until all goroutines of a group have ended, or for the timeout. After the timeout, one goroutine that
-// waits for the group is left behind until the group has ended.
+// Wait waits until all goroutines of a group have ended or the timeout expires. After ErrStillRunning, a goroutine of
+// Wait remains in the background until the group has ended.
 func Wait(group *sync.WaitGroup, timeout time.Duration) error {
 	ended := make(chan struct{})
 	go func() {
--- a/internal/waitgroup/waitgroup_test.go
+++ b/internal/waitgroup/waitgroup_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A group that ends in time is no error; one that does not is reported, and may be waited for again.
-func TestWait(t *testing.T) {
+// Wait returns nil for a group that ends in time and ErrStillRunning for one that does not. The latter group may be
+// waited for again.
+func TestWaitReportsGroupThatOutlastsTimeout(t *testing.T) {
 	const longEnough = 20 * time.Second
 	var group sync.WaitGroup
 	require.NoError(t, Wait(&group, longEnough), "no goroutine")
