--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery watches the endpoint list of the platform's discovery service over HTTP. When to poll again after a
-// failure is the router's decision; each Subscribe is one attempt.
+// Package discovery watches the endpoint list of the platform's discovery service over HTTP. Each Subscribe is one
+// attempt. The router decides when to subscribe again after a failure.
 package discovery
 
 import (
@@ -23,7 +23,8 @@
 	"capercove/routing"
 )
 
-// List is one object of the discovery service: the complete endpoint list, or a watch event with the changed entries.
+// List is one JSON object from the discovery service: the complete endpoint list, or a watch event with the changed
+// entries.
 type List struct {
 	Revision uint64  `json:"revision"`
 	Complete bool    `json:"complete"`
@@ -45,14 +46,14 @@
 	"SERVING": routing.Ready, "DRAINING": routing.Draining, "DELETED": routing.Gone,
 }
 
-// Parse reads one object and checks it. One without a revision has revision 0.
+// Parse decodes one object and checks its entries. A missing revision is read as 0.
 func Parse(text []byte) (List, error) {
 	list, _, err := parse(text)
 	return list, err
 }
 
-// parse is Parse, and reports whether there is a revision.
-func parse(text []byte) (list List, numbered bool, err error) {
+// parse does the work of Parse, and reports whether the object has a revision.
+func parse(text []byte) (list List, hasRevision bool, err error) {
 	object := struct {
 		Revision *uint64 `json:"revision"`
 		*List
@@ -60,19 +61,19 @@
 	if err := json.Unmarshal(text, &object); err != nil {
 		return list, false, err
 	}
-	if numbered = object.Revision != nil; numbered {
+	if hasRevision = object.Revision != nil; hasRevision {
 		list.Revision = *object.Revision
 	}
 	for i, entry := range list.Members {
 		if !entry.valid() {
-			return list, numbered, fmt.Errorf("member %d: id %q, host_port %q, phase %q",
+			return list, hasRevision, fmt.Errorf("member %d: id %q, host_port %q, phase %q",
 				i, entry.ID, entry.Addr, entry.Phase)
 		}
 	}
-	return list, numbered, nil
+	return list, hasRevision, nil
 }
 
-// valid reports whether an entry has a name, a known phase, and an address unless it is deleted.
+// valid reports whether an entry has an ID, a known phase and an address. A deleted entry needs no address.
 func (e Entry) valid() bool {
 	state, known := phases[e.Phase]
 	if e.ID == "" || !known {
@@ -85,15 +86,15 @@
 // ID maps an endpoint's name to the same number at every pooler.
 func ID(name string) routing.NodeID {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(name)) // a hash takes all
+	_, _ = hash.Write([]byte(name)) // writing to a hash never fails
 	return routing.NodeID(hash.Sum64())
 }
 
-// Node returns the entry as the router takes it. Zones are numbered by their place in the settings' list.
+// Node converts the entry to a node of the router. The number of a zone is its index in zones, the settings' list.
 func (e Entry) Node(zones []string) routing.Node {
 	zone := slices.Index(zones, e.Locality)
 	if zone < 0 {
-		zone = len(zones) + int(uint32(ID(e.Locality))) // unknown to the settings, yet distinguished
+		zone = len(zones) + int(uint32(ID(e.Locality))) // a number from its name: the settings lack the zone
 	}
 	return routing.Node{
 		ID: ID(e.ID), State: phases[e.Phase], Group: e.Cell, Zone: zone, Primary: e.Mode == "read-write",
@@ -103,55 +104,56 @@
 
 // Watch reads the endpoint list and its changes. It implements core.EndpointLister.
 type Watch struct {
-	limits  limits.Discovery
-	log     zerolog.Logger
-	changed func(List)
-	failed  func()
-	client  *http.Client
-	calls   chan struct{} // holds the attempt that is requested
+	limits    limits.Discovery
+	log       zerolog.Logger
+	onList    func(List)
+	onFailure func()
+	client    *http.Client
+	requested chan struct{} // buffers one requested attempt
 
-	mu       sync.Mutex // guards all below, which Move changes
+	mu       sync.Mutex // guards the fields below
 	addr     string
-	moved    bool   // since the last attempt began
-	listed   bool   // some list is known, at revision; if not, the complete list is fetched first
-	revision uint64 // of the list that is known
-	cancel   context.CancelFunc
+	moved    bool               // addr has changed since the last attempt began
+	listed   bool               // a list is known; if not, an attempt fetches the complete list first
+	revision uint64             // of the known list
+	cancel   context.CancelFunc // ends the last attempt
 }
 
-// New returns a watch of a discovery service, which ends with the context. It calls changed and failed from a goroutine
-// of its own. A known list with endpoints in it is not fetched again, whatever its revision: when many poolers start,
-// that would be a second request of each.
+// New returns a watch of the discovery service at an address. It runs until the context ends. It calls onList and
+// onFailure on its goroutine; onList must not call Move, which waits for it. A known list with endpoints is not fetched
+// again, whatever its revision: otherwise each of many poolers that start together would send a second request.
 func New(ctx context.Context, addr string, known List, bounds limits.Discovery, log zerolog.Logger,
-	changed func(List), failed func(),
+	onList func(List), onFailure func(),
 ) *Watch {
 	watch := &Watch{
-		limits:  bounds,
-		log:     log,
-		changed: changed,
-		failed:  failed,
+		limits:    bounds,
+		log:       log,
+		onList:    onList,
+		onFailure: onFailure,
 		client: &http.Client{Transport: &http.Transport{
 			DialContext:       (&net.Dialer{Timeout: bounds.ResponseTimeout}).DialContext,
-			DisableKeepAlives: true, // it prevents hidden retries on a stale connection: each would be a request
+			DisableKeepAlives: true, // net/http would repeat a request unseen if an idle connection were stale
 		}},
-		calls:    make(chan struct{}, 1),
-		addr:     addr,
-		listed:   len(known.Members) > 0,
-		revision: known.Revision,
-		cancel:   func() {},
+		requested: make(chan struct{}, 1),
+		addr:      addr,
+		listed:    len(known.Members) > 0,
+		revision:  known.Revision,
+		cancel:    func() {},
 	}
 	go watch.run(ctx)
 	return watch
 }
 
-// Subscribe requests one attempt to read what has changed and all further changes. It does not block.
+// Subscribe requests one attempt, which reads all changes after the known revision until it fails. It does not block.
 func (w *Watch) Subscribe() {
 	select {
-	case w.calls <- struct{}{}:
-	default: // an attempt is requested already
+	case w.requested <- struct{}{}:
+	default: // an attempt is already requested
 	}
 }
 
-// Move watches another address from now on, beginning with the complete list: its revisions may be numbered otherwise.
+// Move changes the address that is watched and starts an attempt there. The attempt begins with the complete list,
+// since the service at the new address may number its revisions differently.
 func (w *Watch) Move(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -162,47 +164,47 @@
 	}
 }
 
-// run makes attempts as they are requested, until the context ends.
+// run makes the requested attempts until the context ends.
 func (w *Watch) run(ctx context.Context) {
-	var logged time.Time
+	var lastLogged time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.calls:
+		case <-w.requested:
 		}
-		err := w.call(ctx)
-		for w.again() {
-			err = w.call(ctx)
+		err := w.attempt(ctx)
+		for w.endAttempt() {
+			err = w.attempt(ctx)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if now := time.Now(); now.Sub(logged) >= w.limits.LogInterval {
-			logged = now
+		if now := time.Now(); now.Sub(lastLogged) >= w.limits.LogInterval {
+			lastLogged = now
 			w.log.Warn().Err(err).Msg("discovery: watch ended")
 		}
-		w.failed()
+		w.onFailure()
 	}
 }
 
-// again reports whether the service has moved since the last attempt began. If it has not, that attempt also answers
-// what was requested meanwhile: one failure must not lead to two attempts. Both are one step under the lock, or a move
-// in between would wait for the next Subscribe.
-func (w *Watch) again() bool {
+// endAttempt reports whether the address has changed since the last attempt began; if so, another attempt must follow.
+// If not, it drops a request made during the attempt: one failure must not lead to two attempts. Both steps hold the
+// lock: the request of a Move between them would be dropped, and the move would wait for the next Subscribe.
+func (w *Watch) endAttempt() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.moved {
 		select {
-		case <-w.calls:
+		case <-w.requested:
 		default:
 		}
 	}
 	return w.moved
 }
 
-// call makes one attempt: it reads the complete list if none is known, and then watch events until the watch breaks.
-func (w *Watch) call(ctx context.Context) error {
+// attempt reads the complete list if no list is known, and then watch events until the watch breaks.
+func (w *Watch) attempt(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w.mu.Lock()
@@ -214,22 +216,22 @@
 			return err
 		}
 	}
-	return w.get(ctx, url+"?watch=1&from="+strconv.FormatUint(w.version(), 10), false)
+	return w.get(ctx, url+"?watch=1&from="+strconv.FormatUint(w.knownRevision(), 10), false)
 }
 
-// version returns the revision that is known.
-func (w *Watch) version() uint64 {
+// knownRevision returns the revision of the known list.
+func (w *Watch) knownRevision() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.revision
 }
 
-// get makes one request. For the complete list, it returns nil once that has come: whether the
-// response then ends properly does not matter. Otherwise it reads watch events until the watch breaks.
+// get makes one request. For the complete list, it returns nil once the list has arrived, however the response ends.
+// For a watch, it reads events until the watch breaks.
 func (w *Watch) get(ctx context.Context, url string, complete bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// A service that is cut off and never closes ends the request by its silence.
+	// The timer ends the request if the service is silent: a service that is cut off may never close the connection.
 	silence := time.AfterFunc(w.limits.ResponseTimeout, cancel)
 	defer silence.Stop()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -240,13 +242,13 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // nothing is read after it
-	heard := func() { silence.Reset(w.limits.SilenceTimeout) }
-	heard()
+	defer func() { _ = response.Body.Close() }() // nothing more is read from it
+	onHeartbeat := func() { silence.Reset(w.limits.SilenceTimeout) }
+	onHeartbeat()
 	if response.StatusCode != http.StatusOK {
 		return errors.New(response.Status)
 	}
-	body := &reader{from: response.Body, heard: heard}
+	body := &responseReader{source: response.Body, onHeartbeat: onHeartbeat}
 	objects := json.NewDecoder(body)
 	for first := true; ; first = false {
 		list, err := w.next(body, objects, complete)
@@ -260,69 +262,70 @@
 }
 
 // next reads the next object of a response and checks it.
-func (w *Watch) next(body *reader, objects *json.Decoder, complete bool) (list List, err error) {
+func (w *Watch) next(body *responseReader, objects *json.Decoder, complete bool) (list List, err error) {
 	var text json.RawMessage
-	body.left = w.limits.MaxListBytes
+	body.remaining = w.limits.MaxListBytes
 	if err := objects.Decode(&text); err != nil {
 		return list, err
 	}
-	body.heard()
-	body.open = !blank(objects.Buffered())
-	list, numbered, err := parse(text)
+	body.onHeartbeat()
+	body.inObject = !blank(objects.Buffered())
+	list, hasRevision, err := parse(text)
 	switch {
 	case err != nil:
 		return list, err
-	case !numbered: // any other object, or none, must not pass for an event without changes
+	case !hasRevision: // null or an unrelated object must not be read as an event without changes
 		return list, errors.New("revision: missing")
 	case len(list.Members) > w.limits.MaxMembers:
-		return list, fmt.Errorf("%d members", len(list.Members))
+		return list, fmt.Errorf("too many members: %d", len(list.Members))
 	case complete && !list.Complete:
 		return list, errors.New("the list is not complete")
 	}
 	return list, nil
 }
 
-// reader reads a response. It reports heartbeats: empty lines between objects, and the beginning of each object. It
-// bounds the bytes of one object. The bytes inside an object are no heartbeat, only its end is: an object that
-// trickles on and never ends must not keep the watch alive.
-type reader struct {
-	from  io.Reader
-	left  int    // bytes that the object may still take
-	open  bool   // an object has begun and is not complete
-	heard func() // reports a heartbeat
+// responseReader reads a response and bounds the bytes of each object. It reports a heartbeat for empty lines between
+// objects and for the beginning of an object. Further bytes of an object are no heartbeat: an object that arrives
+// slowly and never ends must not keep the watch alive. Watch.next reports the heartbeat at the end of an object.
+type responseReader struct {
+	source      io.Reader
+	remaining   int  // bytes by which the object may still grow
+	inObject    bool // an object has begun and is not complete
+	onHeartbeat func()
 }
 
 // Read implements io.Reader.
-func (r *reader) Read(p []byte) (int, error) {
-	if r.left <= 0 {
+func (r *responseReader) Read(p []byte) (int, error) {
+	if r.remaining <= 0 {
 		return 0, errors.New("an object of the list is too long")
 	}
-	n, err := r.from.Read(p)
-	r.left -= n
-	if !r.open && n > 0 {
-		r.open = !blank(bytes.NewReader(p[:n]))
-		r.heard()
+	n, err := r.source.Read(p)
+	r.remaining -= n
+	if !r.inObject && n > 0 {
+		r.inObject = !blank(bytes.NewReader(p[:n]))
+		r.onHeartbeat()
 	}
 	return n, err
 }
 
-// blank reports whether there is nothing but white space.
+// blank reports whether a reader has nothing but white space. The reader must read from memory.
 func blank(r io.Reader) bool {
-	text, _ := io.ReadAll(r) // it reads from memory
+	text, _ := io.ReadAll(r) // reading from memory never fails
 	return len(bytes.TrimSpace(text)) == 0
 }
 
-// accept passes on a list, unless the service has moved since: its revision would mean nothing there. An older revision
-// after a newer one is an error; only a complete list that begins a response may restart the numbers. On that error,
-// and when a complete list has no endpoint, which must be a fault of the service, the list that is known stays.
+// accept passes a list to onList. It drops a list that arrives after Move has changed the address, where the revision
+// would have no meaning. A revision below the known one is an error, except in a complete list that begins a response:
+// the service may have restarted its numbering. A complete list without endpoints is an error too, since it must be a
+// fault of the service. After either error the known list stays in use.
 func (w *Watch) accept(ctx context.Context, list List, first bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	begins := first && list.Complete
-	if w.listed && list.Revision < w.revision && !begins {
+	mayRenumber := first && list.Complete
+	if w.listed && list.Revision < w.revision && !mayRenumber {
 		known := w.revision
 		w.listed = false // the complete list is fetched next
 		return fmt.Errorf("revision %d, older than %d", list.Revision, known)
@@ -331,6 +334,6 @@
 		return errors.New("the list names no database")
 	}
 	w.listed, w.revision = true, list.Revision
-	w.changed(list)
+	w.onList(list)
 	return nil
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -19,18 +19,18 @@
 	"capercove/internal/testbed/loopback"
 )
 
-// eventTimeout is how long anything that must happen may take on a busy machine.
+// eventTimeout is the time within which an expected event must happen, even on a busy machine.
 const eventTimeout = 20 * time.Second
 
-// service is a discovery service under the test's control: each request waits until the test answers it.
+// service is a discovery service that the test controls: each request waits until the test answers it.
 type service struct {
-	t     *testing.T
-	addr  string
-	calls chan *call
+	t        *testing.T
+	addr     string
+	requests chan *request
 }
 
-// call is one request of a watch, at the service.
-type call struct {
+// request is one request that the service has received from a watch.
+type request struct {
 	net.Conn
 	t    *testing.T
 	path string
@@ -39,27 +39,27 @@
 func newService(t *testing.T) *service {
 	t.Helper()
 	listener := loopback.Listen(t)
-	created := &service{t: t, addr: listener.Addr().String(), calls: make(chan *call, 16)}
+	created := &service{t: t, addr: listener.Addr().String(), requests: make(chan *request, 16)}
 	go loopback.Accept(listener, created.receive)
 	return created
 }
 
 // receive reads one request from a connection.
 func (s *service) receive(connection net.Conn) {
-	request, err := http.ReadRequest(bufio.NewReader(connection))
+	parsed, err := http.ReadRequest(bufio.NewReader(connection))
 	if err != nil {
 		_ = connection.Close()
 		return
 	}
 	s.t.Cleanup(func() { _ = connection.Close() }) // the test may have closed it
-	s.calls <- &call{connection, s.t, request.URL.RequestURI()}
+	s.requests <- &request{connection, s.t, parsed.URL.RequestURI()}
 }
 
 // next returns the next request.
-func (s *service) next() *call {
+func (s *service) next() *request {
 	s.t.Helper()
 	select {
-	case received := <-s.calls:
+	case received := <-s.requests:
 		return received
 	case <-time.After(eventTimeout):
 		require.FailNow(s.t, "no request")
@@ -67,25 +67,25 @@
 	}
 }
 
-// begin begins an answer without a length, which ends with the connection.
-func (c *call) begin() *call {
-	c.t.Helper()
-	return c.send("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n")
+// begin sends the header of an answer without a length, whose body ends with the connection.
+func (r *request) begin() *request {
+	r.t.Helper()
+	return r.send("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n")
 }
 
 // send sends a part of the answer.
-func (c *call) send(text string) *call {
-	c.t.Helper()
-	_, err := c.Write([]byte(text))
-	require.NoError(c.t, err)
-	return c
+func (r *request) send(text string) *request {
+	r.t.Helper()
+	_, err := r.Write([]byte(text))
+	require.NoError(r.t, err)
+	return r
 }
 
 // reset ends the connection with a reset.
-func (c *call) reset() {
-	c.t.Helper()
-	require.NoError(c.t, c.Conn.(*net.TCPConn).SetLinger(0))
-	require.NoError(c.t, c.Close())
+func (r *request) reset() {
+	r.t.Helper()
+	require.NoError(r.t, r.Conn.(*net.TCPConn).SetLinger(0))
+	require.NoError(r.t, r.Close())
 }
 
 // listObject returns a list of databases as JSON, each given as its ID and phase.
@@ -100,7 +100,7 @@
 		revision, complete, strings.Join(entries, ",\n"))
 }
 
-// watch is a watch with the events that it has reported.
+// watch is a discovery.Watch that records the lists and failures it reports.
 type watch struct {
 	*discovery.Watch
 	t      *testing.T
@@ -108,7 +108,7 @@
 	failed chan struct{}
 }
 
-// newWatch returns a watch that knows a list of a revision, or with revision 0 none.
+// newWatch returns a watch with a known list of one endpoint at a revision, or with no known list if the revision is 0.
 func newWatch(t *testing.T, from *service, known uint64, bounds limits.Discovery, log zerolog.Logger) *watch {
 	t.Helper()
 	list := discovery.List{Revision: known, Complete: true}
@@ -118,7 +118,7 @@
 	return watchFrom(t, from, list, bounds, log)
 }
 
-// watchFrom returns a watch that knows a list.
+// watchFrom returns a watch with a known list.
 func watchFrom(
 	t *testing.T, from *service, known discovery.List, bounds limits.Discovery, log zerolog.Logger,
 ) *watch {
@@ -132,151 +132,152 @@
 	return created
 }
 
-// list returns the next list that the watch reports.
-func (w *watch) list() discovery.List {
+// requireList returns the next list that the watch reports. The test fails if a failure is reported first.
+func (w *watch) requireList() discovery.List {
 	w.t.Helper()
 	select {
 	case list := <-w.lists:
 		return list
 	case <-w.failed:
-		require.FailNow(w.t, "the request has failed")
+		require.FailNow(w.t, "the watch reports a failure")
 	case <-time.After(eventTimeout):
 		require.FailNow(w.t, "no list")
 	}
 	return discovery.List{}
 }
 
-// fails waits until the watch reports a failure, with no list before.
-func (w *watch) fails() {
+// requireFailure waits until the watch reports a failure. The test fails if a list is reported first.
+func (w *watch) requireFailure() {
 	w.t.Helper()
 	select {
 	case list := <-w.lists:
-		require.FailNow(w.t, "a list", "%v", list)
+		require.FailNow(w.t, "the watch reports a list", "%v", list)
 	case <-w.failed:
 	case <-time.After(eventTimeout):
 		require.FailNow(w.t, "the request does not end")
 	}
 }
 
-// wide returns limits that no test reaches, except those that it sets.
-func wide() limits.Discovery {
+// wideLimits returns limits that no test reaches unless it lowers them.
+func wideLimits() limits.Discovery {
 	return limits.Discovery{
 		ResponseTimeout: eventTimeout, SilenceTimeout: eventTimeout, MaxListBytes: 1 << 20, MaxMembers: 100,
 	}
 }
 
-// hook calls a function for each line that is logged.
-type hook struct{ at func(line string) }
+// lineWriter is a log output that calls a function for each line.
+type lineWriter struct{ onLine func(line string) }
 
 // Write implements io.Writer.
-func (h hook) Write(line []byte) (int, error) {
-	h.at(string(line))
+func (l lineWriter) Write(line []byte) (int, error) {
+	l.onLine(string(line))
 	return len(line), nil
 }
 
-// A move to another address after a request has ended, and before that is reported, takes effect: the watch requests
-// the list from the new address at once, without another subscription.
-func TestMoveAsRequestEnds(t *testing.T) {
+// A move to another address that falls between the end of a request and its report takes effect: the watch requests the
+// list from the new address at once, without another subscription.
+func TestMoveBeforeFailureIsReportedTakesEffect(t *testing.T) {
 	before, after := newService(t), newService(t)
 	var watched *watch
 	var moved atomic.Bool
-	log := zerolog.New(hook{func(line string) {
+	log := zerolog.New(lineWriter{func(line string) {
 		if strings.Contains(line, "watch ended") && moved.CompareAndSwap(false, true) {
 			watched.Move(after.addr)
 		}
 	}})
-	watched = newWatch(t, before, 41, wide(), log)
+	watched = newWatch(t, before, 41, wideLimits(), log)
 	watched.Subscribe()
 	before.next().begin().reset()
-	watched.fails()
+	watched.requireFailure()
 	require.Equal(t, "/catalog/members", after.next().path, "the complete list from the new address")
 }
 
-// A subscription during a request is answered by that request.
-func TestOneRequestForOneFailure(t *testing.T) {
+// A subscription during a request leads to no further request: one failure is followed by one request.
+func TestSubscribeDuringRequestAddsNoRequest(t *testing.T) {
 	catalog := newService(t)
-	watched := newWatch(t, catalog, 41, wide(), zerolog.Nop())
+	watched := newWatch(t, catalog, 41, wideLimits(), zerolog.Nop())
 	watched.Subscribe()
-	request := catalog.next()
+	received := catalog.next()
 	watched.Subscribe()
-	request.reset()
-	watched.fails()
+	received.reset()
+	watched.requireFailure()
 	watched.Subscribe()
 	catalog.next().begin().send(listObject(42, false, "a SERVING"))
-	require.Equal(t, uint64(42), watched.list().Revision)
-	require.Empty(t, catalog.calls)
+	require.Equal(t, uint64(42), watched.requireList().Revision)
+	require.Empty(t, catalog.requests)
 }
 
-// An object that arrives slowly and never ends does not keep a request open: only complete ones do.
-func TestObjectWithoutEnd(t *testing.T) {
-	bounds := wide()
+// An object that arrives slowly and never ends does not keep a request open.
+func TestUnfinishedObjectDoesNotKeepRequestOpen(t *testing.T) {
+	bounds := wideLimits()
 	bounds.SilenceTimeout = 300 * time.Millisecond
 	catalog := newService(t)
 	watched := newWatch(t, catalog, 41, bounds, zerolog.Nop())
 	watched.Subscribe()
-	request := catalog.next().begin().send("\n")
+	received := catalog.next().begin().send("\n")
 	go func() {
 		for text := `{"revision":42,`; ; text = " " {
-			if _, err := request.Write([]byte(text)); err != nil {
+			if _, err := received.Write([]byte(text)); err != nil {
 				return
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	}()
-	watched.fails()
+	watched.requireFailure()
 }
 
-// Objects may be indented, arrive in parts and several at once; empty lines between them keep a request open.
-func TestObjectsInParts(t *testing.T) {
+// Objects may be indented, arrive in parts or arrive together, with empty lines between them.
+func TestObjectsMayArriveInPartsOrTogether(t *testing.T) {
 	catalog := newService(t)
-	watched := newWatch(t, catalog, 0, wide(), zerolog.Nop())
+	watched := newWatch(t, catalog, 0, wideLimits(), zerolog.Nop())
 	watched.Subscribe()
-	request := catalog.next().begin()
+	received := catalog.next().begin()
 	for _, piece := range strings.SplitAfter(listObject(1, true, "a SERVING", "b SERVING"), "\n") {
-		request.send(piece)
+		received.send(piece)
 	}
-	require.Len(t, watched.list().Members, 2)
-	request = catalog.next().begin()
+	require.Len(t, watched.requireList().Members, 2)
+	received = catalog.next().begin()
 	second, third := listObject(2, false, "a DRAINING"), listObject(3, false, "c SERVING")
-	request.send("\n\n" + second + third + "\n" + `{"revision":`)
-	require.Equal(t, uint64(2), watched.list().Revision)
-	require.Equal(t, uint64(3), watched.list().Revision)
-	request.send(`4,"complete":false,"members":[]}`)
-	require.Equal(t, uint64(4), watched.list().Revision)
+	received.send("\n\n" + second + third + "\n" + `{"revision":`)
+	require.Equal(t, uint64(2), watched.requireList().Revision)
+	require.Equal(t, uint64(3), watched.requireList().Revision)
+	received.send(`4,"complete":false,"members":[]}`)
+	require.Equal(t, uint64(4), watched.requireList().Revision)
 }
 
-// A complete list that is cut off replaces nothing. One that has arrived is used however the request then ends, and is
-// not requested again: the watch continues from it.
-func TestCutOffList(t *testing.T) {
+// A complete list that is cut off is not used. A list that has arrived is used however the request then ends. It is not
+// requested again: the watch continues from its revision.
+func TestListIsUsedOnceItHasArrivedWhole(t *testing.T) {
 	catalog := newService(t)
-	watched := newWatch(t, catalog, 0, wide(), zerolog.Nop())
+	watched := newWatch(t, catalog, 0, wideLimits(), zerolog.Nop())
 	complete := listObject(7, true, "a SERVING", "b SERVING")
-	for _, end := range []func(*call){(*call).reset, func(c *call) { require.NoError(t, c.Close()) }} {
+	for _, end := range []func(*request){(*request).reset, func(r *request) { require.NoError(t, r.Close()) }} {
 		watched.Subscribe()
-		request := catalog.next()
-		require.Equal(t, "/catalog/members", request.path)
-		request.begin().send(complete[:len(complete)-3])
-		end(request)
-		watched.fails()
+		received := catalog.next()
+		require.Equal(t, "/catalog/members", received.path)
+		received.begin().send(complete[:len(complete)-3])
+		end(received)
+		watched.requireFailure()
 	}
 	watched.Subscribe()
-	request := catalog.next().begin().send(complete)
-	require.Len(t, watched.list().Members, 2)
-	request.reset()
+	received := catalog.next().begin().send(complete)
+	require.Len(t, watched.requireList().Members, 2)
+	received.reset()
 	require.Equal(t, "/catalog/members?watch=1&from=7", catalog.next().path)
 	require.Empty(t, watched.failed)
 }
 
-// An invalid list, an older or an empty one ends the request, and the known list stays. After an older one the complete
-// list is requested. Only a complete list at the start of an answer may have a lower revision.
-func TestInvalidLists(t *testing.T) {
+// A list that is invalid, empty or older than the known list ends the request, and the known list stays in use. After
+// an older list the complete list is requested. Only a complete list at the start of an answer may have a lower
+// revision.
+func TestInvalidListEndsRequestAndKeepsKnownList(t *testing.T) {
 	catalog := newService(t)
 	var logged atomic.Value
-	watched := newWatch(t, catalog, 0, wide(), zerolog.New(hook{func(line string) { logged.Store(line) }}))
+	watched := newWatch(t, catalog, 0, wideLimits(), zerolog.New(lineWriter{func(line string) { logged.Store(line) }}))
 	watched.Subscribe()
 	catalog.next().begin().send(listObject(41, true, "a SERVING"))
-	watched.list()
-	request := catalog.next()
+	watched.requireList()
+	received := catalog.next()
 	for _, invalid := range []struct{ text, why string }{
 		{"null", "revision: missing"},
 		{"{}", "revision: missing"},
@@ -287,36 +288,36 @@
 		{listObject(42, true), "names no database"},
 		{strings.Replace(listObject(42, false, "a SERVING"), ":5432", "", 1), "host_port"},
 	} {
-		require.Equal(t, "/catalog/members?watch=1&from=41", request.path)
-		request.begin().send(invalid.text + "\n")
-		watched.fails()
+		require.Equal(t, "/catalog/members?watch=1&from=41", received.path)
+		received.begin().send(invalid.text + "\n")
+		watched.requireFailure()
 		require.Contains(t, logged.Load(), invalid.why)
 		watched.Subscribe()
-		request = catalog.next()
+		received = catalog.next()
 	}
-	request.begin().send(listObject(43, false, "a DRAINING") + listObject(42, false, "a SERVING"))
-	require.Equal(t, "DRAINING", watched.list().Members[0].Phase)
-	watched.fails()
+	received.begin().send(listObject(43, false, "a DRAINING") + listObject(42, false, "a SERVING"))
+	require.Equal(t, "DRAINING", watched.requireList().Members[0].Phase)
+	watched.requireFailure()
 	require.Contains(t, logged.Load(), "revision 42, older than 43")
 	watched.Subscribe()
-	request = catalog.next()
-	require.Equal(t, "/catalog/members", request.path)
-	request.begin().send(listObject(2, true, "a SERVING"))
-	require.Equal(t, uint64(2), watched.list().Revision)
+	received = catalog.next()
+	require.Equal(t, "/catalog/members", received.path)
+	received.begin().send(listObject(2, true, "a SERVING"))
+	require.Equal(t, uint64(2), watched.requireList().Revision)
 	require.Equal(t, "/catalog/members?watch=1&from=2", catalog.next().path)
 }
 
-// A list that is known at the start is not requested again, also with revision 0: the first request is a watch. With no
-// known database the complete list is requested first, whatever the revision.
-func TestFirstRequest(t *testing.T) {
-	some := []discovery.Entry{{ID: "a", Addr: "127.0.0.1:5432", Phase: "SERVING"}}
+// If a list with endpoints is known at the start, the first request is a watch, even if the revision is 0. If the known
+// list has no endpoints, the first request is for the complete list, whatever the revision.
+func TestFirstRequestIsWatchIfListIsKnown(t *testing.T) {
+	members := []discovery.Entry{{ID: "a", Addr: "127.0.0.1:5432", Phase: "SERVING"}}
 	for path, known := range map[string]discovery.List{
-		"/catalog/members?watch=1&from=0": {Complete: true, Members: some},
-		"/catalog/members?watch=1&from=7": {Revision: 7, Complete: true, Members: some},
+		"/catalog/members?watch=1&from=0": {Complete: true, Members: members},
+		"/catalog/members?watch=1&from=7": {Revision: 7, Complete: true, Members: members},
 		"/catalog/members":                {Revision: 7, Complete: true},
 	} {
 		catalog := newService(t)
-		watched := watchFrom(t, catalog, known, wide(), zerolog.Nop())
+		watched := watchFrom(t, catalog, known, wideLimits(), zerolog.Nop())
 		watched.Subscribe()
 		require.Equal(t, path, catalog.next().path)
 	}
