--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,6 +1,6 @@
-// Package peers connects one pooler with the view that poolers share: it publishes what the pooler observes, and
-// applies to the pooler the hints that are derived from the view. The decisions are made in package membership.
-// Nothing here is on the path of a request.
+// Package peers connects one pooler with the view that poolers share. It publishes the pooler's observations, and
+// applies to the pooler the hints that package membership derives from the view. Requests of clients do
+// not pass through it.
 package peers
 
 import (
@@ -23,13 +23,13 @@
 	hintsLease    = 3 * time.Second // hints that are not renewed for this long no longer apply
 	renewInterval = time.Second
 
-	measureInterval = 10 * time.Second // between measurements of the load that is published
+	measureInterval = 10 * time.Second // between measurements of the published load
 	notableFactor   = 1.5              // a measurement is published only if it differs from the last by this factor
 
 	reportRetention = time.Minute // an observation is published for this long after it became the default again
 )
 
-// Self is what a pooler publishes of itself.
+// Self is what a pooler publishes about itself.
 type Self struct {
 	Version     string      `json:"version,omitempty"`
 	Zone        string      `json:"zone,omitempty"`
@@ -37,19 +37,19 @@
 	Listen      string      `json:"listen"`
 	Management  string      `json:"management,omitempty"`
 	Settings    string      `json:"settings"`           // digest of the settings
-	Load        int         `json:"load"`               // requests per second, roughly
-	Connections int         `json:"connections"`        // of clients and to databases, roughly
+	Load        int         `json:"load"`               // requests per second, approximately
+	Connections int         `json:"connections"`        // open ones of clients and to databases, approximately
 	Groups      map[int]int `json:"groups,omitempty"`   // Load by group of databases
-	Counted     int         `json:"counted,omitempty"`  // poolers by which it divides capacity
-	Stopping    bool        `json:"stopping,omitempty"` // it is shutting down
+	Counted     int         `json:"counted,omitempty"`  // number of poolers by which it divides capacity
+	Stopping    bool        `json:"stopping,omitempty"` // the pooler is shutting down
 }
 
 // Pooler gives access to the pooler. Its functions are called on the event loop, except Do.
 type Pooler struct {
 	Core        *core.Core
 	Do          func(func())         // runs a function on the event loop
-	Keep        func(map[string]int) // limits idle connections by database; nil: no limit
-	Connections func() int           // number of open ones
+	Keep        func(map[string]int) // limits the idle connections by database; nil: no limit
+	Connections func() int           // returns the number of open connections
 	Log         zerolog.Logger
 }
 
@@ -61,24 +61,24 @@
 	reporter *membership.Reporter
 
 	openConnections atomic.Int64 // as last counted on the event loop
-	leaseLost       atomic.Bool  // the lease ran out, or no hints were applied yet
+	leaseLost       atomic.Bool  // the lease has expired, or no hints have been applied yet
 
 	mu            sync.Mutex // guards the fields below; never locked on the event loop, which must not wait for Period
 	self          Self
 	suspected     []string
 	hints         membership.Hints // of the last period
 	probes        int64            // caused by the hints
-	newRouters    int              // of settings that Period has not used yet; 0: none
+	newRouters    int              // number of poolers in settings that Period has not used yet; 0: none
 	lastMeasured  time.Duration    // 0: never
 	lastRequests  int64            // counted at lastMeasured
 	groupRequests map[int]int64    // counted at lastMeasured, by group
 	lastRenewed   time.Duration
 
-	lease *timerwheel.Timer // used on the event loop alone
+	lease *timerwheel.Timer // of the applied hints; used only on the event loop
 }
 
-// New returns the peers of the pooler of this name. Self is what it publishes first, routers the number of poolers in
-// the settings.
+// New connects the pooler of this name with the shared view. Self is what it publishes first; routers is the number of
+// poolers in the settings.
 func New(name string, uses membership.Uses, self Self, routers int, pooler Pooler) *Peers {
 	peers := &Peers{
 		pooler:   pooler,
@@ -90,7 +90,7 @@
 	return peers
 }
 
-// Configured notes new settings: their digest, and the number of poolers in them.
+// Configured applies new settings from the next period on: their digest, and the number of poolers in them.
 func (p *Peers) Configured(digest string, routers int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,8 +104,8 @@
 	p.self.Stopping = true
 }
 
-// Period derives hints from the view, has them applied, and returns the values that the pooler publishes. It is called
-// once in each gossip period.
+// Period derives hints from the view, applies them on the event loop, and returns the values that the pooler publishes.
+// It must be called once in each gossip period.
 func (p *Peers) Period(now time.Duration, view *membership.View) map[membership.Key][]byte {
 	figures := p.pooler.Core.Figures()
 	local := localObservations(figures.Databases)
@@ -157,7 +157,7 @@
 	routing.NotListening:  membership.NotListening,
 }
 
-// mustApply reports whether hints are to be applied now: they have changed, or the lease is lost or to be renewed. The
+// mustApply reports whether hints must be applied now: they have changed, or the lease is lost or must be renewed. The
 // caller holds mu.
 func (p *Peers) mustApply(now time.Duration, hints membership.Hints) bool {
 	changed := hints.Routers != p.hints.Routers || !equalLimits(hints.IdleConnections, p.hints.IdleConnections)
@@ -167,7 +167,7 @@
 // equalLimits reports whether two limits on idle connections are the same. No limit (nil) differs from an empty one.
 func equalLimits(a, b map[string]int) bool { return (a == nil) == (b == nil) && maps.Equal(a, b) }
 
-// logHints logs what is new in hints. The caller holds mu.
+// logHints logs a changed number of poolers and the hinted probes. The caller holds mu.
 func (p *Peers) logHints(hints membership.Hints) {
 	if hints.Routers != p.hints.Routers {
 		p.pooler.Log.Info().Int("poolers", hints.Routers).Int("before", p.hints.Routers).
@@ -178,7 +178,7 @@
 	}
 }
 
-// measure updates the load and the connections that are published. The caller holds mu.
+// measure updates the published load and number of connections. The caller holds mu.
 func (p *Peers) measure(now time.Duration, figures core.Figures) {
 	requests := int64(0)
 	for _, class := range figures.Classes {
@@ -197,8 +197,8 @@
 	p.lastMeasured, p.lastRequests, p.groupRequests = now, requests, figures.Asks
 }
 
-// groupLoads returns the loads by group to publish: the published ones as long as none differs notably from the load
-// since the counts before.
+// groupLoads returns the load of each group to publish, in requests per second. It returns the published loads unless
+// one of them differs notably from the load since the counts before.
 func groupLoads(published map[int]int, counts, before map[int]int64, seconds float64) map[int]int {
 	loads, notable := map[int]int{}, false
 	for group, count := range counts {
@@ -212,8 +212,8 @@
 	return loads
 }
 
-// isNotable reports whether a measurement differs so much from the published one that it is to be published. It keeps
-// small changes from being sent to all poolers all the time.
+// isNotable reports whether a measurement differs enough from the published one to be published. Small changes are not
+// sent to all poolers.
 func isNotable(measured, published float64) bool {
 	return max(measured, published)+1 > notableFactor*(min(measured, published)+1)
 }
@@ -221,13 +221,13 @@
 func (s Self) encode() []byte {
 	text, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // a fault of this program: all fields can be encoded
+		panic(err) // a programming error: all fields can be encoded
 	}
 	return text
 }
 
-// apply applies hints to the pooler, on the event loop. They hold for the lease: if Period is not called any more, the
-// pooler continues by its settings alone.
+// apply applies hints to the pooler, on the event loop. The hints expire with their lease: if Period is no longer
+// called, the pooler returns to its settings.
 func (p *Peers) apply(hints membership.Hints) {
 	p.setLimits(hints)
 	for _, database := range hints.Probe {
@@ -248,15 +248,15 @@
 	p.pooler.Keep(hints.IdleConnections)
 }
 
-// Status is what operators see of the use of the view.
+// Status shows operators how the pooler uses the view.
 type Status struct {
-	Counted int      `json:"counted"` // poolers by which capacity is divided; 0: as many as the settings say
+	Counted int      `json:"counted"` // poolers by which capacity is divided; 0: the number in the settings
 	Doubted []string `json:"doubted"` // databases under suspicion
-	Asked   int64    `json:"asked"`   // probes of them
-	Lost    bool     `json:"lost"`    // no hints apply: the lease ran out
+	Asked   int64    `json:"asked"`   // probes caused by hints
+	Lost    bool     `json:"lost"`    // no hints apply: the lease has expired, or none have been applied yet
 }
 
-// Status returns the use of the view in the last period.
+// Status returns how the pooler used the view in the last period.
 func (p *Peers) Status() Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -16,7 +16,8 @@
 	"capercove/routing"
 )
 
-// fixture is a core driven by hand, with three databases of which some do not answer, and a view that the test fills.
+// fixture is a core on a simulated clock, with three databases of which some do not answer, and a view that the test
+// fills.
 type fixture struct {
 	now    time.Duration
 	core   *core.Core
@@ -28,7 +29,7 @@
 
 func (f *fixture) Subscribe() {}
 
-// Probe is answered at once; the database db1 is the primary.
+// Probe answers a probe at once. The database db1 is the primary.
 func (f *fixture) Probe(member *core.Member) {
 	if f.silent[member.Name] {
 		f.core.Probed(member, routing.TimedOut, 250*time.Millisecond, routing.Evidence{})
@@ -41,7 +42,7 @@
 	f.core.Probed(member, routing.OK, 0, routing.Evidence{Role: role, Position: f.now})
 }
 
-// newCore is a core with the settings of three poolers, without databases yet.
+// newCore returns a core with the settings of three poolers and no databases.
 func (f *fixture) newCore() *core.Core {
 	settings := routing.Settings{
 		Routers: 3, MaxAttempts: 4, CanProbe: true, DrainGrace: time.Second,
@@ -58,7 +59,7 @@
 		func() time.Duration { return f.now }, func() {}, func() {})
 }
 
-// newFixture starts a core with the databases db1 to db3 and the pooler n0 of the membership.
+// newFixture starts a core with the databases db1 to db3 and connects it with the view as pooler n0.
 func newFixture(uses membership.Uses) *fixture {
 	fixture := &fixture{
 		now: 1_800_000_000 * time.Second, silent: map[string]bool{},
@@ -83,14 +84,14 @@
 	return fixture
 }
 
-// pass lets time pass while no period runs.
-func (f *fixture) pass(duration time.Duration) {
+// passWithoutPeriods lets time pass without calls of Period.
+func (f *fixture) passWithoutPeriods(duration time.Duration) {
 	for end := f.now + duration; f.now < end; {
 		f.tick()
 	}
 }
 
-// passPeriods lets time pass with periods of 200 ms. It returns what was published last.
+// passPeriods lets time pass and calls Period every 200 ms. It returns what was published last.
 func (f *fixture) passPeriods(duration time.Duration) (published map[membership.Key][]byte) {
 	for end := f.now + duration; f.now < end; {
 		f.tick()
@@ -102,7 +103,7 @@
 	return published
 }
 
-// tick lets a tick of the core pass.
+// tick advances the clock by one tick of the core.
 func (f *fixture) tick() {
 	f.now += 5 * time.Millisecond
 	f.core.Tick()
@@ -124,7 +125,7 @@
 	f.view.Merge(f.now, publisher.Publish(f.now, values))
 }
 
-// unresponsiveFrom is an observation that db3 is unresponsive, from so long after now.
+// unresponsiveFrom returns the observation that db3 is unresponsive since the given duration after now.
 func (f *fixture) unresponsiveFrom(after time.Duration) map[string]membership.Observation {
 	since := (f.now + after).Milliseconds()
 	return map[string]membership.Observation{"db3": {State: membership.Unresponsive, Since: since}}
@@ -132,12 +133,12 @@
 
 func (f *fixture) unavailable() int { return f.core.Figures().Unavailable }
 
-// databaseKey is the key of a database's observation.
+// databaseKey returns the key of a database's observation.
 func databaseKey(database string) membership.Key {
 	return membership.Key{Kind: membership.KindDatabase, Subject: database}
 }
 
-// requirePublishedState requires that a database is published in a state.
+// requirePublishedState requires that db3 is published in a state.
 func requirePublishedState(t *testing.T, published map[membership.Key][]byte, want membership.State) {
 	t.Helper()
 	observation, ok := membership.ParseObservation(published[databaseKey("db3")])
@@ -153,16 +154,17 @@
 	require.Equal(t, want, self)
 }
 
-// A database that two others report as unresponsive is probed and found so here, too, though this pooler has sent it no
-// request; one that answers stays available, whatever others report; with the use off, nothing is probed.
-func TestSuspectedDatabaseIsProbed(t *testing.T) {
+// A database that two other poolers report as unresponsive is probed, though this pooler has sent it no request.
+// Without an answer to the probe it becomes unavailable. A database that answers stays available, whatever other
+// poolers report. If suspicion is off, no database is probed.
+func TestDatabaseSuspectedByTwoPoolersIsProbed(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		suspicion, silent bool
 		unavailable       int
 	}{
-		"it does not answer": {suspicion: true, silent: true, unavailable: 1},
-		"it answers":         {suspicion: true},
-		"the use is off":     {silent: true},
+		"database does not answer": {suspicion: true, silent: true, unavailable: 1},
+		"database answers":         {suspicion: true},
+		"suspicion is off":         {silent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fixture := newFixture(membership.Uses{Suspicion: testCase.suspicion})
@@ -171,7 +173,7 @@
 			observations := fixture.unresponsiveFrom(time.Millisecond)
 			fixture.mergePeer("n1", observations)
 			fixture.passPeriods(2 * time.Second)
-			require.Zero(t, fixture.unavailable(), "by the report of one pooler alone")
+			require.Zero(t, fixture.unavailable(), "the report of one pooler is not enough")
 			fixture.mergePeer("n2", observations)
 			fixture.passPeriods(2 * time.Second)
 			require.Equal(t, testCase.unavailable, fixture.unavailable())
@@ -180,24 +182,24 @@
 			}
 			fixture.passPeriods(20 * time.Second)
 			require.LessOrEqual(t, fixture.core.Counters().Asked, int64(24),
-				"twice each 2 s at the most, whatever is reported")
+				"at most twice each 2 s, whatever is reported")
 		})
 	}
 }
 
-// Observations are published, and withdrawn when they end; the digest of the settings follows a reload.
+// An observation is published and then withdrawn when it ends. The published digest of the settings follows a reload.
 func TestObservationsArePublishedAndWithdrawn(t *testing.T) {
 	fixture := newFixture(membership.Uses{Suspicion: true})
 	observations := fixture.unresponsiveFrom(5 * time.Second)
 	fixture.silent["db3"] = true
 	fixture.mergePeer("n1", observations)
 	fixture.mergePeer("n2", observations)
-	requirePublishedState(t, fixture.passPeriods(4*time.Second), membership.Failing) // it does not answer probes
+	requirePublishedState(t, fixture.passPeriods(4*time.Second), membership.Failing) // db3 does not answer probes
 
 	fixture.silent["db3"] = false
 	fixture.core.ProbeByName("db3")
 	published := fixture.passPeriods(time.Second)
-	observation, _ := membership.ParseObservation(published[databaseKey("db3")]) // its absence means healthy too
+	observation, _ := membership.ParseObservation(published[databaseKey("db3")]) // an absent one is Healthy, too
 	require.Equal(t, membership.Healthy, observation.State, "withdrawn")
 	requirePublishedSelf(t, published, peers.Self{Listen: "here", Settings: "a", Connections: 7})
 
@@ -207,7 +209,7 @@
 		peers.Self{Listen: "here", Settings: "b", Connections: 7, Stopping: true})
 }
 
-// If no period runs any more, the hints expire with their lease, and the settings apply again.
+// If Period is no longer called, the hints expire with their lease and the settings apply again.
 func TestHintsExpireWithTheLease(t *testing.T) {
 	fixture := newFixture(membership.Uses{Count: true, Connections: 10})
 	for _, name := range []string{"n1", "n2", "n3", "n4"} {
@@ -217,16 +219,16 @@
 	require.Equal(t, 5, fixture.core.Counters().Routers)
 	require.Equal(t, map[string]int{"db1": 2, "db2": 2, "db3": 2}, fixture.idle)
 	require.False(t, fixture.peers.Status().Lost)
-	fixture.pass(3 * time.Second)
+	fixture.passWithoutPeriods(3 * time.Second)
 	require.Equal(t, 3, fixture.core.Counters().Routers, "as in the settings")
 	require.Nil(t, fixture.idle)
 	require.True(t, fixture.peers.Status().Lost)
 	fixture.passPeriods(time.Second)
-	require.Equal(t, 5, fixture.core.Counters().Routers, "the periods run again")
+	require.Equal(t, 5, fixture.core.Counters().Routers, "Period is called again")
 }
 
-// No probe is sent on request to a database that is unknown, draining, gone or excluded.
-func TestProbeByNameKeepsTheRules(t *testing.T) {
+// ProbeByName sends no probe to a database that is unknown, excluded, draining or gone.
+func TestProbeByNameSkipsUnknownExcludedDrainingAndGoneDatabases(t *testing.T) {
 	fixture := newFixture(membership.Uses{})
 	require.True(t, fixture.core.ProbeByName("db1"))
 	require.False(t, fixture.core.ProbeByName("odd"))
