--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,5 @@
-// Package config reads the platform's configuration of a pooler: the variables GW_* and the JSON file that GW_CONFIG
-// names.
-// Errors that concern a key are of type tables.KeyError.
+// Package config reads the platform's configuration of a pooler: the environment variables GW_* and the JSON file that
+// GW_CONFIG names. Errors that concern a key are of type tables.KeyError.
 package config
 
 import (
@@ -16,20 +15,20 @@
 	"capercove/routing"
 )
 
-// Config is what one pooler is started with.
+// Config is the platform's configuration of one pooler.
 type Config struct {
-	Name       string           // of this pooler among those of its site
+	Name       string           // of this pooler, unique at its site
 	Listen     string           // address for clients
 	Discovery  string           // address of the discovery service
 	Management string           // address for operators; empty: none
 	ListenFD   int              // the inherited listening socket; 0: none
 	Seed       uint64           // of all pseudo-random choices
-	Machine    limits.Machine   // what the platform grants
-	Known      discovery.List   // endpoints that are known before discovery answers
+	Machine    limits.Machine   // resources that the platform grants
+	Known      discovery.List   // endpoints known before the discovery service answers
 	Settings   routing.Settings // of the routing decisions
-	Facts      settings.Site    // other facts about the site
+	Facts      settings.Site    // settings of the site besides those of routing
 
-	shape any // the file as JSON, without the known endpoints
+	shape any // the decoded file without the known endpoints; Reload compares its keys
 }
 
 // Public returns what other poolers and operators may read of the configuration.
@@ -40,68 +39,68 @@
 	}
 }
 
-// Load reads the configuration at the start. The variables GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MANAGEMENT precede
-// the file's values.
+// Load reads the configuration at the start. The variables GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MANAGEMENT take
+// precedence over the file's values.
 func Load() (Config, error) { return load(false) }
 
-// Reload reads the configuration again while the program runs. Only the file can have changed since, so its values take
-// precedence over the environment's. A key that the file had before and lacks now is an error, as it would otherwise be
-// read as zero.
+// Reload reads the configuration again while the program runs. It does not change c. Only the file can have
+// changed, so its values take precedence over the environment's. A key that the file had before and lacks now is an
+// error: it would otherwise be read as zero.
 func (c Config) Reload() (Config, error) {
-	again, err := load(true)
+	reloaded, err := load(true)
 	if err == nil {
-		if key := missing(c.shape, again.shape); key != "" {
+		if key := missing(c.shape, reloaded.shape); key != "" {
 			err = tables.Bad(key, "missing")
 		}
 	}
-	return again, err
+	return reloaded, err
 }
 
-// missing returns a key that one JSON value has and another lacks, or "" if there is none. In a list, each object is to
-// have the keys that all objects of the other list share.
-func missing(had, has any) string {
-	switch had := had.(type) {
+// missing returns a dotted key that a JSON value had before and lacks after a reload, or "" if there is none. Each
+// element of a list must have all keys of at least one element of the list before.
+func missing(before, after any) string {
+	switch before := before.(type) {
 	case map[string]any:
-		has, _ := has.(map[string]any)
-		for key, value := range had {
-			if has[key] == nil && value != nil {
+		after, _ := after.(map[string]any)
+		for key, value := range before {
+			if after[key] == nil && value != nil {
 				return key
 			}
-			if below := missing(value, has[key]); below != "" {
-				return key + "." + below
+			if nested := missing(value, after[key]); nested != "" {
+				return key + "." + nested
 			}
 		}
 	case []any:
-		has, _ := has.([]any)
-		for _, h := range has {
-			lacks, all := "", len(had) > 0
-			for _, other := range had {
-				key := missing(other, h)
-				all = all && key != ""
-				lacks = key
+		after, _ := after.([]any)
+		for _, element := range after {
+			lastMissing, matchesNone := "", len(before) > 0
+			for _, earlier := range before {
+				key := missing(earlier, element)
+				matchesNone = matchesNone && key != ""
+				lastMissing = key
 			}
-			if all {
-				return lacks
+			if matchesNone {
+				return lastMissing
 			}
 		}
 	}
 	return ""
 }
 
-// Least resources that a pooler is granted.
+// The least resources that the platform must grant a pooler.
 const (
-	leastMemoryMB = 16
-	leastSockets  = 128
+	minMemoryMB = 16
+	minSockets  = 128
 )
 
-// Sizes of numbers in the file and the environment.
+// Formats of numbers in the file and the environment.
 const (
-	firstInherited = 3 // the first descriptor that is none of the standard streams
-	hexadecimal    = 16
-	seedBits       = 64
+	firstInheritedFD = 3 // the first descriptor after the standard streams
+	seedBase         = 16
+	seedBits         = 64
 )
 
-// Variables of the environment, and keys whose values they precede.
+// Environment variables.
 const (
 	fileVariable     = "GW_CONFIG"
 	listenFDVariable = "GW_LISTEN_FD"
@@ -121,7 +120,7 @@
 	Known    json.RawMessage `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
-	shape map[string]any // all of it but "known"
+	shape map[string]any // the whole decoded file except "known"
 }
 
 // readFile reads the file that GW_CONFIG names.
@@ -140,12 +139,12 @@
 	if err != nil {
 		return file, tables.Bad(fileVariable, "%s: %w", path, err)
 	}
-	delete(file.shape, "known") // entries that discovery checks
+	delete(file.shape, "known") // package discovery checks its entries
 	return file, nil
 }
 
-// load reads the configuration. At a reload the file's values precede those of the environment.
-func load(again bool) (loaded Config, err error) {
+// load reads the configuration. On a reload the file's values take precedence over those of the environment.
+func load(isReload bool) (loaded Config, err error) {
 	file, err := readFile()
 	if err != nil {
 		return Config{}, err
@@ -153,8 +152,8 @@
 	loaded.shape = file.shape
 	loaded.Machine = limits.Machine{MemoryMB: file.Limits.MemoryMB, Sockets: file.Limits.Sockets}
 	for _, step := range []func() error{
-		func() error { return loaded.readPlaces(file, again) },
-		loaded.readListener,
+		func() error { return loaded.readNameAndAddresses(file, isReload) },
+		loaded.readListenFD,
 		func() error { return loaded.readNumbers(file) },
 		func() error { return loaded.readSettings(file) },
 	} {
@@ -165,36 +164,36 @@
 	return loaded, nil
 }
 
-// readPlaces reads the name and the addresses, each from the environment or the file.
-func (c *Config) readPlaces(file platformFile, again bool) error {
-	for _, place := range []struct {
-		to            *string
+// readNameAndAddresses reads the name and the addresses, each from the environment or the file.
+func (c *Config) readNameAndAddresses(file platformFile, isReload bool) error {
+	for _, value := range []struct {
+		target        *string
 		variable, key string
 		inFile        string
-		address       bool
-		optional      bool
+		isAddress     bool
+		isOptional    bool
 	}{
-		{to: &c.Name, variable: "GW_NAME", key: "name", inFile: file.Name},
-		{to: &c.Listen, variable: "GW_LISTEN", key: "listen", inFile: file.Listen, address: true},
-		{to: &c.Discovery, variable: "GW_DISCOVERY", key: "discovery", inFile: file.Discovery, address: true},
+		{target: &c.Name, variable: "GW_NAME", key: "name", inFile: file.Name},
+		{target: &c.Listen, variable: "GW_LISTEN", key: "listen", inFile: file.Listen, isAddress: true},
+		{target: &c.Discovery, variable: "GW_DISCOVERY", key: "discovery", inFile: file.Discovery, isAddress: true},
 		{
-			to: &c.Management, variable: "GW_MANAGEMENT", key: "management", inFile: file.Management, address: true,
-			optional: true,
+			target: &c.Management, variable: "GW_MANAGEMENT", key: "management", inFile: file.Management,
+			isAddress: true, isOptional: true,
 		},
 	} {
-		source := place.variable
-		*place.to = os.Getenv(place.variable)
-		if *place.to == "" || again && place.inFile != "" {
-			*place.to, source = place.inFile, place.key
+		source := value.variable
+		*value.target = os.Getenv(value.variable)
+		if *value.target == "" || isReload && value.inFile != "" {
+			*value.target, source = value.inFile, value.key
 		}
-		if *place.to == "" {
-			if place.optional {
+		if *value.target == "" {
+			if value.isOptional {
 				continue
 			}
-			return tables.Bad(place.key, "neither %s nor the file's %q is set", place.variable, place.key)
+			return tables.Bad(value.key, "neither %s nor the file's %q is set", value.variable, value.key)
 		}
-		if place.address {
-			if err := tables.Address(source, *place.to); err != nil {
+		if value.isAddress {
+			if err := tables.Address(source, *value.target); err != nil {
 				return err
 			}
 		}
@@ -202,29 +201,29 @@
 	return nil
 }
 
-// readListener reads the descriptor of the inherited listening socket, if there is one.
-func (c *Config) readListener() (err error) {
+// readListenFD reads the descriptor of the inherited listening socket, if there is one.
+func (c *Config) readListenFD() (err error) {
 	descriptor := os.Getenv(listenFDVariable)
 	if descriptor == "" {
 		return nil
 	}
-	if c.ListenFD, err = strconv.Atoi(descriptor); err != nil || c.ListenFD < firstInherited {
+	if c.ListenFD, err = strconv.Atoi(descriptor); err != nil || c.ListenFD < firstInheritedFD {
 		return tables.Bad(listenFDVariable, "%q is no inherited descriptor", descriptor)
 	}
 	c.Machine.Shared = true
 	return nil
 }
 
-// readNumbers reads the seed and checks the resources that the platform grants.
+// readNumbers reads the seed and checks the granted resources.
 func (c *Config) readNumbers(file platformFile) (err error) {
-	if c.Seed, err = strconv.ParseUint(file.Seed, hexadecimal, seedBits); err != nil {
+	if c.Seed, err = strconv.ParseUint(file.Seed, seedBase, seedBits); err != nil {
 		return tables.KeyError{Key: "seed", Cause: err}
 	}
-	if c.Machine.MemoryMB < leastMemoryMB {
-		return tables.Bad("limits.memory_mb", "%d is under %d", c.Machine.MemoryMB, leastMemoryMB)
+	if c.Machine.MemoryMB < minMemoryMB {
+		return tables.Bad("limits.memory_mb", "%d is under %d", c.Machine.MemoryMB, minMemoryMB)
 	}
-	if c.Machine.Sockets < leastSockets {
-		return tables.Bad("limits.sockets", "%d is under %d", c.Machine.Sockets, leastSockets)
+	if c.Machine.Sockets < minSockets {
+		return tables.Bad("limits.sockets", "%d is under %d", c.Machine.Sockets, minSockets)
 	}
 	return nil
 }
--- a/internal/config/tables/error.go
+++ b/internal/config/tables/error.go
@@ -9,15 +9,15 @@
 // ErrUnknownKey is the cause of a KeyError whose key is not a setting.
 var ErrUnknownKey = errors.New("unknown key")
 
-// KeyError is a fault of a configuration: the value under one key is wrong, or the key is missing or unknown.
+// KeyError is an error in a configuration: the value under one key is wrong, or the key is missing or unknown.
 type KeyError struct {
-	File  string // path of the file; empty where it is not known, or evident
-	Line  int    // from 1; 0 where the key is not in the file, or its line is not known
-	Key   string // dotted; in arrays with the number from 0, such as "tenants[1].weight"; empty if no key is at fault
+	File  string // path of the file; empty if it is unknown or clear from the context
+	Line  int    // from 1; 0 if the key is not in the file or its line is unknown
+	Key   string // dotted, with indexes of arrays from 0, such as "tenants[1].weight"; empty if no key is at fault
 	Cause error  // what is wrong
 }
 
-// Error returns file, line, key and cause, as far as they are known.
+// Error returns the file, line, key and cause, as far as they are known.
 func (e KeyError) Error() string {
 	var text strings.Builder
 	if e.File != "" {
@@ -38,10 +38,10 @@
 	return text.String()
 }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the cause.
 func (e KeyError) Unwrap() error { return e.Cause }
 
-// Bad returns the KeyError of a key whose value is wrong for a reason that is formatted as by fmt.Errorf.
+// Bad returns the KeyError of a key. Its cause is formatted as by fmt.Errorf.
 func Bad(key, format string, arguments ...any) error {
 	return KeyError{Key: key, Cause: fmt.Errorf(format, arguments...)}
 }
--- a/internal/config/tables/error_test.go
+++ b/internal/config/tables/error_test.go
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// A fault of the operators' file is a KeyError with file, line, key and cause, and its text names them.
-func TestKeyErrorsOfTheOperatorsFile(t *testing.T) {
+// An error in the operators' file is a KeyError with file, line, key and cause, and its text names them.
+func TestParseErrorsNameFileLineKeyAndCause(t *testing.T) {
 	for name, test := range map[string]struct {
 		text, want string
 		line       int
@@ -44,11 +44,11 @@
 			err := tables.Parse("own.toml", []byte(test.text), &file)
 			require.EqualError(t, err, test.want)
 			require.ErrorIs(t, err, test.cause)
-			var fault tables.KeyError
-			require.ErrorAs(t, err, &fault)
-			require.Equal(t, "own.toml", fault.File)
-			require.Equal(t, test.line, fault.Line)
-			require.Equal(t, test.key, fault.Key)
+			var keyError tables.KeyError
+			require.ErrorAs(t, err, &keyError)
+			require.Equal(t, "own.toml", keyError.File)
+			require.Equal(t, test.line, keyError.Line)
+			require.Equal(t, test.key, keyError.Key)
 		})
 	}
 }
--- a/internal/config/tables/tables.go
+++ b/internal/config/tables/tables.go
@@ -1,5 +1,5 @@
-// Package tables reads the operators' file: one TOML table for each subsystem, each checked by the package that it is
-// for. It also holds the error type of all configuration files.
+// Package tables reads the operators' file. The file has one TOML table for each subsystem, which the subsystem's
+// package checks. Package tables also defines the error type of all configuration files.
 package tables
 
 import (
@@ -17,38 +17,38 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// The operators' file holds one table for each subsystem. It is read at the start and at SIGHUP.
+// Location of the operators' file, which is read at the start and at SIGHUP.
 const (
-	Variable = "CAPERCOVE_CONFIG"      // names another file
-	Path     = "deploy/capercove.toml" // where it is otherwise
+	Variable    = "CAPERCOVE_CONFIG"      // environment variable with the path of the file
+	DefaultPath = "deploy/capercove.toml" // path if the variable is not set
 )
 
-// retired are the files, and the variables that named them, whose tables the operators' file holds now.
+// retired maps variables that once named separate files to the tables of the operators' file that replaced these files.
 var retired = map[string]string{"CAPERCOVE_FLIGHT": "flight", "CAPERCOVE_STORE": "store", "CAPERCOVE_PCAP": "pcap"}
 
 // Table is a subsystem's table of the operators' file.
 type Table interface {
-	// Check returns what is wrong with the values: a KeyError, with the key as in the table, where one key is at fault.
+	// Check returns an error if a value is invalid. If one key is at fault, it is a KeyError with the key in the table.
 	Check() error
 }
 
-// Load reads the operators' file into a struct whose fields are Tables, each under the name in its toml tag. What
-// the file lacks stays as it is. The file that CAPERCOVE_CONFIG names must be there; else it may be missing. An error
-// names the file, and the line and the key at fault.
+// Load reads the operators' file into a struct whose fields are Tables, each under the name in its toml tag. Values
+// that the file lacks stay unchanged. A file that CAPERCOVE_CONFIG names must exist; the default file may be missing.
+// An error names the file, and the line and the key at fault.
 func Load(into any) error {
-	for variable, table := range retired { // settings there would be ignored silently
+	for variable, table := range retired { // the settings there would otherwise be ignored silently
 		if os.Getenv(variable) != "" {
 			return fmt.Errorf("%s is set, but no longer read: its settings belong in table [%s] of %s",
-				variable, table, Path)
+				variable, table, DefaultPath)
 		}
-		if old := filepath.Join(filepath.Dir(Path), table+".toml"); exists(old) {
-			return fmt.Errorf("%s is no longer read: its settings belong in table [%s] of %s", old, table, Path)
+		if old := filepath.Join(filepath.Dir(DefaultPath), table+".toml"); exists(old) {
+			return fmt.Errorf("%s is no longer read: its settings belong in table [%s] of %s", old, table, DefaultPath)
 		}
 	}
 	path := os.Getenv(Variable)
 	named := path != ""
 	if !named {
-		path = Path
+		path = DefaultPath
 	}
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) && !named {
@@ -64,7 +64,7 @@
 	return err == nil
 }
 
-// Parse reads a text as Load does a file of this name.
+// Parse reads the text of a file as Load does. Errors name the file by the path, which is not opened.
 func Parse(path string, text []byte, into any) error {
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
@@ -75,28 +75,28 @@
 		name := structure.Type().Field(i).Tag.Get("toml")
 		table, ok := structure.Field(i).Addr().Interface().(Table)
 		if !ok {
-			return fmt.Errorf("%s: table [%s] has no check", path, name) // a fault of this program
+			return fmt.Errorf("%s: table [%s] has no check", path, name) // a programming error
 		}
 		if err := table.Check(); err != nil {
-			return inTable(path, text, name, err)
+			return tableError(path, text, name, err)
 		}
 	}
 	return nil
 }
 
-// inTable returns the error of a table's check with the file and, if a key is at fault, with its line and full name.
-func inTable(path string, text []byte, name string, err error) error {
-	var fault KeyError
-	if !errors.As(err, &fault) {
+// tableError adds the file to the error of a table's check and, if a key is at fault, the key's line and full name.
+func tableError(path string, text []byte, name string, err error) error {
+	var keyError KeyError
+	if !errors.As(err, &keyError) {
 		return KeyError{File: path, Key: name, Cause: err}
 	}
-	fault.File = path
-	fault.Key = name + "." + fault.Key
-	fault.Line = Lines(text)[fault.Key]
-	return fault
+	keyError.File = path
+	keyError.Key = name + "." + keyError.Key
+	keyError.Line = Lines(text)[keyError.Key]
+	return keyError
 }
 
-// Located returns a TOML decoder's error as a KeyError of a file, with the line and the key that the error reports.
+// Located converts a TOML decoder's error to a KeyError of a file, with the line and the key that the error reports.
 func Located(path string, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
@@ -112,10 +112,10 @@
 	return KeyError{File: path, Cause: err}
 }
 
-// Lines returns the line numbers, from 1, of all keys and tables of a TOML text that has been parsed already.
+// Lines returns the line numbers, from 1, of all dotted keys and tables of a valid TOML text.
 func Lines(text []byte) map[string]int {
 	lines := map[string]int{}
-	seen := map[string]int{} // how many tables each array has had
+	seen := map[string]int{} // number of tables so far, by array
 	table := ""
 	var parser unstable.Parser
 	parser.Reset(text)
@@ -149,7 +149,8 @@
 	return strings.Join(parts, "."), line
 }
 
-// Address checks the address under a key. An empty one is left to the caller.
+// Address returns a KeyError unless the address under a key is host:port or empty. The caller checks whether one is
+// required.
 func Address(key, address string) error {
 	if address == "" {
 		return nil
