--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// document is the JSON text, as far as it is used; other keys are skipped. Package routing explains the values: the
-// fields have the names of routing.Settings and routing.Class.
+// document has the keys of the JSON text that are used; other keys are ignored. Fields that have the names of fields of
+// routing.Settings and routing.Class are documented there.
 type document struct {
 	Routers    int        `json:"balancers"`
 	Projects   []project  `json:"projects"`
@@ -38,11 +38,11 @@
 	LateWeight       float64      `json:"lateValue"`
 }
 
-// extra holds what concerns the freshness of reads.
+// extra holds the settings of the freshness of reads.
 type extra struct {
 	StaleReads   string         `json:"behind"`
-	MaxAge       []milliseconds `json:"maxAgeMs"`  // one for each class, in order; it may end early
-	ReadKinds    []string       `json:"classRead"` // one for each class, in order
+	MaxAge       []milliseconds `json:"maxAgeMs"`  // by class, in order; the last classes may have none
+	ReadKinds    []string       `json:"classRead"` // by class, in order
 	ListRole     string         `json:"listRole"`
 	SessionMarks string         `json:"sessionMarks"`
 	Origin       milliseconds   `json:"originTimeMs"`
@@ -53,7 +53,7 @@
 	Fields []string `json:"fields"` // of a load report, in order
 }
 
-// allowances say what routers may do, and the timeouts of connections.
+// allowances hold the permissions and bounds of routers, and the timeouts of connections.
 type allowances struct {
 	Cancel         bool         `json:"cancel"`
 	MaxAttempts    int          `json:"sendCap"`
@@ -64,7 +64,7 @@
 	Keepalive      milliseconds `json:"keepaliveMs"`
 }
 
-// rules hold the bounds and times of the endpoint list, of slow start and of overload.
+// rules hold the times and bounds of the endpoint list, of slow start and of overload.
 type rules struct {
 	PollWithin        milliseconds `json:"askWithinMs"`
 	SlowStartShare    float64      `json:"coldFrom"`
@@ -75,10 +75,10 @@
 	OnlyDrainingBinds bool         `json:"drainBindsAlone"`
 }
 
-// milliseconds is a time as the text has it. It may have a fraction.
+// milliseconds is a duration in the JSON text. It may have a fraction.
 type milliseconds float64
 
-// duration returns the time, rounded to nanoseconds.
+// duration returns the duration, rounded to nanoseconds.
 func (m milliseconds) duration() time.Duration {
 	return time.Duration(math.Round(float64(m) * float64(time.Millisecond)))
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings parses the settings of routing, which the platform hands to poolers and the simulator to its
-// routers: JSON text in, values out. It does no I/O. A value that cannot be worked with is a KeyError; a text that is
-// no JSON, or has a value of another type, is an error of package encoding/json.
+// Package settings parses the settings of routing from JSON text. Poolers get the text from the platform, simulated
+// routers from the simulator. The package does no I/O. An invalid value is reported as a KeyError. Invalid JSON and
+// values of a wrong type are reported as errors of package encoding/json.
 package settings
 
 import (
@@ -13,8 +13,8 @@
 	"capercove/routing"
 )
 
-// listBindsAfter is the bound of the discovery protocol: after it an endpoint list counts as known to all routers,
-// whether it has arrived or not.
+// listBindsAfter is the bound of the discovery protocol. This long after its creation an endpoint list counts as known
+// to all routers, whether it has arrived or not.
 const listBindsAfter = 6 * time.Second
 
 // Names of the fields of a load report.
@@ -24,21 +24,21 @@
 	reportQueue    = "backlog"
 )
 
-// Settings are the values of one text.
+// Settings are the values of a parsed text.
 type Settings struct {
 	Routing        routing.Settings
 	Classes        []string // names, in the order of Routing.Classes; the simulator gives none
 	Zones          []string
-	Tenants        int // how many there are
+	Tenants        int // number of tenants
 	ConnectTimeout time.Duration
 	Keepalive      time.Duration
-	Origin         time.Duration // the moment that replication positions count from, on the routers' clock
+	Origin         time.Duration // the time that replication positions count from, by the routers' clock
 
-	// Where a load report holds the replication position, the role and the length of the queue, from 0; -1: nowhere.
+	// Indexes of the replication position, the role and the queue length in a load report; -1 if it lacks the field.
 	PositionField, RoleField, QueueField int
 }
 
-// Parse reads a text as the simulator hands it to a router.
+// Parse parses the settings that the simulator gives to a router.
 func Parse(text []byte) (Settings, error) {
 	var parsed document
 	if err := json.Unmarshal(text, &parsed); err != nil {
@@ -47,12 +47,12 @@
 	if err := parsed.check(); err != nil {
 		return Settings{}, err
 	}
-	routes, err := parsed.routing()
+	routingSettings, err := parsed.routing()
 	if err != nil {
 		return Settings{}, err
 	}
 	settings := Settings{
-		Routing:        routes,
+		Routing:        routingSettings,
 		Zones:          parsed.Zones,
 		Tenants:        len(parsed.Projects),
 		ConnectTimeout: parsed.Allowed.ConnectTimeout.duration(),
@@ -68,7 +68,7 @@
 	return settings, nil
 }
 
-// Site is what a pooler needs of the settings besides those of routing.
+// Site has the settings that a pooler needs besides those of routing.
 type Site struct {
 	Classes        []string // names, in the order of the classes of routing
 	Zones          []string
@@ -76,8 +76,8 @@
 	Keepalive      time.Duration
 }
 
-// ParseForPooler reads a text as the platform hands it to a pooler. Classes need names, and the timeouts of connections
-// are required.
+// ParseForPooler parses the settings that the platform gives to a pooler. Classes need unique names. The timeouts of
+// connections are required.
 func ParseForPooler(text []byte) (routing.Settings, Site, error) {
 	settings, err := Parse(text)
 	if err != nil {
@@ -86,12 +86,12 @@
 	if err := settings.checkForPooler(); err != nil {
 		return routing.Settings{}, Site{}, err
 	}
-	routes := settings.Routing
-	if !routes.ListIsPolled {
-		// On sockets a pushed list comes by a watch of an agent beside the pooler. What the agent has counts as known
-		// to the pooler even while the watch is broken, so that only the grace is left to open it again.
-		routes.ListIsPolled = true
-		routes.ListBindsAfter = min(routes.ListBindsAfter, routes.DrainGrace)
+	routingSettings := settings.Routing
+	if !routingSettings.ListIsPolled {
+		// A pooler gets a pushed list by watching a local agent. A list at the agent counts as known to the pooler even
+		// while the watch is broken. The pooler must therefore restore the watch within the drain grace.
+		routingSettings.ListIsPolled = true
+		routingSettings.ListBindsAfter = min(routingSettings.ListBindsAfter, routingSettings.DrainGrace)
 	}
 	site := Site{
 		Classes:        settings.Classes,
@@ -99,21 +99,21 @@
 		ConnectTimeout: settings.ConnectTimeout,
 		Keepalive:      settings.Keepalive,
 	}
-	return routes, site, nil
+	return routingSettings, site, nil
 }
 
-// checkForPooler returns a KeyError for the first value that only a pooler cannot work with.
+// checkForPooler returns a KeyError for the first value that is invalid only for a pooler.
 func (s *Settings) checkForPooler() error {
 	switch {
 	case s.ConnectTimeout <= 0:
-		return bad("allowed.connectTimeoutMs", "%v is not over 0", s.ConnectTimeout)
+		return keyErrorf("allowed.connectTimeoutMs", "%v is not over 0", s.ConnectTimeout)
 	case s.Keepalive <= 0:
-		return bad("allowed.keepaliveMs", "%v is not over 0", s.Keepalive)
+		return keyErrorf("allowed.keepaliveMs", "%v is not over 0", s.Keepalive)
 	}
 	for i, name := range s.Classes {
 		isRepeated := slices.Index(s.Classes, name) != i
 		if name == "" || isRepeated {
-			return bad(classKey(i, "name"), "%q is empty or another class's", name)
+			return keyErrorf(classKey(i, "name"), "%q is empty or another class's", name)
 		}
 	}
 	return nil
@@ -137,14 +137,14 @@
 		OverloadMultiple:  d.Rules.OverloadMultiple,
 		OverloadWindow:    d.Rules.OverloadWindow.duration(),
 	}
-	if within := d.Rules.PollWithin.duration(); within > 0 {
-		settings.ListBindsAfter = min(settings.ListBindsAfter, within)
+	if pollWithin := d.Rules.PollWithin.duration(); pollWithin > 0 {
+		settings.ListBindsAfter = min(settings.ListBindsAfter, pollWithin)
 	}
 	if err := cmp.Or(
-		staleReadWords.read("extra.behind", d.Extra.StaleReads, &settings.StaleReads),
-		listHintsRoleWords.read("extra.listRole", d.Extra.ListRole, &settings.ListHintsRole),
-		keepSessionsWords.read("extra.sessionMarks", d.Extra.SessionMarks, &settings.KeepSessions),
-		listIsPolledWords.read("membershipMode", d.Membership, &settings.ListIsPolled),
+		staleReadWords.parse("extra.behind", d.Extra.StaleReads, &settings.StaleReads),
+		listHintsRoleWords.parse("extra.listRole", d.Extra.ListRole, &settings.ListHintsRole),
+		keepSessionsWords.parse("extra.sessionMarks", d.Extra.SessionMarks, &settings.KeepSessions),
+		listIsPolledWords.parse("membershipMode", d.Membership, &settings.ListIsPolled),
 	); err != nil {
 		return routing.Settings{}, err
 	}
@@ -174,11 +174,11 @@
 	}
 	readKey := fmt.Sprintf("extra.classRead[%d]", number)
 	err := cmp.Or(
-		readKindWords.read(readKey, d.Extra.ReadKinds[number], &class.Read),
-		effectWords.read(classKey(number, "idempotency"), source.Effect, &class.Effect),
+		readKindWords.parse(readKey, d.Extra.ReadKinds[number], &class.Read),
+		effectWords.parse(classKey(number, "idempotency"), source.Effect, &class.Effect),
 	)
 	if err == nil && class.Effect == routing.Deduplicated {
-		err = dedupGroupWords.read(classKey(number, "group"), source.DedupGroup, &class.DedupGroup)
+		err = dedupGroupWords.parse(classKey(number, "group"), source.DedupGroup, &class.DedupGroup)
 	}
 	if number < len(d.Extra.MaxAge) {
 		class.MaxAge = d.Extra.MaxAge[number].duration()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,8 +12,8 @@
 	"capercove/routing"
 )
 
-// complete has a value under every key that is used, and others.
-const complete = `{
+// completeText has a value under every key that is used, and under further keys.
+const completeText = `{
  "balancers": 2, "locality": 1, "membershipMode": "pushed", "overShareWorth": 0.1, "later": [1], "zones": ["a", "b"],
  "allowed": {"cancel": true, "probes": true, "retryAfter": true, "secondCopies": true, "sendCap": 10,
   "maxRetryAfterMs": 2000.0, "connectTimeoutMs": 250.5, "keepaliveMs": 30000},
@@ -31,8 +31,8 @@
  "rules": {"answerSlackMs": 20.0, "askWithinMs": 4000, "coldFrom": 0.19, "coldMs": 17000.0, "drainGraceMs": 1000.0,
   "fallMs": 2000.0, "tipMultiple": 3.0, "drainBindsAlone": true}}`
 
-// routesOfComplete returns the settings of routing that the text complete stands for.
-func routesOfComplete() routing.Settings {
+// routingOfCompleteText returns the settings of routing in completeText.
+func routingOfCompleteText() routing.Settings {
 	return routing.Settings{
 		Routers: 2,
 		Classes: []routing.Class{
@@ -72,12 +72,12 @@
 	}
 }
 
-// Each key of a text that is complete has its value.
-func TestParse(t *testing.T) {
-	parsed, err := settings.Parse([]byte(complete))
+// Parse reads the value of every key that is used.
+func TestParseReadsEveryKey(t *testing.T) {
+	parsed, err := settings.Parse([]byte(completeText))
 	require.NoError(t, err)
 	require.Equal(t, settings.Settings{
-		Routing:        routesOfComplete(),
+		Routing:        routingOfCompleteText(),
 		Classes:        []string{"read", "report", "write"},
 		Zones:          []string{"a", "b"},
 		Tenants:        2,
@@ -90,44 +90,44 @@
 	}, parsed)
 }
 
-// A pooler gets the settings of routing, but polls the list, which binds after the drain grace at the latest; and what
-// it needs itself.
-func TestParseForPooler(t *testing.T) {
-	want := routesOfComplete()
+// A pooler gets the settings of routing with a polled endpoint list, which binds after the drain grace at the latest.
+// The pooler also gets the settings of its site.
+func TestParseForPoolerSetsPolledListAndSite(t *testing.T) {
+	want := routingOfCompleteText()
 	want.ListIsPolled, want.ListBindsAfter = true, time.Second
-	routes, site, err := settings.ParseForPooler([]byte(complete))
+	routingSettings, site, err := settings.ParseForPooler([]byte(completeText))
 	require.NoError(t, err)
-	require.Equal(t, want, routes)
+	require.Equal(t, want, routingSettings)
 	require.Equal(t, settings.Site{
 		Classes: []string{"read", "report", "write"}, Zones: []string{"a", "b"},
 		ConnectTimeout: 250500 * time.Microsecond, Keepalive: 30 * time.Second,
 	}, site)
 }
 
-// The endpoint list binds after the bound of the text or of the protocol, whichever is shorter; for a pooler with a
-// pushed list no later than after the drain grace.
-func TestEndpointListBindsInTime(t *testing.T) {
+// The endpoint list binds after the shorter of the text's bound and the protocol's bound. For a pooler with a pushed
+// list it binds after the drain grace if that is shorter still.
+func TestEndpointListBindsAfterShortestBound(t *testing.T) {
 	cases := map[string]struct {
 		old, changed      string
 		simulator, pooler time.Duration
 	}{
-		"within 4 s":           {"", "", 4 * time.Second, time.Second},
-		"no time of its own":   {`"askWithinMs": 4000`, `"askWithinMs": 0`, 6 * time.Second, time.Second},
-		"over the protocol's":  {`"askWithinMs": 4000`, `"askWithinMs": 7000`, 6 * time.Second, time.Second},
+		"bound of 4 s":         {"", "", 4 * time.Second, time.Second},
+		"no bound in the text": {`"askWithinMs": 4000`, `"askWithinMs": 0`, 6 * time.Second, time.Second},
+		"above the protocol's": {`"askWithinMs": 4000`, `"askWithinMs": 7000`, 6 * time.Second, time.Second},
 		"long grace":           {`"drainGraceMs": 1000.0`, `"drainGraceMs": 9000`, 4 * time.Second, 4 * time.Second},
 		"polled":               {`"pushed"`, `"on_request"`, 4 * time.Second, 4 * time.Second},
-		"fraction of a millis": {`"askWithinMs": 4000`, `"askWithinMs": 0.0000015`, 2, 2}, // rounded to nanoseconds
+		"fraction of a ms":     {`"askWithinMs": 4000`, `"askWithinMs": 0.0000015`, 2, 2}, // rounded to nanoseconds
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			text := []byte(strings.Replace(complete, test.old, test.changed, 1))
+			text := []byte(strings.Replace(completeText, test.old, test.changed, 1))
 			parsed, err := settings.Parse(text)
 			require.NoError(t, err)
 			require.Equal(t, test.simulator, parsed.Routing.ListBindsAfter)
-			routes, _, err := settings.ParseForPooler(text)
+			routingSettings, _, err := settings.ParseForPooler(text)
 			require.NoError(t, err)
-			require.Equal(t, test.pooler, routes.ListBindsAfter)
-			require.True(t, routes.ListIsPolled)
+			require.Equal(t, test.pooler, routingSettings.ListBindsAfter)
+			require.True(t, routingSettings.ListIsPolled)
 		})
 	}
 }
@@ -151,7 +151,7 @@
 		"list with late roles": {
 			`"static"`, `"trailing"`, func(s routing.Settings) any { return s.ListHintsRole }, true,
 		},
-		"positions are brought": {
+		"positions from clients": {
 			`"kept"`, `"brought"`, func(s routing.Settings) any { return s.KeepSessions }, false,
 		},
 		"list is polled": {
@@ -176,8 +176,8 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			require.Contains(t, complete, test.old)
-			parsed, err := settings.Parse([]byte(strings.Replace(complete, test.old, test.changed, 1)))
+			require.Contains(t, completeText, test.old)
+			parsed, err := settings.Parse([]byte(strings.Replace(completeText, test.old, test.changed, 1)))
 			require.NoError(t, err)
 			require.Equal(t, test.want, test.value(parsed.Routing))
 		})
@@ -185,14 +185,17 @@
 }
 
 // A field that load reports lack has the index -1.
-func TestMissingReportFieldsHaveNoIndex(t *testing.T) {
-	parsed, err := settings.Parse([]byte(strings.Replace(complete, `"x0", "util", "x1", "backlog"`, `"util"`, 1)))
+func TestMissingReportFieldsHaveIndexMinusOne(t *testing.T) {
+	parsed, err := settings.Parse([]byte(strings.Replace(completeText, `"x0", "util", "x1", "backlog"`, `"util"`, 1)))
 	require.NoError(t, err)
 	require.Equal(t, []int{-1, -1, -1}, []int{parsed.PositionField, parsed.RoleField, parsed.QueueField})
 }
 
+// Values of keyErrors.poolers.
 const forAll, forPoolers = false, true
 
+// keyErrors are changes of completeText that make it invalid, for all routers or only for poolers, with the key and the
+// reason of the resulting KeyError.
 var keyErrors = map[string]struct {
 	poolers      bool
 	old, changed string
@@ -252,7 +255,7 @@
 	"group": {
 		forAll, `"zone"`, `"odd"`, "lanes[1].group", `"odd" is none of all, cell, zone`,
 	},
-	"first of two": {
+	"first of two errors": {
 		forAll, `"balancers": 2, "locality": 1, "membershipMode": "pushed"`,
 		`"balancers": 0, "membershipMode": "odd"`,
 		"balancers", "0 is under 1",
@@ -278,15 +281,15 @@
 	},
 }
 
-// Each value that cannot be worked with is a KeyError with its key and the reason, some only for a pooler.
-func TestEachFaultNamesItsKey(t *testing.T) {
+// Each invalid value is reported as a KeyError with its key and the reason; some are invalid only for a pooler.
+func TestInvalidValuesAreKeyErrors(t *testing.T) {
 	for name, test := range keyErrors {
 		t.Run(name, func(t *testing.T) {
-			require.Contains(t, complete, test.old)
-			text := []byte(strings.Replace(complete, test.old, test.changed, 1))
+			require.Contains(t, completeText, test.old)
+			text := []byte(strings.Replace(completeText, test.old, test.changed, 1))
 			_, err := settings.Parse(text)
 			if test.poolers {
-				require.NoError(t, err, "the simulator's settings may lack it")
+				require.NoError(t, err, "the simulator's settings may have this value")
 			} else {
 				requireKeyError(t, test.key, test.reason, err)
 			}
@@ -294,26 +297,26 @@
 			requireKeyError(t, test.key, test.reason, err)
 		})
 	}
-	without := strings.NewReplacer(
+	withoutWeights := strings.NewReplacer(
 		`"credit": 1.0`, `"credit": 0`, `"credit": 2.0`, `"credit": 0`, `"credit": 4.0`, `"credit": 0`)
-	_, err := settings.Parse([]byte(without.Replace(complete)))
+	_, err := settings.Parse([]byte(withoutWeights.Replace(completeText)))
 	requireKeyError(t, "lanes", "no class has a credit over 0", err)
 }
 
 // requireKeyError requires that an error is a KeyError with this key and reason.
 func requireKeyError(t *testing.T, key, reason string, err error) {
 	t.Helper()
-	var fault settings.KeyError
-	require.ErrorAs(t, err, &fault)
-	require.Equal(t, settings.KeyError{Key: key, Reason: reason}, fault)
+	var keyError settings.KeyError
+	require.ErrorAs(t, err, &keyError)
+	require.Equal(t, settings.KeyError{Key: key, Reason: reason}, keyError)
 	require.EqualError(t, err, key+": "+reason)
 }
 
-// The least values that are accepted are taken as they are.
+// The least valid values are accepted unchanged.
 func TestLeastValuesAreAccepted(t *testing.T) {
 	changes := strings.NewReplacer(`"balancers": 2`, `"balancers": 1`, `"sendCap": 10`, `"sendCap": 1`,
 		`"deadlineMs": 750.0`, `"deadlineMs": 250`, `"credit": 1.0`, `"credit": 0`)
-	parsed, err := settings.Parse([]byte(changes.Replace(complete)))
+	parsed, err := settings.Parse([]byte(changes.Replace(completeText)))
 	require.NoError(t, err)
 	require.Equal(t, 1, parsed.Routing.Routers)
 	require.Equal(t, 1, parsed.Routing.MaxAttempts)
@@ -321,19 +324,19 @@
 	require.Zero(t, parsed.Routing.Classes[0].Weight)
 }
 
-// Without slow start the window of overload may be 0.
+// Without slow start the overload window may be 0.
 func TestOverloadWindowMayBeZeroWithoutSlowStart(t *testing.T) {
 	changes := strings.NewReplacer(`"fallMs": 2000.0`, `"fallMs": 0`, `"coldMs": 17000.0`, `"coldMs": 0`)
-	_, err := settings.Parse([]byte(changes.Replace(complete)))
+	_, err := settings.Parse([]byte(changes.Replace(completeText)))
 	require.NoError(t, err)
 }
 
-// A text that is no JSON, or has a value of another type, is an error of package encoding/json that names the field.
-func TestTextsThatAreNoSettings(t *testing.T) {
+// Invalid JSON and a value of a wrong type are reported as errors of package encoding/json. The latter names the field.
+func TestInvalidJSONAndWrongTypesAreJSONErrors(t *testing.T) {
 	_, err := settings.Parse([]byte(`{`))
 	var syntax *json.SyntaxError
 	require.ErrorAs(t, err, &syntax)
-	_, _, err = settings.ParseForPooler([]byte(strings.Replace(complete, `"sendCap": 10`, `"sendCap": "ten"`, 1)))
+	_, _, err = settings.ParseForPooler([]byte(strings.Replace(completeText, `"sendCap": 10`, `"sendCap": "ten"`, 1)))
 	var wrongType *json.UnmarshalTypeError
 	require.ErrorAs(t, err, &wrongType)
 	require.Equal(t, "allowed.sendCap", wrongType.Field)
--- a/internal/settings/words.go
+++ b/internal/settings/words.go
@@ -8,10 +8,10 @@
 	"capercove/routing"
 )
 
-// vocabulary holds the words that a key may have, with what they mean.
+// vocabulary maps the words that are valid under a key to their meanings.
 type vocabulary[Meaning any] map[string]Meaning
 
-// The words of each key that has some.
+// The vocabularies of the keys whose values are words.
 var (
 	staleReadWords = vocabulary[routing.StaleReads]{
 		"none":   routing.StaleAnswered,
@@ -40,11 +40,11 @@
 	}
 )
 
-// read sets the meaning of the word under a key. For an unknown word it returns a KeyError that lists those known.
-func (v vocabulary[Meaning]) read(key, word string, meaning *Meaning) error {
+// parse sets meaning to that of the word under a key. For an unknown word it returns a KeyError with the valid words.
+func (v vocabulary[Meaning]) parse(key, word string, meaning *Meaning) error {
 	known, found := v[word]
 	if !found {
-		return bad(key, "%q is none of %s", word, strings.Join(slices.Sorted(maps.Keys(v)), ", "))
+		return keyErrorf(key, "%q is none of %s", word, strings.Join(slices.Sorted(maps.Keys(v)), ", "))
 	}
 	*meaning = known
 	return nil
