--- a/internal/membership/gossip/address_file.go
+++ b/internal/membership/gossip/address_file.go
@@ -17,27 +17,27 @@
 	"time"
 )
 
-// address is where a pooler was reached.
+// address is a network address at which a pooler responded.
 type address struct {
 	addr     string
 	lastSeen time.Duration // since the Unix epoch
 }
 
-// The file of remembered addresses. Its first line holds the header and the name of the cluster, each other line a
-// name, an address and a time in Unix milliseconds, and the last line a checksum.
+// The address file. Its first line consists of the header and the name of the cluster. Each further line consists of a
+// pooler's name, its address and the time when it was last seen, in Unix milliseconds. The last line is a checksum.
 const (
 	addressFileName     = "fleet-members"
 	addressFileHeader   = "capercove members 1 "
 	maxAddressFileBytes = 512 << 10
-	maxWriterSkew       = time.Hour // a time in the file may be this far in the future and still be trusted
+	maxWriterSkew       = time.Hour // times in the file that are further in the future are not trusted
 
-	// temporaryPattern matches the files that are renamed to addressFileName once they are complete. Two processes of
-	// one pooler may write at the same time.
+	// temporaryPattern matches the files that are renamed to addressFileName once they are complete. Their names are
+	// unique, because two processes of one pooler may write at the same time.
 	temporaryPattern = addressFileName + "-*"
 )
 
-// loadAddressFile reads the file in a directory. It returns no addresses if there is no file, and an error if the
-// file is damaged, or of another version or cluster.
+// loadAddressFile reads the address file in a directory. It returns no addresses if there is no file, and an error if
+// the file is damaged, or of another version or cluster.
 func loadAddressFile(dir, cluster string, now time.Duration) (map[string]address, error) {
 	path := filepath.Join(dir, addressFileName)
 	if info, err := os.Stat(path); err == nil && info.Size() > maxAddressFileBytes {
@@ -62,14 +62,14 @@
 	for i, line := range lines[1:] {
 		name, parsed, err := parseAddressLine(line)
 		if err != nil {
-			return nil, fmt.Errorf("%s:%d: %w", path, i+2, err) // counted from 1, after the first line
+			return nil, fmt.Errorf("%s:%d: %w", path, i+2, err) // line numbers start at 1, and line 1 is the header
 		}
 		addresses[name] = parsed
 	}
 	return selectAddresses(addresses, now), nil
 }
 
-// formatAddressFile returns the text of the file.
+// formatAddressFile returns the text of the address file.
 func formatAddressFile(cluster string, addresses map[string]address) string {
 	var b strings.Builder
 	b.WriteString(addressFileFirstLine(cluster))
@@ -100,12 +100,12 @@
 	return name, parsed, nil
 }
 
-// selectAddresses returns the addresses that are of use: maxAddresses at most, those seen last before others.
+// selectAddresses returns at most maxAddresses addresses, those that were seen most recently.
 //
-// An address that is too old is left out only if the times can be trusted. They cannot be if the newest is too old or
-// any is in the future: then a clock was stepped, now or when the file was written, or this pooler was away for long.
-// An address at which no pooler responds costs no more than a seed that is not running, while without any address
-// this pooler may be unable to rejoin.
+// Addresses older than addressRetention are dropped only if the times can be trusted. They cannot be trusted if the
+// newest address is too old or in the future. In that case a clock was stepped, now or when the file was written, or
+// this pooler was not running for a long time. An address at which no pooler responds costs no more than a seed that is
+// not running. Without any address, this pooler may be unable to rejoin.
 func selectAddresses(addresses map[string]address, now time.Duration) map[string]address {
 	names := slices.SortedFunc(maps.Keys(addresses), func(a, b string) int {
 		return cmp.Or(cmp.Compare(addresses[b].lastSeen, addresses[a].lastSeen), strings.Compare(a, b))
@@ -126,7 +126,7 @@
 	return selected
 }
 
-// writableFile is the part of *os.File that is needed to write. Tests pass one that fails.
+// writableFile is the part of *os.File that writeSynced uses.
 type writableFile interface {
 	io.StringWriter
 	Sync() error
@@ -140,7 +140,7 @@
 	return file.Sync()
 }
 
-// saveAddressFile replaces the file in a directory atomically, so that a complete one exists at any time.
+// saveAddressFile replaces the address file in a directory atomically: a crash leaves the previous file or the new one.
 func saveAddressFile(
 	dir, cluster string, addresses map[string]address, write func(file writableFile, text string) error,
 ) error {
@@ -153,7 +153,7 @@
 		err = os.Rename(file.Name(), filepath.Join(dir, addressFileName))
 	}
 	if err != nil {
-		_ = os.Remove(file.Name()) // the first error is the one to report, and the next start removes the file
+		_ = os.Remove(file.Name()) // err is the cause, and the next start removes the file
 		return err
 	}
 	return syncDir(dir)
@@ -168,7 +168,7 @@
 	return errors.Join(file.Sync(), file.Close())
 }
 
-// temporaryFiles returns the temporary files in a directory, with their present state.
+// temporaryFiles returns the temporary files in a directory, with their current size and modification time.
 func temporaryFiles(dir string) map[string]fs.FileInfo {
 	found := map[string]fs.FileInfo{}
 	paths, _ := filepath.Glob(filepath.Join(dir, temporaryPattern)) // its only error is a malformed pattern
@@ -180,17 +180,17 @@
 	return found
 }
 
-// removeAbandoned removes temporary files that have not changed since they were found: their writers were killed. The
-// caller leaves more time in between than a write takes. A writer that was only stopped for that long fails at its
-// rename, and writes again.
+// removeAbandoned removes temporary files that have not changed since temporaryFiles found them: their writers were
+// killed. The caller must wait longer than a write takes between the two calls. If a writer was only paused for that
+// long, its rename fails and it retries.
 func removeAbandoned(found map[string]fs.FileInfo) error {
 	var failed error
 	for path, before := range found {
-		now, err := os.Lstat(path)
-		if err != nil || !os.SameFile(now, before) {
+		current, err := os.Lstat(path)
+		if err != nil || !os.SameFile(current, before) {
 			continue
 		}
-		if now.Size() != before.Size() || !now.ModTime().Equal(before.ModTime()) {
+		if current.Size() != before.Size() || !current.ModTime().Equal(before.ModTime()) {
 			continue
 		}
 		if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -200,7 +200,8 @@
 	return failed
 }
 
-// errorCause returns the text of a failed file operation without the names of files, which differ each time.
+// errorCause returns the text of a file error without the file's path. Temporary files have a new name at each attempt,
+// and the text must stay the same while the cause does.
 func errorCause(err error) string {
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
--- a/internal/membership/gossip/address_file_test.go
+++ b/internal/membership/gossip/address_file_test.go
@@ -17,8 +17,8 @@
 
 const epoch = 1_800_000_000 * time.Second
 
-// Saved addresses are loaded again. A file that is cut off at any byte, damaged in any byte, of another cluster or
-// larger than any that is written is rejected as a whole; a missing one is no error.
+// Saved addresses are loaded again. A file that is truncated at any byte, damaged in any byte, of another cluster or
+// larger than maxAddressFileBytes is rejected as a whole. A missing file is no error.
 func TestAddressFileIsLoadedOrRejected(t *testing.T) {
 	dir := t.TempDir()
 	members := map[string]address{"n 1": {"127.0.0.1:7946", epoch}, `odd "name`: {"[::1]:7946", epoch - time.Hour}}
@@ -73,7 +73,7 @@
 	return paths
 }
 
-// No address is lost because a clock step has made its time impossible: addresses expire only if the times are
+// A clock step makes the saved times implausible, but loses no address: addresses expire only if the times are
 // plausible.
 func TestAddressesSurviveClockSteps(t *testing.T) {
 	fresh, old := epoch-time.Minute, epoch-addressRetention-time.Hour
@@ -132,7 +132,7 @@
 	require.Contains(t, selected, fmt.Sprintf("n%04d", 2*maxAddresses-1), "the newest are selected")
 }
 
-// failingDisk lets every write fail while an error is set, as a full disk does: only the first half is written.
+// failingDisk makes every write fail while an error is set. As on a full disk, a part of the text is written before.
 type failingDisk struct{ errno syscall.Errno }
 
 func (d *failingDisk) write(file writableFile, text string) error {
@@ -145,8 +145,8 @@
 	return &os.PathError{Op: "write", Path: fmt.Sprint(rand.Uint64()), Err: d.errno}
 }
 
-// While the disk fails the saved addresses stay as they were, each failed attempt is counted and the first is logged.
-// Once the disk works, what has changed meanwhile is saved without another change.
+// While the disk fails, the saved addresses stay unchanged, each failed attempt is counted and the first is logged.
+// Once the disk works, the changes since then are saved without another change.
 func TestAddressesAreSavedOnceDiskWorks(t *testing.T) {
 	dir, now, disk := t.TempDir(), epoch, &failingDisk{}
 	var logged bytes.Buffer
@@ -179,12 +179,12 @@
 		require.Contains(t, step(), name, "without another change")
 		logged.Reset()
 	}
-	left := filesIn(t, dir)
-	require.Len(t, left, 1, "no temporary file is left: %v", left)
+	remaining := filesIn(t, dir)
+	require.Len(t, remaining, 1, "no temporary file is left: %v", remaining)
 }
 
-// Temporary files of killed writers are removed. One that has been written to since it was found belongs to a writer
-// that is running, and stays.
+// Temporary files of killed writers are removed. A file that has been written to since it was found belongs to a
+// running writer, and stays.
 func TestAbandonedFilesAreRemoved(t *testing.T) {
 	dir := t.TempDir()
 	path := func(name string) string { return filepath.Join(dir, name) }
--- a/internal/membership/gossip/addresses.go
+++ b/internal/membership/gossip/addresses.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// A pooler that restarts finds the others by a small file, even if no seed is running. The file holds addresses alone,
-// which are used like seeds: which poolers are live is found out anew.
+// A restarted pooler finds the others through the address file, even if no seed is running. The file contains only
+// addresses, which are used like seeds. Which poolers are live is detected again.
 
-// remember keeps the address of a failed pooler, within the limit. The caller holds mu.
+// remember records the address of a failed pooler, up to maxAddresses in all. The caller holds mu.
 func (g *Gossip) remember(name, addr string, now time.Duration) {
 	if _, known := g.remembered[name]; known || len(g.remembered) < maxAddresses {
 		g.remembered[name] = address{addr, now}
 	}
 }
 
-// runSaver saves the addresses whenever they have changed, until Stop. It has a goroutine of its own, as a disk that
-// hangs must not stop the exchange.
+// runSaver saves the addresses whenever they have changed, until Stop. It runs on a separate goroutine, because a disk
+// that does not respond must not block the gossip periods.
 func (g *Gossip) runSaver() {
 	if g.config.Dir == "" {
 		return
@@ -40,8 +40,8 @@
 	}
 }
 
-// saveAddresses saves the addresses of members and of remembered poolers if they have changed, once in each
-// RejoinInterval at most unless it is the last time. A failed attempt is repeated.
+// saveAddresses saves the addresses of members and of remembered poolers if they have changed. It saves at most once in
+// each RejoinInterval, unless last is set. A failed attempt is retried by a later call.
 func (g *Gossip) saveAddresses(last bool) {
 	addresses, due := g.addressesToSave(last)
 	if !due {
@@ -62,7 +62,7 @@
 	}
 }
 
-// addressesToSave returns the addresses to save now, and whether there is anything to do.
+// addressesToSave returns the addresses to save now, and whether a save is due.
 func (g *Gossip) addressesToSave(last bool) (addresses map[string]address, due bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -78,7 +78,8 @@
 	return addresses, true
 }
 
-// recordSave notes the cause of a failed attempt, or "", and returns that of the attempt before.
+// recordSave records the cause of a failed attempt, or "" for a successful one. It returns the cause of the previous
+// attempt.
 func (g *Gossip) recordSave(cause string) (before string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/membership/gossip/agreement.go
+++ b/internal/membership/gossip/agreement.go
@@ -6,44 +6,45 @@
 	"time"
 )
 
-// Whether another pooler's view agrees with this pooler's. Operators see the texts.
+// Values of Pooler.Agrees: whether another pooler's view agrees with this pooler's.
 const (
 	viewAgrees  = "yes"
 	viewDiffers = "no"
-	viewUnknown = "?" // nothing has been received, or it may still converge
+	viewUnknown = "?" // no digest has been received, or the views may still converge
 )
 
-// agreement tracks whether the views of the other poolers equal this pooler's, by their digests. Digests arrive late
-// while views change. Another view therefore agrees if this pooler had the same digest a moment ago, or gets it soon.
-// It is a deterministic state machine: the time is passed to it.
+// agreement compares the digests of the other poolers' views with this pooler's. Views change while a digest is on its
+// way. Another view therefore agrees if this pooler's view had the same digest within the tolerance before, or reaches
+// it within the tolerance after. It is a deterministic state machine: callers pass the time.
 type agreement struct {
 	tolerance  time.Duration
-	ownDigests []ownDigest // of the last moments, the newest last
+	ownDigests []ownDigest // of the time within tolerance, the newest last
 	peers      map[string]*peerDigest
 
 	agrees bool          // no peer's view differs
 	since  time.Duration // when agrees last changed
 }
 
+// ownDigest is a digest that this pooler's view had.
 type ownDigest struct {
 	digest   uint64
-	lastSeen time.Duration
+	lastSeen time.Duration // when the view last had it
 }
 
 // peerDigest is the last digest of another pooler.
 type peerDigest struct {
 	digest       uint64
 	receivedAt   time.Duration
-	known        bool          // one has been received
-	matched      bool          // this pooler has had it, too
-	differsSince time.Duration // if not matched: when the first that differed arrived after one that matched
+	known        bool          // a digest has been received
+	matched      bool          // this pooler's view had the same digest
+	differsSince time.Duration // if not matched: since when the digests have differed
 }
 
 func newAgreement(tolerance, now time.Duration) *agreement {
 	return &agreement{tolerance: tolerance, peers: map[string]*peerDigest{}, since: now}
 }
 
-// receive handles another pooler's digest. It is ignored if the pooler was not present at the last update.
+// receive handles another pooler's digest. It ignores poolers that were not present at the last update.
 func (a *agreement) receive(now time.Duration, name string, digest uint64) {
 	peer := a.peers[name]
 	if peer == nil {
@@ -60,10 +61,10 @@
 	peer.digest, peer.receivedAt, peer.known, peer.matched = digest, now, true, matched
 }
 
-// update handles this pooler's digest and the names of the poolers that are present, and reports whether agrees
+// update handles this pooler's digest and the names of the other poolers that are present. It reports whether agrees
 // changed.
 func (a *agreement) update(now time.Duration, digest uint64, present map[string]bool) (changed bool) {
-	a.record(now, digest)
+	a.recordOwnDigest(now, digest)
 	maps.DeleteFunc(a.peers, func(name string, _ *peerDigest) bool { return !present[name] })
 	agrees := true
 	for name := range present {
@@ -82,8 +83,8 @@
 	return true
 }
 
-// record records this pooler's digest, and forgets those that it had too long ago.
-func (a *agreement) record(now time.Duration, digest uint64) {
+// recordOwnDigest records this pooler's digest, and removes those that were last seen longer than tolerance ago.
+func (a *agreement) recordOwnDigest(now time.Duration, digest uint64) {
 	if n := len(a.ownDigests); n > 0 && a.ownDigests[n-1].digest == digest {
 		a.ownDigests[n-1].lastSeen = now
 	} else {
@@ -92,7 +93,7 @@
 	a.ownDigests = slices.DeleteFunc(a.ownDigests, func(own ownDigest) bool { return now-own.lastSeen > a.tolerance })
 }
 
-// verdict returns viewAgrees, viewDiffers or viewUnknown.
+// verdict returns viewAgrees, viewDiffers or viewUnknown. A nil peer is unknown.
 func (a *agreement) verdict(now time.Duration, peer *peerDigest) string {
 	switch {
 	case peer == nil || !peer.known:
--- a/internal/membership/gossip/agreement_test.go
+++ b/internal/membership/gossip/agreement_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Views agree if the other pooler's digest was this pooler's a moment ago, or becomes equal soon; they disagree once
-// the digests have differed for long. Before a digest has been received it is unknown whether they agree.
+// Views agree if this pooler had the other pooler's digest a moment ago, or reaches it soon. They disagree once the
+// digests have differed for the whole tolerance. Before a digest has been received, the verdict is unknown.
 func TestAgreementVerdict(t *testing.T) {
 	present := map[string]bool{"b": true}
 	at := func(seconds float64) time.Duration { return epoch + time.Duration(seconds*float64(time.Second)) }
@@ -24,7 +24,7 @@
 	views.receive(at(3), "b", 1)
 	require.Equal(t, "yes", verdict(at(3), 2), "it was this pooler's a moment ago")
 	views.receive(at(4), "b", 3)
-	require.Equal(t, "?", verdict(at(4), 2), "it may still come to agree")
+	require.Equal(t, "?", verdict(at(4), 2), "the views may still converge")
 	require.Equal(t, "yes", verdict(at(5), 3))
 	views.receive(at(6), "b", 4)
 	views.receive(at(11), "b", 5) // another digest that differs does not restart the delay
@@ -40,6 +40,6 @@
 	views.update(at(18), 3, present)
 	require.Empty(t, views.peers)
 	views.receive(at(19), "b", 9)
-	require.Empty(t, views.peers, "b has left")
+	require.Empty(t, views.peers, "b is not present")
 	require.LessOrEqual(t, len(views.ownDigests), 3)
 }
--- a/internal/membership/gossip/config.go
+++ b/internal/membership/gossip/config.go
@@ -13,18 +13,18 @@
 // Config is table [fleet] of the operators' file.
 type Config struct {
 	Enabled   bool     `toml:"enabled"`
-	Cluster   string   `toml:"cluster"`   // name of the installation: packets of others are rejected
+	Cluster   string   `toml:"cluster"`   // name of the cluster of poolers: packets of other clusters are rejected
 	Listen    string   `toml:"listen"`    // TCP and UDP address for other poolers, such as "127.0.0.1:7946"
-	Advertise string   `toml:"advertise"` // address under which they reach it; empty: Listen
+	Advertise string   `toml:"advertise"` // address at which other poolers reach this one; empty: Listen
 	Seeds     []string `toml:"seeds"`     // addresses of some poolers, which need not run yet
-	Zone      string   `toml:"zone"`      // of this pooler, for operators
-	Dir       string   `toml:"dir"`       // holds the remembered addresses; empty: they are not remembered
-	Slower    float64  `toml:"slower"`    // factor on the times of DefaultTiming; 0: 1
+	Zone      string   `toml:"zone"`      // zone of this pooler, shown to operators
+	Dir       string   `toml:"dir"`       // directory for the saved addresses; empty: they are not saved
+	Slower    float64  `toml:"slower"`    // factor on the period, probe and rejoin times; 0: 1
 
 	membership.Uses
 }
 
-// Check validates the table. Its errors name the key at fault. A table that is not enabled is not checked.
+// Check validates the table. Its errors name the invalid key. A table that is not enabled is not checked.
 func (c Config) Check() error {
 	if !c.Enabled {
 		return nil
@@ -60,18 +60,18 @@
 	return nil
 }
 
-// Timing holds the intervals and timeouts of the exchange.
+// Timing contains the intervals and timeouts of the gossip protocol.
 type Timing struct {
 	Period         time.Duration // between updates, and between the packets of memberlist
 	ProbeInterval  time.Duration // between probes, each of one member
 	ProbeTimeout   time.Duration // after which a member that has not answered a probe is suspected
 	RejoinInterval time.Duration // between attempts to reach failed poolers and absent seeds
 	BindRetry      time.Duration // between attempts to listen on an address that is in use
-	AgreementDelay time.Duration // views that differ for this long do not agree
+	AgreementDelay time.Duration // how long views must differ before they count as disagreeing
 	LogInterval    time.Duration // between log lines on the same kind of rejected input
 }
 
-// DefaultTiming returns the timing for poolers some milliseconds apart.
+// DefaultTiming returns the timing for poolers with a network latency of some milliseconds.
 func DefaultTiming() Timing {
 	return Timing{
 		Period:         200 * time.Millisecond,
@@ -84,7 +84,7 @@
 	}
 }
 
-// Timing returns the default timing, with the times of the exchange itself multiplied by Slower.
+// Timing returns the default timing, with the period, the probe times and the rejoin interval multiplied by Slower.
 func (c Config) Timing() Timing {
 	timing := DefaultTiming()
 	if c.Slower > 0 {
@@ -97,7 +97,7 @@
 	return timing
 }
 
-// Limits of the table.
+// Limits of table [fleet].
 const (
 	maxSeeds     = 64
 	maxNameBytes = 64
@@ -107,17 +107,18 @@
 
 const (
 	protocolVersion  = 1                  // of messages; others are rejected
-	maxMessageBytes  = 4 << 20            // decoded of one message
-	maxAddresses     = 1024               // remembered, and likewise other entries by pooler
+	maxMessageBytes  = 4 << 20            // of one encoded message
+	maxAddresses     = 1024               // remembered; also bounds other maps with entries by pooler
 	addressRetention = 7 * 24 * time.Hour // an address is remembered for this long after its pooler last responded
 
-	departedPeriods     = 3  // a pooler's own announcement that it leaves may arrive this many periods late
-	rejoinAddresses     = 4  // remembered ones that are contacted at once, beside the seeds
+	departedPeriods     = 3  // how long to wait for a departed pooler's own announcement that it leaves
+	rejoinAddresses     = 4  // remembered addresses contacted in one attempt, in addition to the seeds
 	firstRejoinFraction = 10 // the first attempt to rejoin is made after this fraction of RejoinInterval
 
-	// Memberlist exchanges its members with a random one every two RejoinIntervals, which repairs lost updates of them,
-	// as after a network partition between many. A pooler that it has not found after two exchanges has failed.
+	// Memberlist exchanges its list of members with a random member every two RejoinIntervals. This repairs lost
+	// updates, for example after a network partition of many poolers. A pooler that memberlist has not found after two
+	// exchanges has failed.
 	pushPullRejoins    = 2
 	unconfirmedRejoins = 2 * pushPullRejoins
-	tcpProbeTimeouts   = 4 // timeout of memberlist's streams, in ProbeTimeouts
+	tcpProbeTimeouts   = 4 // timeout of memberlist's TCP streams, in ProbeTimeouts
 )
--- a/internal/membership/gossip/contact.go
+++ b/internal/membership/gossip/contact.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// contacts record when other poolers responded, and which of them memberlist suspects. They have a lock of their own,
-// as memberlist also logs, and so reports suspicions, while it is being called with Gossip locked.
+// contacts records when other poolers responded, and which of them memberlist suspects. It has a separate lock, because
+// memberlist may log a suspicion during a call that is made with Gossip.mu locked.
 type contacts struct {
 	mu             sync.Mutex
-	lastAnswer     map[string]time.Duration
-	suspectedSince map[string]time.Duration // those that did not answer a probe, until they are heard again
+	lastAnswer     map[string]time.Duration // when a pooler last responded
+	suspectedSince map[string]time.Duration // poolers that did not answer a probe, until they respond again
 	rejected       int64                    // packets that memberlist rejected, such as those of another cluster
 }
 
@@ -18,7 +18,7 @@
 	return contacts{lastAnswer: map[string]time.Duration{}, suspectedSince: map[string]time.Duration{}}
 }
 
-// recordAnswer notes that a pooler responded, which ends a suspicion.
+// recordAnswer records that a pooler responded, and ends its suspicion.
 func (c *contacts) recordAnswer(name string, now time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -26,7 +26,7 @@
 	delete(c.suspectedSince, name)
 }
 
-// recordSuspicion notes that a pooler did not answer a probe.
+// recordSuspicion records that a pooler did not answer a probe.
 func (c *contacts) recordSuspicion(name string, now time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,7 +35,7 @@
 	}
 }
 
-// forget removes everything that is recorded of a pooler.
+// forget removes the records of a pooler.
 func (c *contacts) forget(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/membership/gossip/delegate.go
+++ b/internal/membership/gossip/delegate.go
@@ -11,9 +11,9 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Memberlist calls the types of this file, on goroutines of its own.
+// Memberlist calls the methods in this file on its own goroutines.
 
-// eventDelegate receives changes of the members.
+// eventDelegate receives changes in memberlist's list of members.
 type eventDelegate struct{ g *Gossip }
 
 // NotifyJoin implements memberlist.EventDelegate.
@@ -29,13 +29,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.departed, node.Name)
-	g.contacts.forget(node.Name) // A suspicion of its previous incarnation may have come late.
+	g.contacts.forget(node.Name) // A suspicion of its previous incarnation may have arrived late.
 	delete(g.remembered, node.Name)
 	g.unsaved = true
 	g.members[node.Name] = &peer{node: copyNode(node), foundAt: g.clock()}
 }
 
-// copyNode returns the parts of a node that are used here. Memberlist changes its own nodes.
+// copyNode copies the fields of a node that are used here, because memberlist modifies its nodes.
 func copyNode(node *memberlist.Node) memberlist.Node {
 	return memberlist.Node{Name: node.Name, Addr: slices.Clone(node.Addr), Port: node.Port}
 }
@@ -65,12 +65,12 @@
 	}
 }
 
-// conflictDelegate receives poolers of the same name.
+// conflictDelegate receives reports of two poolers with the same name.
 type conflictDelegate struct{ g *Gossip }
 
 // NotifyConflict implements memberlist.ConflictDelegate.
 func (c conflictDelegate) NotifyConflict(existing, other *memberlist.Node) {
-	c.g.reject(&c.g.counters.Conflicts, fmt.Sprintf("two poolers bear the name %q, at %s and %s",
+	c.g.reject(&c.g.counters.Conflicts, fmt.Sprintf("two poolers use the name %q, at %s and %s",
 		existing.Name, existing.Address(), other.Address()))
 }
 
@@ -115,13 +115,13 @@
 // MergeRemoteState implements memberlist.Delegate: it ignores the state.
 func (userDelegate) MergeRemoteState([]byte, bool) {}
 
-// memberlistLog reads what memberlist logs. Its warnings and errors are mostly about rejected input. Suspicions of
-// members are reported nowhere else.
+// memberlistLog parses memberlist's log, because memberlist reports suspicions of members nowhere else. It counts
+// warnings and errors as rejected packets, because most of them are about rejected input.
 type memberlistLog struct{ g *Gossip }
 
 var suspectLine = regexp.MustCompile(`memberlist: Suspect (.+) has failed, no acks received`)
 
-// Write implements io.Writer for one line. It returns no errors.
+// Write implements io.Writer. It parses one line and returns no errors.
 func (l memberlistLog) Write(line []byte) (int, error) {
 	if match := suspectLine.FindSubmatch(line); match != nil {
 		name := string(match[1])
--- a/internal/membership/gossip/fleet_test.go
+++ b/internal/membership/gossip/fleet_test.go
@@ -11,10 +11,10 @@
 	"capercove/internal/testbed"
 )
 
-// fastGossip shortens the intervals: poolers on one machine answer sooner than over a network.
+// fastGossip shortens the intervals: poolers on one machine answer faster than over a network.
 const fastGossip = "slower = 0.25"
 
-// useOf returns what a pooler does by its view, as it reports it to operators.
+// useOf returns how a pooler uses its view, from the state that it reports to operators.
 func useOf(t *testing.T, fleet *testbed.Fleet, name string) map[string]any {
 	t.Helper()
 	use, isObject := fleet.State(name).Use.(map[string]any)
@@ -41,7 +41,7 @@
 // goneLine is a part of the line that a pooler logs when another one no longer answers.
 func goneLine(name string) string { return fmt.Sprintf(`"pooler":%q,"incarnation":`, name) }
 
-// neverFoundLine is a part of the line that a pooler logs when it knows another one by its facts alone.
+// neverFoundLine is a part of the line that a pooler logs when it has known another one only by its facts.
 func neverFoundLine(name string) string {
 	return fmt.Sprintf(`"pooler":%q,"why":"it was never found"`, name)
 }
--- a/internal/membership/gossip/gossip.go
+++ b/internal/membership/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package gossip runs the shared view of package membership on a network. It uses hashicorp/memberlist to find out
-// which poolers respond, sends updates and summaries between them, and remembers their addresses over a restart.
-// Nothing here is on the path of a request.
+// Package gossip distributes the view of package membership over a network. It uses hashicorp/memberlist to detect
+// which poolers respond, exchanges updates and summaries with them, and saves their addresses for the next start. It is
+// not on the path of a request.
 package gossip
 
 import (
@@ -25,18 +25,18 @@
 type Counters struct {
 	Malformed    int64 `json:"Garbled"`  // messages that could not be read
 	WrongVersion int64 `json:"Versions"` // messages of another protocol version
-	Conflicts    int64 // messages of a second pooler under a name that is in use
+	Conflicts    int64 // reports of a second pooler under a name that is in use
 	Rejoins      int64 `json:"Joins"`   // seeds and remembered addresses that were reached again
 	Refutations  int64 `json:"Refuted"` // times this pooler was reported as gone while it was running
 	Periods      int64 // gossip periods since the start
 	SaveErrors   int64 `json:"Unkept"` // times the remembered addresses could not be read or written
 }
 
-// Observe is called once in each period, with a view that it may use until it returns. It returns the values that the
-// pooler publishes.
+// Observe is called once in each period and returns the values that this pooler publishes. It must not use the view
+// after it has returned, and must not call methods of Gossip.
 type Observe func(now time.Duration, view *membership.View) map[membership.Key][]byte
 
-// Gossip is the part of one pooler in the exchange. It is safe for concurrent use.
+// Gossip runs the gossip protocol of one pooler. It is safe for concurrent use.
 type Gossip struct {
 	name       string
 	config     Config
@@ -52,39 +52,40 @@
 	contacts   contacts
 
 	mu           sync.Mutex
-	list         *memberlist.Memberlist // nil until the listen address is free
-	waitReason   string                 // why list is nil; empty if it is not
+	list         *memberlist.Memberlist // nil until this pooler listens
+	waitReason   string                 // why join failed; empty once list is set
 	disseminator *membership.Disseminator
 	members      map[string]*peer             // other poolers that respond
-	departed     map[string]*peer             // left or failed a moment ago; which of the two is not known yet
+	departed     map[string]*peer             // lost a moment ago; not yet known whether they left or failed
 	unconfirmed  map[string]unconfirmedPooler // in the view, but unknown to memberlist
-	remembered   map[string]address           // failed ones, and those known before a restart
+	remembered   map[string]address           // of failed poolers, and of those known before a restart
 	agreement    *agreement
 	stopping     bool
 	counters     Counters
-	lastLogged   map[string]time.Duration // by the text of a warning
-	savedAt      time.Duration            // last attempt to save the addresses
-	unsaved      bool                     // the addresses have changed since
+	lastLogged   map[string]time.Duration // time of a warning, by its text
+	savedAt      time.Duration            // when saving the addresses was last attempted
+	unsaved      bool                     // the addresses have changed since savedAt
 	saveError    string                   // of the last attempt; empty if it succeeded
 	random       *rand.Rand
 }
 
-// peer is another pooler that responds, or did so a moment ago.
+// peer is another pooler that memberlist has found.
 type peer struct {
 	node    memberlist.Node
 	foundAt time.Duration
-	lostAt  time.Duration // 0: it responds
+	lostAt  time.Duration // 0 while it responds
 }
 
-// unconfirmedPooler is one that is known by its published facts alone.
+// unconfirmedPooler is a pooler that is known only by its published facts.
 type unconfirmedPooler struct {
 	latest uint64        // sequence of its newest fact
 	since  time.Duration // when that fact arrived
 }
 
-// Start joins the installation under a name, and keeps trying while no other pooler responds. While the listen address
-// is in use, as by an earlier process of this pooler that has not ended yet, it waits for it. The clock counts from the
-// Unix epoch. Observe is called on a goroutine of its own.
+// Start joins the cluster of poolers under a name, without waiting for other poolers to respond. It retries in the
+// background while none responds, or while the listen address is in use, for example by the previous process of this
+// pooler. Other errors of the first attempt are returned. The clock counts from the Unix epoch. Observe is called on a
+// background goroutine, until Stop.
 func Start(
 	name string, config Config, timing Timing, log zerolog.Logger, clock func() time.Duration, observe Observe,
 ) (*Gossip, error) {
@@ -122,10 +123,11 @@
 	return gossip, nil
 }
 
-// isAddressInUse reports whether a join failed on the listen address. Memberlist wraps the text of the error alone.
+// isAddressInUse reports whether a join failed because the listen address is in use. It searches the text, because
+// memberlist does not wrap the system's error.
 func isAddressInUse(err error) bool { return strings.Contains(err.Error(), syscall.EADDRINUSE.Error()) }
 
-// loadAddresses reads the remembered addresses, if they are to be stored. On an error the pooler starts without any.
+// loadAddresses reads the saved addresses if a directory is configured. After an error the pooler starts without any.
 func (g *Gossip) loadAddresses(now time.Duration) {
 	if g.config.Dir == "" {
 		return
@@ -139,7 +141,7 @@
 	delete(g.remembered, g.name)
 }
 
-// waitAndRun joins again until the listen address is free, and then runs until Stop. Err is that of the first attempt.
+// waitAndRun retries join until it succeeds, and then runs until Stop. Err is the error of the first attempt.
 func (g *Gossip) waitAndRun(err error) {
 	for logged := false; err != nil; err = g.join() {
 		if !logged {
@@ -165,7 +167,7 @@
 	g.waitReason = reason
 }
 
-// join listens, and starts memberlist.
+// join opens the listen address and starts memberlist.
 func (g *Gossip) join() error {
 	listen, err := netip.ParseAddrPort(g.config.Listen)
 	if err != nil {
@@ -195,11 +197,11 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.list = list // messages may have arrived before
+	g.list = list // memberlist may have delivered messages already
 	return nil
 }
 
-// memberlistConfig returns the configuration of memberlist by this pooler's settings.
+// memberlistConfig returns the configuration of memberlist for this pooler's settings.
 func (g *Gossip) memberlistConfig(
 	own, advertise netip.AddrPort, netTransport *memberlist.NetTransport, logger *stdlog.Logger,
 ) *memberlist.Config {
@@ -212,7 +214,7 @@
 	config.ProbeInterval, config.ProbeTimeout = timing.ProbeInterval, timing.ProbeTimeout
 	config.PushPullInterval = pushPullRejoins * timing.RejoinInterval
 	config.TCPTimeout = tcpProbeTimeouts * timing.ProbeTimeout
-	config.DeadNodeReclaimTime = timing.RejoinInterval // a pooler may return under another address
+	config.DeadNodeReclaimTime = timing.RejoinInterval // a restarted pooler may have another address
 	config.Logger = logger
 	config.Delegate = userDelegate{g}
 	config.Events = eventDelegate{g}
@@ -221,8 +223,8 @@
 	return config
 }
 
-// Stop announces that this pooler leaves, and ends all goroutines. It waits for memberlist's own announcement no longer
-// than the given time. It must be called once.
+// Stop announces that this pooler leaves, and stops all goroutines. It waits at most the given time for memberlist to
+// make its own announcement. It must be called once.
 func (g *Gossip) Stop(within time.Duration) {
 	close(g.stop)
 	g.mu.Lock()
@@ -238,7 +240,7 @@
 	if list == nil {
 		return
 	}
-	if err := list.Leave(within); err != nil { // The announcement above has been sent all the same.
+	if err := list.Leave(within); err != nil { // The announcement above has already been sent.
 		g.log.Debug().Err(err).Msg("membership: leave not announced by memberlist")
 	}
 	if err := list.Shutdown(); err != nil {
--- a/internal/membership/gossip/gossip_test.go
+++ b/internal/membership/gossip/gossip_test.go
@@ -17,7 +17,7 @@
 	"capercove/internal/testbed"
 )
 
-// convergenceTimeout is how long members may take to converge on a busy machine.
+// convergenceTimeout is the longest time in which members converge on a busy machine.
 const convergenceTimeout = 60 * time.Second
 
 // pollInterval is how often a condition is checked.
@@ -35,12 +35,12 @@
 	return func(time.Duration, *membership.View) map[membership.Key][]byte { return values }
 }
 
-// members are several poolers' gossip in this process, each behind a relay for faults.
+// members runs the gossip of several poolers in this process, each behind a relay that injects faults.
 type members struct {
 	t       *testing.T
 	network *faults.Net
 	names   []string
-	public  map[string]string // address of the relay before a member
+	public  map[string]string // address of the relay in front of a member
 	own     map[string]string // address that a member listens on
 	log     *testbed.Output
 	running map[string]*gossip.Gossip
@@ -88,7 +88,7 @@
 	m.running[name] = started
 }
 
-// sees returns whether a pooler sees another in a state.
+// sees reports whether a pooler sees another one in a state.
 func sees(observer *gossip.Gossip, name, state string) bool {
 	return slices.ContainsFunc(observer.State().Poolers, func(pooler gossip.Pooler) bool {
 		return pooler.Name == name && pooler.State == state
@@ -112,8 +112,8 @@
 	m.network.Note("%v have converged", names)
 }
 
-// Five members join at once by a seed that starts last; two end without an announcement and restart without a view; one
-// leaves.
+// Five members join at once through a seed that starts last. Two end without an announcement and restart without a
+// view. One leaves.
 func TestJoinCrashRestartLeave(t *testing.T) {
 	members := newMembers(t, 1, 5)
 	for _, name := range members.names[1:] {
@@ -135,7 +135,7 @@
 	members.running["n3"].Stop(time.Second)
 	delete(members.running, "n3")
 	members.requireConverged("n0", "n1", "n2", "n4")
-	// Its own announcement takes precedence over detection by others, whichever came first.
+	// Its own announcement takes precedence over detection by others, whichever arrives first.
 	for _, name := range []string{"n0", "n1", "n2", "n4"} {
 		require.Eventually(t, func() bool {
 			return sees(members.running[name], "n3", "left")
@@ -143,7 +143,8 @@
 	}
 }
 
-// Two halves that have each converged before the seed between them started converge with each other.
+// Two halves of a fleet have each converged before they can reach the seed that connects them. Then all members
+// converge.
 func TestSeparateHalvesMerge(t *testing.T) {
 	members := newMembers(t, 5, 4)
 	members.start("n3", "c", "n2")
@@ -157,8 +158,9 @@
 	members.requireConverged(members.names...)
 }
 
-// In a network partition each side converges, and both do together once it is over, though neither has a seed on the
-// other side; also if another partition begins at once. A link that is cut one way makes nobody fail for good.
+// In a network partition each side converges. Both converge with each other once it is over, although neither has a
+// seed on the other side, and also if another partition begins at once. A link that is cut in one direction makes no
+// member fail permanently.
 func TestPartitionHeals(t *testing.T) {
 	members := newMembers(t, 2, 5)
 	members.start("n0", "c")
@@ -182,8 +184,8 @@
 	members.requireConverged(members.names...)
 }
 
-// Members converge while packets between all of them are lost, duplicated, damaged and late.
-func TestUnreliableLinks(t *testing.T) {
+// Members converge while packets between all of them are lost, duplicated, damaged and delayed.
+func TestMembersConvergeOverUnreliableLinks(t *testing.T) {
 	members := newMembers(t, 3, 4)
 	impairAllLinks(members.network, members.names, faults.Link{
 		Loss: 0.1, Twice: 0.1, Late: 0.1, Jitter: 5 * time.Millisecond, Flip: 0.02,
@@ -195,7 +197,7 @@
 	members.requireConverged(members.names...)
 }
 
-// Members of another cluster and a second one of the same name are rejected, and the others continue.
+// Members of another cluster and a second member of the same name are rejected. The others are not affected.
 func TestOtherClustersAndDuplicateNamesAreRejected(t *testing.T) {
 	members := newMembers(t, 4, 4)
 	members.start("n0", "c")
@@ -213,10 +215,10 @@
 	defer duplicate.Stop(time.Millisecond)
 	hasConflict := func() bool { return members.running["n0"].State().Conflicts > 0 }
 	require.Eventually(t, hasConflict, convergenceTimeout, pollInterval)
-	members.requireConverged("n0", "n1") // the first of the name and nobody else
+	members.requireConverged("n0", "n1") // the first member of that name, and not the duplicate
 }
 
-// A pooler that ends before memberlist has found it is known by its facts alone. It does not stay live.
+// A pooler that ends before memberlist has found it is known only by its facts. It is marked as failed.
 func TestPoolerKnownByFactsAloneFails(t *testing.T) {
 	members := newMembers(t, 6, 2)
 	merged := false
@@ -233,17 +235,17 @@
 	require.NoError(t, err)
 	members.running["n0"] = started
 	members.start("n1", "c", "n0")
-	members.requireConverged("n0", "n1") // n1 learns of it by n0's answers to its summaries, or by its end
+	members.requireConverged("n0", "n1") // n1 learns of the ghost from n0's answers, or from its end
 	for _, name := range []string{"n0", "n1"} {
 		require.True(t, sees(members.running[name], "ghost", "gone"))
 	}
 }
 
-// A configuration with an invalid value is rejected with the key's name.
-func TestConfigCheck(t *testing.T) {
+// The error for a configuration with an invalid value names the key.
+func TestConfigErrorNamesInvalidKey(t *testing.T) {
 	good := gossip.Config{Enabled: true, Cluster: "c", Listen: "127.0.0.1:7946", Seeds: []string{"db.example:1"}}
 	require.NoError(t, good.Check())
-	require.NoError(t, gossip.Config{Listen: "odd"}.Check(), "off")
+	require.NoError(t, gossip.Config{Listen: "odd"}.Check(), "not enabled")
 	for key, change := range map[string]func(*gossip.Config){
 		"cluster":   func(config *gossip.Config) { config.Cluster = "" },
 		"listen":    func(config *gossip.Config) { config.Listen = "nowhere" },
--- a/internal/membership/gossip/measure_test.go
+++ b/internal/membership/gossip/measure_test.go
@@ -12,8 +12,8 @@
 	"capercove/internal/testbed"
 )
 
-// TestMeasure prints what docs/measured/membership.md quotes: FLEET_MEASURE=5,15,30 names the sizes. It proves
-// nothing by itself.
+// TestMeasure prints the figures that docs/measured/membership.md quotes. FLEET_MEASURE=5,15,30 lists the sizes of the
+// fleets. It asserts nothing itself.
 func TestMeasure(t *testing.T) {
 	for size := range strings.SplitSeq(os.Getenv("FLEET_MEASURE"), ",") {
 		var n int
@@ -45,25 +45,25 @@
 	}
 	report := func(what string, took time.Duration) { t.Logf("%d poolers, %s: %.1f s", n, what, took.Seconds()) }
 	report("the last joined", fleet.WaitConverged("joined", all...))
-	quiet := func(what string) {
-		sentBefore, cpuBefore, begun := bytes(), cpu(), time.Now()
+	reportRates := func(what string) {
+		sentBefore, cpuBefore, started := bytes(), cpu(), time.Now()
 		time.Sleep(20 * time.Second)
-		seconds := time.Since(begun).Seconds()
+		seconds := time.Since(started).Seconds()
 		sentRate := float64(bytes()-sentBefore) / seconds / float64(n)
 		cpuRate := float64((cpu() - cpuBefore).Microseconds()) / 1000 / seconds / float64(n)
 		t.Logf("%d poolers, %s: %.0f bytes/s sent and %.2f ms/s of CPU a pooler", n, what, sentRate, cpuRate)
 	}
-	quiet("quiet")
+	reportRates("quiet")
 	fleet.Kill("n2")
 	rest := without(all, "n2")
 	report("a crash", fleet.WaitConverged("killed", rest...))
 	fleet.Restart("n2")
 	report("its restart", fleet.WaitConverged("back", all...))
 	fleet.Net.Partition(all[:half], all[half:])
-	begun := time.Now()
+	started := time.Now()
 	fleet.WaitConverged("one side", slices.Clone(all[:half])...)
 	fleet.WaitConverged("the other", slices.Clone(all[half:])...)
-	report("a cut in two", time.Since(begun))
+	report("a cut in two", time.Since(started))
 	fleet.Net.Heal()
 	report("its end", fleet.WaitConverged("healed", all...))
 	refuted := func() (sum int64) {
@@ -74,7 +74,7 @@
 	}
 	before := refuted()
 	impairAllLinks(fleet.Net, all, faults.Link{Loss: 0.1})
-	quiet("a tenth lost")
+	reportRates("a tenth lost")
 	fleet.Net.Heal()
 	fleet.WaitConverged("after the loss", all...)
 	t.Logf("%d poolers, wrongly found gone in 20 s with a tenth lost: %d", n, refuted()-before)
--- a/internal/membership/gossip/period.go
+++ b/internal/membership/gossip/period.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// runPeriods publishes and sends, once in each period, until Stop.
+// runPeriods calls runPeriod once in each gossip period, until Stop.
 func (g *Gossip) runPeriods() {
 	ticker := time.NewTicker(g.timing.Period)
 	defer ticker.Stop()
@@ -20,6 +20,7 @@
 	}
 }
 
+// runPeriod detects ended poolers, publishes this pooler's values and sends the messages that are due.
 func (g *Gossip) runPeriod() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,9 +60,10 @@
 	}
 }
 
-// resolveUnconfirmed marks poolers as failed that memberlist has not found by a while after their newest fact. A
-// pooler may fail or be cut off after its first facts have spread, and before memberlist has reported it here: then
-// nothing else would detect its end until its facts expire. One that is running refutes it. The caller holds mu.
+// resolveUnconfirmed marks poolers as failed that memberlist has not found within unconfirmedRejoins RejoinIntervals of
+// their newest fact. A pooler may fail or become unreachable after its first facts have spread, but before memberlist
+// has reported it here. Without this check its failure would not be detected until its facts expire. A pooler that is
+// running refutes the mark. The caller holds mu.
 func (g *Gossip) resolveUnconfirmed(now time.Duration) {
 	live := g.disseminator.View.Live()
 	maps.DeleteFunc(g.unconfirmed, func(name string, _ unconfirmedPooler) bool {
@@ -86,7 +88,7 @@
 	}
 }
 
-// updateAgreement checks whether all views are the same. The caller holds mu.
+// updateAgreement checks whether all views agree, and logs a change. The caller holds mu.
 func (g *Gossip) updateAgreement(now time.Duration) {
 	digest := g.disseminator.View.Digest()
 	g.digest.Store(digest)
--- a/internal/membership/gossip/print.go
+++ b/internal/membership/gossip/print.go
@@ -65,29 +65,29 @@
 func (s State) databaseTable(now time.Time) table {
 	databases := table{"DATABASE\tIS SAID TO\tBY"}
 	for _, database := range s.Databases {
-		poolers := map[string][]string{} // by what they observe
+		reporters := map[string][]string{} // by the text of the state that they report
 		for _, observation := range database.Words {
-			what := observation.State.String()
+			state := observation.State.String()
 			if observation.Primary {
-				what += ", lead"
+				state += ", lead"
 			}
 			if observation.Cold {
-				what += ", be cold"
+				state += ", be cold"
 			}
-			by := fmt.Sprintf("%s (%s)", observation.Pooler, formatAge(now, observation.Since))
-			poolers[what] = append(poolers[what], by)
+			reporter := fmt.Sprintf("%s (%s)", observation.Pooler, formatAge(now, observation.Since))
+			reporters[state] = append(reporters[state], reporter)
 		}
-		for _, what := range slices.Sorted(maps.Keys(poolers)) {
-			databases.add("%s\t%s\t%s", database.Name, what, strings.Join(poolers[what], ", "))
+		for _, state := range slices.Sorted(maps.Keys(reporters)) {
+			databases.add("%s\t%s\t%s", database.Name, state, strings.Join(reporters[state], ", "))
 		}
 	}
 	return databases
 }
 
-// publishedKeys are the keys that are printed of what a pooler publishes of itself, in their order.
+// publishedKeys are the keys that are printed from what a pooler publishes about itself, in this order.
 var publishedKeys = []string{"version", "zone", "listen", "settings", "load", "connections", "counted", "stopping"}
 
-// published returns what a pooler publishes of itself, as text.
+// published returns the values of publishedKeys that a pooler publishes, as text.
 func (p Pooler) published() string {
 	var values map[string]any
 	if json.Unmarshal(p.Says, &values) != nil {
@@ -102,6 +102,7 @@
 	return strings.Join(texts, " ")
 }
 
+// formatAge returns the time since a Unix time in ms, in whole seconds.
 func formatAge(now time.Time, unixMS int64) string {
 	return max(0, now.Sub(time.UnixMilli(unixMS))).Round(time.Second).String()
 }
--- a/internal/membership/gossip/process_test.go
+++ b/internal/membership/gossip/process_test.go
@@ -22,9 +22,9 @@
 	"capercove/internal/testbed"
 )
 
-// Four poolers, with relays between them, join by a seed that starts last. One is killed, one is paused until it is
-// reported as failed, and a network partition isolates one. Each time the poolers that can reach each other converge,
-// and all of them keep serving.
+// Four poolers, with relays between them, join through a seed that starts last. One is killed, one is paused until it
+// is reported as failed, and a network partition isolates one. Each time the poolers that can reach each other
+// converge, and all of them continue to serve requests.
 func TestFleetConvergesAfterFailures(t *testing.T) {
 	t.Parallel()
 	fleet := testbed.NewFleet(t, 1, 4, []string{"n0"}, fastGossip+"\ncount = true")
@@ -33,7 +33,7 @@
 		fleet.WaitConverged(what, names...)
 		fleet.Serve(what, names...)
 	}
-	counted := func(name string, poolers float64) { // the settings say one
+	counted := func(name string, poolers float64) { // the settings configure one pooler
 		t.Helper()
 		counts := func() bool { return useOf(t, fleet, name)["counted"] == poolers }
 		fleet.Beds[name].Eventually(counts, name+" counts")
@@ -54,7 +54,7 @@
 	require.Zero(t, status, out)
 	require.True(t, json.Valid([]byte(out)), out)
 	_, status = fleet.Command("fleet", fleet.Beds["n0"].Addr)
-	require.Equal(t, 2, status, "no operators' address")
+	require.Equal(t, 2, status, "not a management address")
 	fleet.Kill("n1")
 	settled("n1 killed", "n0", "n2", "n3")
 	fleet.Restart("n1")
@@ -71,7 +71,7 @@
 	counted("n3", 4) // the smaller side counts all known poolers
 	counted("n0", 3)
 	_, status = fleet.Command("fleet", "--all", fleet.Beds["n3"].Management)
-	require.Zero(t, status, "alone it agrees with itself")
+	require.Zero(t, status, "it agrees with itself while it is alone")
 	require.Equal(t, "larger", fleet.State("n0").Side)
 	fleet.Net.Heal()
 	settled("healed", fleet.Names...)
@@ -83,11 +83,11 @@
 		require.False(t, pooler.Name == "n0" && pooler.State != "left", "%+v", pooler)
 	}
 	code, _ := testbed.Start(t).Call(http.MethodGet, "/fleet")
-	require.Equal(t, http.StatusNotFound, code, "off")
+	require.Equal(t, http.StatusNotFound, code, "[fleet] is off")
 }
 
-// sendReads sends reads to poolers until the function that it returns is called. A pooler without requests has no
-// budget for probes: it readmits an unresponsive database after its backoff, and reports it as bad no longer.
+// sendReads sends reads to poolers until the returned function is called or the test ends. A pooler without requests
+// has no budget for probes: it readmits an unresponsive database after its backoff, and no longer reports it as bad.
 func sendReads(fleet *testbed.Fleet, names ...string) (stop func()) {
 	const timeout = 500 * time.Millisecond
 	var stopped atomic.Bool
@@ -97,7 +97,7 @@
 		statement := bed.Statement("read", "k", timeout)
 		clients.Go(func() {
 			for !stopped.Load() {
-				bed.Try(statement, 2*timeout) // the answer does not matter, nor whether there is one
+				bed.Try(statement, 2*timeout) // neither the answer nor a timeout matters
 			}
 		})
 	}
@@ -109,9 +109,9 @@
 	return stop
 }
 
-// Two poolers detect by their own requests that a database is unresponsive. The third, which has no requests, probes it
-// because of their observations and detects it too; the fourth, where that is off, does not. When the database answers
-// again, all publish that.
+// Two poolers detect by their own requests that a database is unresponsive. The third has no requests. It probes the
+// database because of their observations, and detects the failure too. The fourth does not, because such probes are off
+// there. When the database answers again, the three publish that.
 func TestSuspectedDatabaseIsProbed(t *testing.T) {
 	t.Parallel()
 	fleet := testbed.NewFleet(t, 8, 4, []string{"n0"}, fastGossip)
@@ -121,7 +121,7 @@
 	fleet.WaitConverged("joined", fleet.Names...)
 	unresponsive := fleet.Beds["n0"].Databases[1]
 	unresponsive.Freeze(true)
-	// reports returns whether a pooler knows that another has observed the database as bad.
+	// reports returns whether a pooler's state shows that the observer published the database as bad.
 	reports := func(at, observer string) bool {
 		return slices.ContainsFunc(fleet.State(at).Databases, func(database gossip.Database) bool {
 			bad := func(observation membership.PeerObservation) bool {
@@ -155,10 +155,10 @@
 	}
 }
 
-// Of five poolers, two are killed and one is paused for three times as long as it takes to be reported as failed: when
-// it continues, it reports nobody as failed. A network partition ends and begins again before all have converged; a
-// link that is cut one way makes nobody flap.
-func TestFailuresOfFivePoolers(t *testing.T) {
+// Of five poolers, two are killed and one is paused for three times as long as it takes to be reported as failed. When
+// the paused pooler resumes, it reports no live pooler as failed. Then a network partition ends and begins again before
+// all have converged. Last, a link that is cut in one direction makes no pooler flap.
+func TestPauseOrOneWayCutFailsNoLivePooler(t *testing.T) {
 	t.Parallel()
 	fleet := testbed.NewFleet(t, 2, 5, []string{"n0"}, fastGossip)
 	fleet.StartAll()
@@ -167,7 +167,7 @@
 	fleet.Kill("n2")
 	fleet.Pause("n3")
 	took := fleet.WaitConverged("two killed, one paused", "n0", "n4")
-	require.NotEmpty(t, fleet.Logs("membership: pooler suspected"), "memberlist logs suspicions otherwise")
+	require.NotEmpty(t, fleet.Logs("membership: pooler suspected"), "memberlist's log line for suspicions has changed")
 	fleet.Periods(int(3*took/(50*time.Millisecond)), "n0", "n4")
 	before := map[string]int64{}
 	for _, name := range []string{"n0", "n4"} {
@@ -177,7 +177,7 @@
 	fleet.WaitConverged("n3 resumed", "n0", "n3", "n4")
 	resumed := fleet.Beds["n3"]
 	resumed.Eventually(func() bool { return resumed.Line(goneLine("n1")) != "" }, "n3 reports a killed pooler")
-	for _, name := range []string{"n0", "n4"} { // reported as failed, they would refute it
+	for _, name := range []string{"n0", "n4"} { // a pooler that is reported as failed refutes it
 		require.Equal(t, before[name], fleet.State(name).Refutations, "%s was reported as failed", name)
 		require.Empty(t, resumed.Line(goneLine(name)))
 		require.Empty(t, resumed.Line(neverFoundLine(name)))
@@ -203,7 +203,7 @@
 	require.Equal(t, refuted, fleet.State("n4").Refutations, "others reach it")
 }
 
-// All poolers are killed at once and restart in another order, the seed last: they find each other through the
+// All poolers are killed at once and restart in another order, the seed last. They find each other through the
 // addresses that they saved. A damaged address file is counted, and its pooler starts without it.
 func TestFleetRestartsWithoutSeed(t *testing.T) {
 	t.Parallel()
@@ -241,9 +241,9 @@
 	fleet.WaitConverged("all", fleet.Names...)
 }
 
-// Poolers restart one by one, first by a second process on the inherited listener and then by SIGTERM and a start: none
-// is ever reported as failed, and each serves.
-func TestRollingRestart(t *testing.T) {
+// Poolers restart one by one, first through a second process on the inherited listener, and then through SIGTERM and a
+// new start. None is ever reported as failed, and each serves requests.
+func TestRollingRestartFailsNoPooler(t *testing.T) {
 	t.Parallel()
 	fleet := testbed.NewFleet(t, 4, 4, []string{"n0", "n1"}, "", testbed.WithListener)
 	fleet.StartAll()
@@ -251,7 +251,7 @@
 	for _, name := range fleet.Names {
 		fleet.Net.Note("upgrade %s", name)
 		end := fleet.Beds[name].Upgrade()
-		require.NotEmpty(t, fleet.State(name).Waits, "the old process still takes part")
+		require.NotEmpty(t, fleet.State(name).Waits, "the new process waits while the old one uses the listen address")
 		fleet.Serve("two processes", name)
 		require.NoError(t, end())
 		fleet.WaitConverged("upgraded "+name, fleet.Names...)
@@ -269,9 +269,9 @@
 	}
 }
 
-// A tenth of the packets between all poolers is lost, and some are duplicated or late, for a long time: none is
-// reported as failed.
-func TestPacketLossFailsNobody(t *testing.T) {
+// A tenth of the packets between all poolers is lost, and some are duplicated or delayed, for many probe intervals. No
+// pooler is reported as failed.
+func TestPacketLossFailsNoPooler(t *testing.T) {
 	t.Parallel()
 	fleet := testbed.NewFleet(t, 5, 4, []string{"n0"}, "")
 	fleet.StartAll()
@@ -288,8 +288,9 @@
 	require.Empty(t, fleet.Logs("it does not answer"))
 }
 
-// Many poolers join by one seed, some are killed and restart, and a network partition divides them in half.
-func TestManyPoolers(t *testing.T) {
+// Many poolers join through one seed, some are killed and restart, and a network partition divides them in half. Each
+// time, the poolers that can reach each other converge.
+func TestManyPoolersConverge(t *testing.T) {
 	t.Parallel()
 	size := 10
 	if more := os.Getenv("FLEET_SIZE"); more != "" {
--- a/internal/membership/gossip/query.go
+++ b/internal/membership/gossip/query.go
@@ -14,12 +14,12 @@
 
 const (
 	queryTimeout       = 3 * time.Second
-	maxStateBytes      = 32 << 20 // of one answer
-	maxErrorBytes      = 1 << 10  // of an answer that reports an error
+	maxStateBytes      = 32 << 20 // of one response
+	maxErrorBytes      = 1 << 10  // of the text of an error response
 	maxParallelQueries = 16
 )
 
-// Query requests a pooler's view from its management address.
+// Query requests a pooler's view from its management address. It waits at most queryTimeout.
 func Query(addr string) (state State, err error) {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+addr+"/fleet", nil)
 	if err != nil {
@@ -32,7 +32,7 @@
 	defer func() { _ = response.Body.Close() }() // it has been read
 	body := io.LimitReader(response.Body, maxStateBytes)
 	if response.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(body, maxErrorBytes)) // the status alone is an answer
+		text, _ := io.ReadAll(io.LimitReader(body, maxErrorBytes)) // without a text, the status is reported alone
 		return state, fmt.Errorf("%s: %s: %s", addr, response.Status, strings.TrimSpace(string(text)))
 	}
 	if err := json.NewDecoder(body).Decode(&state); err != nil {
@@ -41,14 +41,14 @@
 	return state, nil
 }
 
-// ClusterState holds the views of all poolers that one of them knows as live, and the errors of those that could not be
-// queried.
+// ClusterState contains the views of the poolers that one of them sees as live, and the errors for those that could not
+// be queried.
 type ClusterState struct {
 	Views  []State           `json:"views"`
 	Failed map[string]string `json:"failed,omitempty"` // error by the name of the pooler
 }
 
-// QueryAll queries all live poolers of a view at their management addresses.
+// QueryAll queries all live poolers of a view at their management addresses, up to maxParallelQueries at a time.
 func QueryAll(from State) ClusterState {
 	cluster := ClusterState{Views: []State{from}, Failed: map[string]string{}}
 	var mu sync.Mutex
@@ -60,7 +60,7 @@
 		}
 		addr := pooler.management()
 		if addr == "" {
-			mu.Lock() // queries of other poolers are running already
+			mu.Lock() // queries of other poolers are already running
 			cluster.Failed[pooler.Name] = "it publishes no management address"
 			mu.Unlock()
 			continue
@@ -86,7 +86,7 @@
 // management returns the management address that a pooler publishes; "" if there is none.
 func (p Pooler) management() string {
 	var published struct{ Management string }
-	_ = json.Unmarshal(p.Says, &published) // what another pooler publishes may be anything
+	_ = json.Unmarshal(p.Says, &published) // another pooler may publish anything
 	return published.Management
 }
 
--- a/internal/membership/gossip/query_test.go
+++ b/internal/membership/gossip/query_test.go
@@ -10,8 +10,9 @@
 	"capercove/internal/testbed/loopback"
 )
 
-// Poolers without a management address and those that do not answer there are both reported, each by its name. The race
-// detector watches over the collection: queries fail on goroutines of their own while others are still being started.
+// Poolers without a management address and those that do not answer there are both reported, each by its name. Queries
+// fail on their goroutines while others are still being started, so the race detector also checks how their results are
+// collected.
 func TestQueryAllReportsPoolersThatCannotBeQueried(t *testing.T) {
 	listener := loopback.Listen(t)
 	closed := listener.Addr().String()
@@ -31,11 +32,11 @@
 	require.False(t, cluster.Agree())
 	require.Len(t, cluster.Failed, 200)
 	for i := range 200 {
-		why := cluster.Failed[fmt.Sprint("p", i)]
+		reason := cluster.Failed[fmt.Sprint("p", i)]
 		if i%2 == 0 {
-			require.Contains(t, why, "connection refused")
+			require.Contains(t, reason, "connection refused")
 		} else {
-			require.Equal(t, "it publishes no management address", why)
+			require.Equal(t, "it publishes no management address", reason)
 		}
 	}
 }
--- a/internal/membership/gossip/rejected.go
+++ b/internal/membership/gossip/rejected.go
@@ -1,30 +1,30 @@
 package gossip
 
-// reject counts and logs input that is not accepted.
-func (g *Gossip) reject(counter *int64, why string) {
+// reject increments a counter and logs why input was rejected.
+func (g *Gossip) reject(counter *int64, reason string) {
 	g.mu.Lock()
 	*counter++
 	g.mu.Unlock()
-	g.logRejected(why)
+	g.logRejected(reason)
 }
 
-// logRejected logs rejected input, at most once in each LogInterval for one text.
-func (g *Gossip) logRejected(why string) {
-	if g.mayLog(why) {
-		g.log.Warn().Str("why", why).Msg("membership: bad input")
+// logRejected logs why input was rejected, at most once in each LogInterval for the same reason.
+func (g *Gossip) logRejected(reason string) {
+	if g.mayLog(reason) {
+		g.log.Warn().Str("why", reason).Msg("membership: bad input")
 	}
 }
 
-func (g *Gossip) mayLog(why string) bool {
+func (g *Gossip) mayLog(reason string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
-	if last, logged := g.lastLogged[why]; logged && now-last < g.timing.LogInterval {
+	if last, logged := g.lastLogged[reason]; logged && now-last < g.timing.LogInterval {
 		return false
 	}
-	if len(g.lastLogged) >= maxAddresses { // Texts hold names that others may invent.
+	if len(g.lastLogged) >= maxAddresses { // Reasons contain names that other senders choose.
 		clear(g.lastLogged)
 	}
-	g.lastLogged[why] = now
+	g.lastLogged[reason] = now
 	return true
 }
--- a/internal/membership/gossip/rejoin.go
+++ b/internal/membership/gossip/rejoin.go
@@ -3,7 +3,7 @@
 import "time"
 
 // runRejoin contacts seeds and remembered addresses that are not among the members, until Stop. After a network
-// partition neither side has another way to find the other.
+// partition, the two sides have no other way to find each other.
 func (g *Gossip) runRejoin() {
 	for wait := g.timing.RejoinInterval / firstRejoinFraction; ; {
 		select {
@@ -32,7 +32,7 @@
 	for _, member := range g.members {
 		present[member.node.Address()] = true
 	}
-	// Seeds are contacted even if there are members: two halves may each have formed before their seeds were running.
+	// Seeds are contacted even if there are members: two separate halves may have formed before the seeds were running.
 	for _, seed := range g.config.Seeds {
 		if !present[seed] {
 			addresses = append(addresses, seed)
@@ -49,7 +49,7 @@
 	return addresses, interval/2 + time.Duration(g.random.Int64N(int64(interval)))
 }
 
-// contact has memberlist join by an address. Failure is normal: it is tried again.
+// contact makes memberlist join through an address. Failures are expected, and retried by runRejoin.
 func (g *Gossip) contact(address string) {
 	g.mu.Lock()
 	list := g.list
--- a/internal/membership/gossip/rogue_test.go
+++ b/internal/membership/gossip/rogue_test.go
@@ -14,7 +14,7 @@
 	"capercove/internal/testbed"
 )
 
-// The messages of protocol version 1, as a pooler of another version or a faulty one may send them.
+// The wire form of messages in protocol version 1, which a faulty pooler or one of another version may send.
 type (
 	sentFact struct {
 		Owner                 string
@@ -35,7 +35,7 @@
 	}
 )
 
-// invalidMessages returns messages that must change nothing, where n0 is live under an incarnation.
+// invalidMessages returns messages that must change nothing if n0 is live under the given incarnation.
 func invalidMessages(t *testing.T, now time.Duration, incarnation uint64) [][]byte {
 	t.Helper()
 	empty := []byte("{}")
@@ -62,7 +62,7 @@
 	return append(packets, []byte("noise"), nil)
 }
 
-// joinRogue adds a member to the cluster that is no pooler, until the test ends.
+// joinRogue adds a memberlist member that is not a pooler to the cluster, until the test ends.
 func joinRogue(t *testing.T, addresses ...string) *memberlist.Memberlist {
 	t.Helper()
 	config := memberlist.DefaultLANConfig()
@@ -77,9 +77,9 @@
 	return rogue
 }
 
-// A member that sends invalid messages changes nothing: unreadable ones, another protocol version, a fact of the
-// future, an older or a far later incarnation of a pooler, the end of a live one. They are counted, and the live pooler
-// refutes its end.
+// Invalid messages of a member change nothing: undecodable ones, and those with another protocol version, a fact in the
+// future, an older or a far later incarnation of a pooler, or the end of a live pooler. They are counted, and the live
+// pooler refutes its end.
 func TestInvalidMessagesChangeNothing(t *testing.T) {
 	t.Parallel()
 	fleet := testbed.NewFleet(t, 6, 2, []string{"n0"}, fastGossip)
@@ -100,8 +100,8 @@
 		state := fleet.State("n1")
 		return state.WrongVersion >= 1 && state.Malformed >= 2 &&
 			state.Future >= 2 && state.Stale >= 1 && state.Invalid >= 1
-	}, "they are counted")
-	bed.Eventually(func() bool { return fleet.State("n0").Refutations >= 1 }, "n0 is live")
+	}, "n1 counts the messages")
+	bed.Eventually(func() bool { return fleet.State("n0").Refutations >= 1 }, "n0 refutes its end")
 	fleet.WaitConverged("invalid messages", fleet.Names...)
 	fleet.Serve("invalid messages", fleet.Names...)
 	require.Empty(t, fleet.Logs("it does not answer"))
--- a/internal/membership/gossip/schedule_test.go
+++ b/internal/membership/gossip/schedule_test.go
@@ -17,10 +17,10 @@
 // faultSteps is how many steps each schedule of faults has.
 const faultSteps = 10
 
-// A fleet runs during a schedule of faults, chosen by a seed: links are cut, both ways or one, or impaired, the network
-// is partitioned, poolers are killed, paused and restarted. Each pooler that runs gives each request one answer, and
-// writes reach the primary exactly once. When all faults are over all views converge, with exactly the running poolers
-// live.
+// A fleet runs during a schedule of faults that a seed determines. Links are impaired, or cut in one or both
+// directions. The network is partitioned. Poolers are killed, paused and restarted. Each running pooler gives each
+// request one answer, and each write reaches the primary exactly once. When all faults are over, all views converge,
+// with exactly the running poolers live.
 func TestFaultSchedules(t *testing.T) {
 	testbed.RunSeeds(t, "FLEET_SEEDS", 2, func(t *testing.T, seed uint64) {
 		t.Parallel()
@@ -43,7 +43,7 @@
 	random := rand.New(rand.NewPCG(seed, 0x9a9))
 	for _, step := range faults.Plan(seed, fleet.Names, faultSteps) {
 		fleet.Apply(step)
-		if running := fleet.Running(); random.IntN(2) == 0 { // or the next step follows at once
+		if running := fleet.Running(); random.IntN(2) == 0 { // otherwise the next step follows at once
 			fleet.Periods(random.IntN(40), running...)
 		}
 		for _, name := range fleet.Running() {
--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -10,22 +10,22 @@
 	"capercove/internal/membership"
 )
 
-// State is the installation as one pooler sees it, for operators and read by the maintenance agent. Times are in
-// Unix ms, ages in ms.
+// State is the cluster of poolers as one of them sees it, for operators and the maintenance agent. Times are in Unix
+// ms, ages in ms.
 type State struct {
 	Name       string     `json:"name"`
-	Waits      string     `json:"waits,omitempty"` // why this pooler does not take part yet
+	Waits      string     `json:"waits,omitempty"` // why this pooler has not joined yet
 	Digest     string     `json:"digest"`          // equal at two poolers with equal views
 	Agree      bool       `json:"agree"`           // no other pooler's view is known to differ
 	AgreeSince int64      `json:"agree_since_ms"`  // when Agree last changed
 	Side       string     `json:"side"`            // of a network partition: whole, larger, half, smaller or alone
 	Known      int        `json:"known"`           // poolers that are live or failed
-	Live       []string   `json:"live"`            // names, with this pooler's
+	Live       []string   `json:"live"`            // names of live poolers, including this one
 	Poolers    []Pooler   `json:"poolers"`
 	Databases  []Database `json:"databases"` // those with published observations
 	Facts      int        `json:"facts"`
 	OldestMS   int64      `json:"oldest_fact_ms"` // age
-	Use        any        `json:"use,omitempty"`  // what this pooler does by the view
+	Use        any        `json:"use,omitempty"`  // how this pooler uses the view
 	Refused    int64      // packets that memberlist rejected, such as those of another cluster
 	Counters
 	membership.ViewCounters
@@ -35,16 +35,16 @@
 type Pooler struct {
 	Name        string          `json:"name"`
 	State       string          `json:"state"`    // live, suspected, gone (it failed) or left
-	Since       int64           `json:"since_ms"` // when the state began; of this pooler itself, its start
+	Since       int64           `json:"since_ms"` // when the state began; for this pooler itself: its start
 	Incarnation uint64          `json:"incarnation"`
-	Heard       int64           `json:"heard_ms,omitempty"` // age of its last answer to this pooler; 0: none, or itself
+	Heard       int64           `json:"heard_ms,omitempty"` // age of its last answer to this pooler; 0: none or itself
 	Digest      string          `json:"digest,omitempty"`
 	Agrees      string          `json:"agrees,omitempty"` // yes, no, or ? if unknown
 	At          string          `json:"at,omitempty"`     // address where it responds or is contacted again
-	Says        json.RawMessage `json:"says,omitempty"`   // what it publishes of itself
+	Says        json.RawMessage `json:"says,omitempty"`   // what it publishes about itself
 }
 
-// Database holds what live poolers publish of a database.
+// Database contains what live poolers publish about a database.
 type Database struct {
 	Name  string                       `json:"name"`
 	Words []membership.PeerObservation `json:"words"`
@@ -67,7 +67,7 @@
 	sideAlone   = "alone"
 )
 
-// State returns the installation as this pooler sees it.
+// State returns the cluster of poolers as this pooler sees it.
 func (g *Gossip) State() State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -117,7 +117,7 @@
 	return state
 }
 
-// livePooler describes a pooler that is live by the view. The caller holds both locks.
+// livePooler describes a pooler that is live in the view. The caller holds both locks.
 func (g *Gossip) livePooler(now time.Duration, name string) Pooler {
 	pooler := Pooler{Name: name, State: poolerLive}
 	pooler.Incarnation, _ = g.disseminator.View.Incarnation(name)
@@ -142,13 +142,13 @@
 	if at := g.contacts.suspectedSince[pooler.Name]; at > 0 {
 		pooler.State, pooler.Since = poolerSuspected, at.Milliseconds()
 	}
-	digest := g.agreement.peers[pooler.Name]
-	if digest == nil {
+	received := g.agreement.peers[pooler.Name]
+	if received == nil {
 		return
 	}
-	pooler.Agrees = g.agreement.verdict(now, digest)
-	if digest.known {
-		pooler.Digest = formatDigest(digest.digest)
+	pooler.Agrees = g.agreement.verdict(now, received)
+	if received.known {
+		pooler.Digest = formatDigest(received.digest)
 	}
 }
 
@@ -166,8 +166,8 @@
 
 func formatDigest(digest uint64) string { return strconv.FormatUint(digest, 16) } // hexadecimal
 
-// side names the part of the installation that is live. Poolers that crashed and poolers that were cut off cannot be
-// distinguished.
+// side returns the size of this pooler's side of a network partition, relative to the poolers that failed. Crashed
+// poolers and unreachable ones cannot be distinguished.
 func side(live, failed int) string {
 	switch {
 	case failed == 0:
@@ -182,14 +182,14 @@
 	return sideSmaller
 }
 
-// Incarnation returns this pooler's own. It grows when others took the pooler for gone.
+// Incarnation returns this pooler's incarnation. It increases when this pooler refutes a report that it is gone.
 func (g *Gossip) Incarnation() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.disseminator.Publisher.Incarnation()
 }
 
-// Joined reports whether this process takes part. It does not while another process uses its listen address.
+// Joined reports whether this process has joined. It has not while another process uses its listen address.
 func (g *Gossip) Joined() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/membership/gossip/suspicion_test.go
+++ b/internal/membership/gossip/suspicion_test.go
@@ -14,8 +14,8 @@
 	"capercove/internal/membership"
 )
 
-// A suspicion ends when a message of the pooler arrives, and a late one of its previous incarnation ends when it joins
-// again: neither lasts until memberlist probes that pooler again.
+// A suspicion ends when a message of the pooler arrives. A late suspicion of its previous incarnation ends when it
+// joins again. Neither lasts until memberlist probes that pooler again. A damaged message ends no suspicion.
 func TestSuspicionEnds(t *testing.T) {
 	now, bounds := epoch, membership.DefaultBounds()
 	disseminator := membership.NewDisseminator(
--- a/internal/membership/gossip/transport.go
+++ b/internal/membership/gossip/transport.go
@@ -8,7 +8,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport dials from the pooler's own address, so that peers, and relays before them, can tell poolers apart.
+// transport dials from the pooler's own address. Peers, and relays in front of them, distinguish poolers by it.
 type transport struct {
 	*memberlist.NetTransport
 	own netip.Addr
--- a/internal/membership/gossip/wire.go
+++ b/internal/membership/gossip/wire.go
@@ -12,17 +12,17 @@
 	"capercove/internal/membership"
 )
 
-// Steps of an anti-entropy exchange. A request carries the sender's summary. The answer carries what the requester
-// lacks and a summary of its own, and the return what the answering pooler lacks. Their values are part of the wire
-// format.
+// Steps of an anti-entropy exchange. A request carries the requester's summary. An answer carries the entries that the
+// requester lacks, and the answering pooler's summary. A return carries the entries that the answering pooler lacks.
+// The values are part of the wire format.
 const (
 	stepRequest = iota + 1
 	stepAnswer
 	stepReturn
 )
 
-// message is sent as a user message of memberlist, encoded with MessagePack, after a checksum. The field names are
-// part of the wire format.
+// message is sent as a user message of memberlist: a checksum, followed by the message in MessagePack. The field names
+// are part of the wire format.
 type message struct {
 	Version int
 	From    string
@@ -30,55 +30,55 @@
 	Facts   []membership.Fact
 	Ends    []membership.End
 	Summary map[string]uint64
-	Step    int // of an exchange, which goes over streams; 0: updates, in a datagram
+	Step    int // of an exchange, sent over a stream; 0: updates, sent in a datagram
 }
 
 var msgpackHandle codec.MsgpackHandle
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// messageOf returns the wire form of what the disseminator sends.
+// messageOf returns the wire form of a disseminator's message.
 func messageOf(sent membership.Message) message {
-	m := message{Facts: sent.Updates.Facts, Ends: sent.Updates.Ends, Summary: sent.Summary}
+	converted := message{Facts: sent.Updates.Facts, Ends: sent.Updates.Ends, Summary: sent.Summary}
 	if sent.Summary != nil {
-		m.Step = stepRequest
+		converted.Step = stepRequest
 	}
-	return m
+	return converted
 }
 
-// send sends a message: updates in a datagram, the steps of an exchange over a stream. A later summary repairs losses.
-// The caller holds mu.
-func (g *Gossip) send(name string, m message) {
-	to, found := g.members[name]
+// send sends a message to a member: updates in a datagram, the steps of an exchange over a stream. A later summary
+// repairs losses. The caller holds mu.
+func (g *Gossip) send(name string, outgoing message) {
+	receiver, found := g.members[name]
 	if !found || g.list == nil {
 		return
 	}
-	m.Version, m.From, m.Digest = protocolVersion, g.name, g.disseminator.View.Digest()
+	outgoing.Version, outgoing.From, outgoing.Digest = protocolVersion, g.name, g.disseminator.View.Digest()
 	var encoded bytes.Buffer
-	if err := codec.NewEncoder(&encoded, &msgpackHandle).Encode(m); err != nil {
+	if err := codec.NewEncoder(&encoded, &msgpackHandle).Encode(outgoing); err != nil {
 		g.log.Error().Err(err).Msg("membership: message not encoded")
 		return
 	}
-	list, node, data := g.list, to.node, withChecksum(encoded.Bytes())
-	if m.Step == 0 {
+	list, node, data := g.list, receiver.node, withChecksum(encoded.Bytes())
+	if outgoing.Step == 0 {
 		_ = list.SendBestEffort(&node, data) // repaired by a later summary
 		return
 	}
 	if g.stopping {
 		return
 	}
-	g.goroutines.Go(func() { // A dial may take as long as its timeout.
+	g.goroutines.Go(func() { // A dial may block until its timeout.
 		_ = list.SendReliable(&node, data) // repaired by a later summary
 	})
 }
 
-// withChecksum puts a checksum before an encoded message. Memberlist's streams have none, and a single flipped bit in a
-// name would leave a pooler in all views that does not exist.
+// withChecksum prepends a checksum to an encoded message. Memberlist's streams have none, and a single flipped bit in a
+// name would add a pooler that does not exist to all views.
 func withChecksum(data []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(data, castagnoli)), data...)
 }
 
-// withoutChecksum returns the encoded message after a checksum, and whether the checksum is right.
+// withoutChecksum removes the checksum from the data, and reports whether it matches the encoded message.
 func withoutChecksum(data []byte) (encoded []byte, ok bool) {
 	if len(data) < crc32.Size {
 		return nil, false
@@ -87,22 +87,22 @@
 	return encoded, crc32.Checksum(encoded, castagnoli) == binary.BigEndian.Uint32(data)
 }
 
-// receive handles a message of another pooler.
+// receive handles a message from another pooler.
 func (g *Gossip) receive(data []byte) {
 	encoded, ok := withoutChecksum(data)
 	if !ok {
-		g.reject(&g.counters.Malformed, "a message that was made otherwise on its way")
+		g.reject(&g.counters.Malformed, "a message with a wrong checksum")
 		return
 	}
 	var received message
 	limited := io.LimitReader(bytes.NewReader(encoded), maxMessageBytes)
 	if err := codec.NewDecoder(limited, &msgpackHandle).Decode(&received); err != nil || received.From == "" {
-		g.reject(&g.counters.Malformed, "a message that cannot be read")
+		g.reject(&g.counters.Malformed, "a message that cannot be decoded or names no sender")
 		return
 	}
 	if received.Version != protocolVersion {
-		g.reject(&g.counters.WrongVersion,
-			fmt.Sprintf("%q speaks version %d, and this pooler %d", received.From, received.Version, protocolVersion))
+		g.reject(&g.counters.WrongVersion, fmt.Sprintf("%q uses protocol version %d, this pooler uses %d",
+			received.From, received.Version, protocolVersion))
 		return
 	}
 	g.mu.Lock()
@@ -111,7 +111,8 @@
 	g.reply(received)
 }
 
-// merge adds what a message says to the view, and counts a refutation. The caller holds mu.
+// merge merges the entries of a message into the view, and records the sender's response and digest. It counts a
+// refutation if the message made this pooler change its incarnation. The caller holds mu.
 func (g *Gossip) merge(received message) {
 	now := g.clock()
 	before := g.disseminator.Publisher.Incarnation()
