--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,4 @@
-// Package clock reads the system's clocks. It is the only package that reads them for any purpose other than measuring
-// durations within this process.
+// Package clock reads the system's clocks. Other packages read them only to measure durations within this process.
 //
 // The program uses three kinds of time:
 //   - time.Now and time.Since of the standard library, whose difference is monotonic, for durations within one process;
@@ -23,26 +22,26 @@
 // Wall returns the time of the wall clock. It must not be used to compute durations.
 func Wall() time.Time { return time.Now() }
 
-// Monotonic returns a clock that is never stepped. It returns the time since the Unix epoch, which is taken from the
-// wall clock once, at the call of Monotonic.
+// Monotonic returns a clock that is never stepped. The clock returns the time since the Unix epoch; it is set by the
+// wall clock once, when Monotonic is called.
 func Monotonic() func() time.Duration {
 	start := Wall()
 	epoch := time.Duration(start.UnixNano())
 	return func() time.Duration { return epoch + time.Since(start) }
 }
 
-// Stamp is a point in time that all processes of a machine can compare. The zero value means that no time is known.
+// Stamp is a point in time that all processes of a machine can compare. The zero value means that the time is unknown.
 type Stamp struct {
 	// Boot identifies the boot of the machine that SinceBoot counts from.
 	Boot string `json:"boot,omitempty"`
-	// SinceBoot is the time since that boot in nanoseconds, including time in which the machine was suspended.
+	// SinceBoot is the time since that boot in nanoseconds, including time during which the machine was suspended.
 	SinceBoot time.Duration `json:"since_boot,omitempty"`
 }
 
 // StampSource returns the present time as a Stamp. Now is the system's source; tests pass their own.
 type StampSource func() (Stamp, error)
 
-// bootID returns the identifier of the present boot. It is read once.
+// bootID returns the identifier of the present boot, which it reads once.
 var bootID = sync.OnceValues(func() (string, error) {
 	text, err := os.ReadFile(bootIDPath)
 	if err != nil {
@@ -64,8 +63,8 @@
 	return Stamp{Boot: boot, SinceBoot: time.Duration(now.Nano())}, nil
 }
 
-// Age returns how long before now the stamp was taken. The age is unknown if the stamp is of another boot, is the zero
-// value or lies in the future.
+// Age returns the time from the stamp to now. The age is unknown if the stamp is of another boot, is the zero value or
+// is later than now.
 func (s Stamp) Age(now Stamp) (age time.Duration, known bool) {
 	if s.Boot == "" || s.Boot != now.Boot || s.SinceBoot > now.SinceBoot {
 		return 0, false
--- a/internal/exclusion/exclusion_test.go
+++ b/internal/exclusion/exclusion_test.go
@@ -10,59 +10,60 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A change applies at once whatever operation fails, and reaches a process that starts meanwhile if the directory takes
-// a link. It is saved once the disk works again, and no incomplete file is left.
-func TestChangeHoldsWhileTheDiskFails(t *testing.T) {
+// A change takes effect at once, whichever file operation fails. A process that starts meanwhile learns of the change
+// if the directory accepts a link. The change is saved once the disk works again, and no incomplete file remains.
+func TestChangeTakesEffectWhileDiskFails(t *testing.T) {
 	for _, test := range []struct {
-		name, kinds string
-		err         error
-		handedOver  bool
+		name, operations string // the operations that fail
+		err              error
+		handedOver       bool
 	}{
 		{"the lock is held", "lock", syscall.EWOULDBLOCK, true},
-		{"no byte can be written", "write", syscall.EFBIG, true},
+		{"a file size limit of 0", "write", syscall.EFBIG, true},
 		{"a full disk", "write sync", syscall.ENOSPC, true},
-		{"a broken disk that takes names", "write rename sync", syscall.EIO, true},
+		{"a broken disk that accepts new directory entries", "write rename sync", syscall.EIO, true},
 		{"a file that cannot be read", "read lock", syscall.EIO, true},
-		{"read only", "lock write rename sync symlink remove", syscall.EROFS, false},
+		{"a read-only disk", "lock write rename sync symlink remove", syscall.EROFS, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			host := newMachine(t)
 			saver := host.start().watch()
 			saver.change("db-0", true)
-			saver.failOn(test.kinds, test.err)
+			saver.failOn(test.operations, test.err)
 			require.NoError(t, saver.Change("db-1", true))
 			require.NoError(t, saver.Change("db-0", false))
 			require.True(t, saver.excluded("db-1"))
 			require.False(t, saver.excluded("db-0"))
 			require.Equal(t, 2, saver.Unsaved())
 			if test.handedOver {
-				host.eventually(saver.Settled, "it is handed over")
+				host.eventually(saver.Settled, "the changes are handed over")
 				next := host.start()
 				require.True(t, next.excluded("db-1"))
 				require.False(t, next.excluded("db-0"))
-				host.eventually(func() bool { return len(host.files("*.new")) == 0 }, "no incomplete file is left")
+				host.eventually(func() bool { return len(host.files("*.new")) == 0 }, "no incomplete file remains")
 			} else {
 				require.Never(t, saver.Settled, 10*refreshInterval, refreshInterval)
 			}
 			saver.failOn("", nil)
-			host.eventually(func() bool { return saver.Unsaved() == 0 }, "it is on disk")
+			host.eventually(func() bool { return saver.Unsaved() == 0 }, "the changes are on disk")
 			require.Contains(t, host.entries(), "db-1")
 			require.NotContains(t, host.entries(), "db-0")
-			host.eventually(func() bool { return len(host.files("*")) == 3 }, "the set, its changes and the lock alone")
+			host.eventually(func() bool { return len(host.files("*")) == 3 }, "the set, changes and lock alone remain")
 		})
 	}
 }
 
-// The last change by an operator wins, at whichever process it is made and whatever was on disk by then.
+// The last change by an operator takes precedence, whichever process receives it and whether or not earlier changes are
+// on disk.
 func TestLastChangeWins(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		play func(host *machine, failing, other *process)
-		want bool
+		run  func(host *machine, failing, other *process)
+		want bool // db-1 is excluded at the end
 	}{
-		{"excluded here, included there while nothing is on disk", func(host *machine, failing, other *process) {
+		{"excluded here, included there, nothing on disk", func(host *machine, failing, other *process) {
 			require.NoError(host.t, failing.Change("db-1", true))
-			host.eventually(func() bool { return other.excluded("db-1") }, "it is handed over")
+			host.eventually(func() bool { return other.excluded("db-1") }, "the exclusion is handed over")
 			host.stepWall(-time.Hour)
 			require.NoError(host.t, other.Change("db-1", false))
 		}, false},
@@ -72,14 +73,14 @@
 			host.stepWall(-time.Hour)
 			require.NoError(host.t, other.Change("db-1", false))
 		}, false},
-		{"excluded here, an older version knows nothing of it", func(host *machine, failing, other *process) {
+		{"excluded here, an older version writes the set without it", func(host *machine, failing, other *process) {
 			failing.failOn("lock symlink", syscall.EIO)
 			require.NoError(host.t, failing.Change("db-1", true))
 			host.write("{}")
 		}, true},
 		{"excluded there, included here, excluded there again", func(host *machine, failing, other *process) {
 			require.NoError(host.t, other.Change("db-1", true))
-			host.eventually(func() bool { return failing.excluded("db-1") }, "it is seen")
+			host.eventually(func() bool { return failing.excluded("db-1") }, "the exclusion is seen")
 			failing.failOn("lock symlink", syscall.EIO)
 			require.NoError(host.t, failing.Change("db-1", false))
 			require.NoError(host.t, other.Change("db-1", true))
@@ -88,7 +89,7 @@
 			require.NoError(host.t, failing.Change("db-1", true))
 			require.NoError(host.t, failing.Change("db-1", false))
 		}, false},
-		{"excluded here, and another database there meanwhile", func(host *machine, failing, other *process) {
+		{"excluded here, another database excluded there meanwhile", func(host *machine, failing, other *process) {
 			failing.failOn("lock symlink", syscall.EIO)
 			require.NoError(host.t, failing.Change("db-1", true))
 			require.NoError(host.t, other.Change("db-2", true))
@@ -98,31 +99,31 @@
 			host := newMachine(t)
 			failing, other := host.start().watch(), host.start().watch()
 			failing.failOn("lock", syscall.EIO)
-			test.play(host, failing, other)
+			test.run(host, failing, other)
 			failing.failOn("", nil)
 			host.eventually(func() bool {
 				return failing.Unsaved()+other.Unsaved() == 0 &&
 					failing.Has("db-1") == test.want && other.Has("db-1") == test.want
-			}, "both agree")
+			}, "both processes agree")
 			require.Equal(t, test.want, host.entries()["db-1"] != 0)
 			require.Equal(t, test.want, host.start().Has("db-1"))
 		})
 	}
 }
 
-// An older version writes the set alone.
+// An older version writes only the set's file. A missing entry ends the exclusion.
 func TestOlderVersionEndsExclusion(t *testing.T) {
 	host := newMachine(t)
-	host.handOver = time.Hour
+	host.handOverDelay = time.Hour
 	saver := host.start().watch()
 	saver.change("db-1", true)
 	host.write("{}")
-	host.eventually(func() bool { return !saver.Has("db-1") }, "it is seen")
+	host.eventually(func() bool { return !saver.Has("db-1") }, "the end of the exclusion is seen")
 	require.False(t, host.start().Has("db-1"))
 	require.Zero(t, saver.Unsaved())
 }
 
-// Two processes that change at once lose nothing.
+// Processes that change the set at the same time lose no change.
 func TestConcurrentChangesLoseNothing(t *testing.T) {
 	host := newMachine(t)
 	var all sync.WaitGroup
@@ -135,5 +136,5 @@
 	for range 3 {
 		require.NoError(t, <-failures)
 	}
-	host.eventually(func() bool { return len(host.entries()) == 3 }, "all are on disk")
+	host.eventually(func() bool { return len(host.entries()) == 3 }, "all changes are on disk")
 }
--- a/internal/exclusion/files.go
+++ b/internal/exclusion/files.go
@@ -8,32 +8,32 @@
 	"capercove/internal/filelock"
 )
 
-// fileMode is the mode of the files that are created.
+// fileMode is the permission mode of created files.
 const fileMode = 0o600
 
 // Files are the file operations that a File uses. Their errors are those of the system calls.
 type Files interface {
 	// Stat returns a description of a file.
 	Stat(path string) (os.FileInfo, error)
-	// Read returns the content of a file, up to a number of bytes.
+	// Read returns the content of a file, of which it reads at most maxBytes.
 	Read(path string, maxBytes int) ([]byte, error)
-	// Write replaces the content of a file, which it creates if needed, and returns when it is on disk.
+	// Write replaces the content of a file and creates the file if needed. It returns when the content is on disk.
 	Write(path string, text []byte) error
-	// Rename renames a file, replacing any that has the new name.
+	// Rename renames a file and replaces an existing file of the new name.
 	Rename(from, to string) error
-	// SyncDir returns when the entries of a directory are on disk.
+	// SyncDir writes the entries of a directory to disk.
 	SyncDir(dir string) error
 	// Remove removes a file.
 	Remove(path string) error
-	// Symlink creates a symbolic link whose target is a text.
-	Symlink(text, path string) error
+	// Symlink creates a symbolic link at path.
+	Symlink(target, path string) error
 	// Readlink returns the target of a symbolic link.
 	Readlink(path string) (string, error)
-	// Lock acquires the lock of a file within a time. Closing the result releases it.
-	Lock(path string, within time.Duration) (io.Closer, error)
+	// Lock acquires the exclusive lock of a file, for which it waits up to timeout. Closing the result releases it.
+	Lock(path string, timeout time.Duration) (io.Closer, error)
 }
 
-// System implements Files by system calls.
+// System implements Files with the operating system's calls.
 type System struct{}
 
 // Stat implements Files.
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = directory.Close() }() // Sync has reported all that matters
+	defer func() { _ = directory.Close() }() // opened for reading only
 	return directory.Sync()
 }
 
@@ -82,16 +82,16 @@
 func (System) Remove(path string) error { return os.Remove(path) }
 
 // Symlink implements Files.
-func (System) Symlink(text, path string) error { return os.Symlink(text, path) }
+func (System) Symlink(target, path string) error { return os.Symlink(target, path) }
 
 // Readlink implements Files.
 func (System) Readlink(path string) (string, error) { return os.Readlink(path) }
 
 // Lock implements Files.
-func (System) Lock(path string, within time.Duration) (io.Closer, error) {
-	file, err := filelock.Open(path, within)
+func (System) Lock(path string, timeout time.Duration) (io.Closer, error) {
+	file, err := filelock.Open(path, timeout)
 	if err != nil {
-		return nil, err // not a nil *os.File in an io.Closer
+		return nil, err // a nil *os.File would be a non-nil io.Closer
 	}
 	return file, nil
 }
--- a/internal/exclusion/handover.go
+++ b/internal/exclusion/handover.go
@@ -13,41 +13,45 @@
 )
 
 // Changes that could not be written yet are handed over to the pooler's other processes, present and future, in the
-// target of a symbolic link. The system creates a link atomically. It needs no lock and no write to a file and, if
-// the target is short, no block of the disk. So it works while a stopped process holds the lock, beyond a limit on
-// file sizes, and mostly on a full disk; it does not work on a disk that takes no new directory entries. All
-// processes share one link. A process that finds its changes missing from it adds them again, so that two concurrent
-// writers lose nothing.
+// target of a symbolic link. The system creates a link atomically. A link needs neither the lock nor a write to a file
+// and, if its target is short, no disk block. It therefore works while a stopped process holds the lock, beyond a
+// limit on file sizes, and mostly on a full disk. It fails on a disk that accepts no new directory entries. All
+// processes share one link. A process that finds its changes missing from the link adds them again: two concurrent
+// writers lose no change.
 
 const (
 	pendingSuffix = ".pending"
 	maxLinkSize   = 4095 // longest target of a symbolic link, in bytes
-	linkBase      = 36   // of the numbers in the link
-	linkFields    = 5    // of each change in the link
+	linkBase      = 36   // base of the numbers in the link
+	linkFields    = 5    // fields of each change in the link
 )
 
-// exchangePending adopts the changes that other processes have handed over, and hands over those of this process. It
-// removes a link whose changes are all on disk.
+// exchangePending adopts the changes that other processes have handed over, and hands over the changes of this process.
+// It removes the link once all changes in it are on disk.
 func (f *File) exchangePending() {
-	left := f.readPending()
-	f.adopt(left)
+	linked := f.readPending()
+	f.adopt(linked)
 	own, due := f.pendingCopy()
 	switch {
-	case len(own) == 0 && left != nil:
+	case len(own) == 0 && linked != nil:
 		_ = f.Files.Remove(f.path + pendingSuffix) // retried at the next refresh
-	case len(own) > 0 && left.encodeLink() == own.encodeLink():
-		f.markShared(own)
-	case len(own) > 0 && (due || left != nil):
+	case len(own) > 0 && linked.encodeLink() == own.encodeLink():
+		f.markHandedOver(own)
+	case len(own) > 0 && (due || linked != nil):
 		if f.writePending(own) == nil {
-			f.markShared(own)
+			f.markHandedOver(own)
 		}
 	}
 }
 
-// encodeLink returns a short text of the changes: a link of less than 60 bytes takes no block of a disk. Each change
-// has a sign for the start or the end of an exclusion, the name, the time by the wall clock, the time of the command
-// since the boot, the time between the start of the exclusion and that command, all in base 36, and the first part of
-// the boot identifier.
+// encodeLink returns the changes as a short text, because a link of less than 60 bytes takes no disk block. Each change
+// is a word that begins with + for an exclusion or - for the end of one. Its fields are separated by commas, and its
+// numbers are in base 36:
+//   - the name of the database;
+//   - the wall-clock time in Unix milliseconds;
+//   - the time of the command in nanoseconds since the boot;
+//   - the nanoseconds from the start of the exclusion to the command, empty if unknown;
+//   - the first part of the boot identifier.
 func (all changes) encodeLink() string {
 	var words []string
 	for name, c := range all {
@@ -56,24 +60,24 @@
 			sign = "+"
 		}
 		boot, _, _ := strings.Cut(c.Issued.Boot, "-")
-		before := ""
+		elapsed := ""
 		if age, known := c.Since.Age(c.Issued); known {
-			before = strconv.FormatInt(int64(age), linkBase)
+			elapsed = strconv.FormatInt(int64(age), linkBase)
 		}
 		words = append(words, sign+strings.Join([]string{
 			url.QueryEscape(name), strconv.FormatInt(c.UnixMilli, linkBase),
-			strconv.FormatInt(int64(c.Issued.SinceBoot), linkBase), before, boot,
+			strconv.FormatInt(int64(c.Issued.SinceBoot), linkBase), elapsed, boot,
 		}, ","))
 	}
 	slices.Sort(words)
 	return strings.Join(words, " ")
 }
 
-// decodeLink parses the result of encodeLink. It ignores invalid words, and times of another boot, which cannot be
-// compared.
+// decodeLink parses the result of encodeLink. It ignores invalid words. It also ignores times since another boot, which
+// cannot be compared.
 func decodeLink(text, boot string) changes {
 	all := changes{}
-	own, _, _ := strings.Cut(boot, "-")
+	presentBoot, _, _ := strings.Cut(boot, "-")
 	for _, word := range strings.Fields(text) {
 		fields := strings.Split(word[1:], ",")
 		if len(fields) != linkFields || word[0] != '+' && word[0] != '-' {
@@ -86,10 +90,10 @@
 			continue
 		}
 		c := change{Excluded: word[0] == '+', UnixMilli: unixMilli}
-		if own != "" && own == fields[4] {
+		if presentBoot != "" && presentBoot == fields[4] {
 			c.Issued = clock.Stamp{Boot: boot, SinceBoot: time.Duration(issued)}
-			if before, err := strconv.ParseInt(fields[3], linkBase, 64); err == nil {
-				c.Since = clock.Stamp{Boot: boot, SinceBoot: time.Duration(issued - before)}
+			if elapsed, err := strconv.ParseInt(fields[3], linkBase, 64); err == nil {
+				c.Since = clock.Stamp{Boot: boot, SinceBoot: time.Duration(issued - elapsed)}
 			}
 		}
 		all[name] = c
@@ -97,7 +101,8 @@
 	return all
 }
 
-// readPending returns the changes of the link, nil if there is none.
+// readPending returns the changes in the link. The result is nil if the link cannot be read, and an empty map if the
+// link has no valid change.
 func (f *File) readPending() changes {
 	text, err := f.Files.Readlink(f.path + pendingSuffix)
 	if err != nil {
@@ -107,10 +112,10 @@
 	return decodeLink(text, present.Boot)
 }
 
-// adopt puts those changes of other processes into force that are later than the known ones. This process writes them
+// adopt puts changes of other processes into force that are later than the known changes. This process then writes them
 // too.
-func (f *File) adopt(left changes) {
-	if len(left) == 0 {
+func (f *File) adopt(linked changes) {
+	if len(linked) == 0 {
 		return
 	}
 	present, _ := f.Stamp()
@@ -118,8 +123,8 @@
 	defer f.mu.Unlock()
 	known := merge(f.onDisk, f.pending, present.Boot)
 	later := changes{}
-	for name, c := range left {
-		if before, ok := known[name]; !ok || c.after(before, present.Boot) {
+	for name, c := range linked {
+		if previous, ok := known[name]; !ok || c.after(previous, present.Boot) {
 			later[name] = c
 		}
 	}
@@ -130,28 +135,29 @@
 	f.publish()
 }
 
-// markShared records that the pending changes are handed over, if these are still all of them.
-func (f *File) markShared(own changes) {
+// markHandedOver sets handedOver if own, which has been handed over, still equals the pending changes. Otherwise it
+// clears handedOver.
+func (f *File) markHandedOver(own changes) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.shared = maps.Equal(f.pending, own)
+	f.handedOver = maps.Equal(f.pending, own)
 }
 
-// writePending replaces the link atomically. If renaming fails, it removes the link and creates a new one.
+// writePending replaces the link atomically. If the rename fails, it removes the old link and creates a new one.
 func (f *File) writePending(own changes) error {
 	text := own.encodeLink()
 	if len(text) > maxLinkSize {
 		return fmt.Errorf("%d changes that are not on disk do not fit into a link", len(own))
 	}
 	link := f.path + pendingSuffix
-	_ = f.Files.Remove(link + newSuffix) // mostly there is none
+	_ = f.Files.Remove(link + newSuffix) // usually there is none
 	if err := f.Files.Symlink(text, link+newSuffix); err != nil {
-		return err // the present link stays
+		return err // the old link stays
 	}
 	if f.Files.Rename(link+newSuffix, link) == nil {
 		return nil
 	}
-	_ = f.Files.Remove(link + newSuffix) // neither matters: if the link is still there, Symlink fails
+	_ = f.Files.Remove(link + newSuffix) // the errors do not matter: Symlink fails if the old link remains
 	_ = f.Files.Remove(link)
 	return f.Files.Symlink(text, link)
 }
--- a/internal/exclusion/helpers_test.go
+++ b/internal/exclusion/helpers_test.go
@@ -23,34 +23,34 @@
 const (
 	convergenceTimeout = 20 * time.Second
 	refreshInterval    = 5 * time.Millisecond
-	longAgo            = time.Hour // an older exclusion has no grace period left
+	longAgo            = time.Hour // longer than the grace period of an exclusion
 )
 
-// startOfWall is the Unix time of the wall clock at the start of a test.
-const startOfWall = 1_800_000_000 * time.Second
+// wallStart is the Unix time of the wall clock at the start of a test.
+const wallStart = 1_800_000_000 * time.Second
 
-// machine is what the processes of a test share.
+// machine has the directory and the clocks that the processes of a test share.
 type machine struct {
-	t    *testing.T
-	dir  string
-	up   atomic.Int64 // time since the boot
-	wall atomic.Int64 // Unix nanoseconds by the wall clock
-	boot string
+	t         *testing.T
+	dir       string
+	sinceBoot atomic.Int64 // nanoseconds
+	wall      atomic.Int64 // wall clock in Unix nanoseconds
+	boot      string       // identifier of the boot
 
-	handOver time.Duration // after which changes that are not on disk are handed over
+	handOverDelay time.Duration // after which changes that are not on disk are handed over
 }
 
 func newMachine(t *testing.T) *machine {
 	t.Helper()
 	created := &machine{t: t, dir: t.TempDir(), boot: "0a1b2c3d-1111-2222-3333-444455556666"}
-	created.up.Store(int64(time.Hour))
-	created.wall.Store(int64(startOfWall))
+	created.sinceBoot.Store(int64(time.Hour))
+	created.wall.Store(int64(wallStart))
 	return created
 }
 
-// pass lets time pass on both clocks.
-func (m *machine) pass(span time.Duration) {
-	m.up.Add(int64(span))
+// advance advances both clocks.
+func (m *machine) advance(span time.Duration) {
+	m.sinceBoot.Add(int64(span))
 	m.wall.Add(int64(span))
 }
 
@@ -61,27 +61,27 @@
 func (m *machine) wallMilliseconds() int64 { return time.Duration(m.wall.Load()).Milliseconds() }
 
 func (m *machine) stamp() (clock.Stamp, error) {
-	return clock.Stamp{Boot: m.boot, SinceBoot: time.Duration(m.up.Add(1))}, nil // no two at the same time
+	return clock.Stamp{Boot: m.boot, SinceBoot: time.Duration(m.sinceBoot.Add(1))}, nil // no two stamps are equal
 }
 
-// disk is the machine's disk with faults: an operation for which fail returns an error is not done. A write that fails
-// leaves its first bytes.
+// disk is a disk with faults: an operation for which fail returns an error is not executed. A failed write leaves its
+// first bytes in the file.
 type disk struct {
 	exclusion.System
 	fail func(operation, path string) error
 	cut  int // bytes that a failed write leaves
 }
 
-func (d disk) Read(path string, most int) ([]byte, error) {
+func (d disk) Read(path string, maxBytes int) ([]byte, error) {
 	if err := d.fail("read", path); err != nil {
 		return nil, err
 	}
-	return d.System.Read(path, most)
+	return d.System.Read(path, maxBytes)
 }
 
 func (d disk) Write(path string, text []byte) error {
 	if err := d.fail("write", path); err != nil {
-		_ = os.WriteFile(path, text[:min(d.cut, len(text))], 0o600) // the operation fails in any case
+		_ = os.WriteFile(path, text[:min(d.cut, len(text))], 0o600) // Write returns err in any case
 		return err
 	}
 	return d.System.Write(path, text)
@@ -108,39 +108,39 @@
 	return d.System.Remove(path)
 }
 
-func (d disk) Symlink(text, path string) error {
+func (d disk) Symlink(target, path string) error {
 	if err := d.fail("symlink", path); err != nil {
 		return err
 	}
-	return d.System.Symlink(text, path)
+	return d.System.Symlink(target, path)
 }
 
-func (d disk) Lock(path string, within time.Duration) (io.Closer, error) {
+func (d disk) Lock(path string, timeout time.Duration) (io.Closer, error) {
 	if err := d.fail("lock", path); err != nil {
 		return nil, err
 	}
-	return d.System.Lock(path, within)
+	return d.System.Lock(path, timeout)
 }
 
-// process is a File as one process of the pooler has it.
+// process is the File of one process of the pooler.
 type process struct {
 	*exclusion.File
-	m     *machine
-	mu    sync.Mutex
-	set   exclusion.Set
-	fault error  // of the failing operations
-	kinds string // of operations that fail
-	stop  func() // ends its watch
+	m          *machine
+	mu         sync.Mutex
+	set        exclusion.Set // as last passed to Changed
+	fault      error         // returned by the failing operations
+	operations string        // names of the operations that fail
+	stop       func()        // ends Watch
 }
 
 func (m *machine) start() *process {
 	started := &process{m: m}
-	started.File = exclusion.Open(m.config(started, disk{fail: started.failing}))
+	started.File = exclusion.Open(m.config(started, disk{fail: started.operationError}))
 	started.Refresh()
 	return started
 }
 
-// watch lets a process refresh and save its set until the end of the test.
+// watch runs Watch until the end of the test or the call of stop.
 func (p *process) watch() *process {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -158,11 +158,11 @@
 
 func (m *machine) config(p *process, files exclusion.Files) exclusion.Config {
 	bounds := limits.For(limits.Machine{MemoryMB: 64, Sockets: 256}, limits.Timeouts{}).Exclusion
-	bounds.ChangeTimeout, bounds.HandOverDelay = 20*time.Millisecond, m.handOver
+	bounds.ChangeTimeout, bounds.HandOverDelay = 20*time.Millisecond, m.handOverDelay
 	bounds.Retry.MaxBackoff, bounds.MaxEndpoints = 50*time.Millisecond, 3
 	return exclusion.Config{
 		Dir: m.dir, Pooler: "n0", Files: files, Stamp: m.stamp, Limits: bounds, Log: zerolog.Nop(),
-		Now:  func() time.Duration { return time.Duration(m.up.Load()) + longAgo },
+		Now:  func() time.Duration { return time.Duration(m.sinceBoot.Load()) + longAgo },
 		Wall: func() time.Time { return time.Unix(0, m.wall.Load()) },
 		Changed: func(set exclusion.Set) {
 			p.mu.Lock()
@@ -172,30 +172,31 @@
 	}
 }
 
-// failOn lets kinds of operations fail from now on, or with nil succeed.
-func (p *process) failOn(kinds string, err error) {
+// failOn makes the named operations, separated by spaces, fail with err from now on.
+func (p *process) failOn(operations string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.kinds, p.fault = kinds, err
+	p.operations, p.fault = operations, err
 }
 
-func (p *process) failing(operation, _ string) error {
+// operationError returns the error of an operation that fails, and nil for other operations.
+func (p *process) operationError(operation, _ string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if strings.Contains(p.kinds, operation) {
+	if strings.Contains(p.operations, operation) {
 		return p.fault
 	}
 	return nil
 }
 
-// change makes a change, and waits until it is on disk.
+// change makes a change and waits until it is on disk.
 func (p *process) change(name string, excluded bool) {
 	p.m.t.Helper()
 	require.NoError(p.m.t, p.Change(name, excluded))
-	p.m.eventually(func() bool { return p.Unsaved() == 0 }, "it is on disk")
+	p.m.eventually(func() bool { return p.Unsaved() == 0 }, "the change is on disk")
 }
 
-// age returns how long ago a database was excluded as the process sees it, -1 if it is not excluded.
+// age returns how long ago a database was excluded according to the process, or -1 if it is not excluded.
 func (p *process) age(name string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -203,24 +204,24 @@
 	if !excluded {
 		return -1
 	}
-	return time.Duration(p.m.up.Load()) + longAgo - at
+	return time.Duration(p.m.sinceBoot.Load()) + longAgo - at
 }
 
 func (p *process) excluded(name string) bool { return p.age(name) >= 0 && p.Has(name) }
 
-// eventually waits until a condition is true.
-func (m *machine) eventually(condition func() bool, what string) {
+// eventually waits until a condition is true. The description names the condition in a failure.
+func (m *machine) eventually(condition func() bool, description string) {
 	m.t.Helper()
-	require.Eventually(m.t, condition, convergenceTimeout, refreshInterval, what)
+	require.Eventually(m.t, condition, convergenceTimeout, refreshInterval, description)
 }
 
-// entries returns the file of the set in the form that an older version reads, nothing if there is none.
+// entries returns the content of the set's file as an older version reads it, empty if there is no file.
 func (m *machine) entries() map[string]int64 {
 	m.t.Helper()
 	return testbed.ReadExclusions(m.t, m.dir)
 }
 
-// files returns the files whose names a pattern matches.
+// files returns the paths of the files whose names match a pattern.
 func (m *machine) files(pattern string) []string {
 	m.t.Helper()
 	found, err := filepath.Glob(filepath.Join(m.dir, pattern))
@@ -228,7 +229,7 @@
 	return found
 }
 
-// write replaces the file of the set, as an older version does.
+// write replaces the set's file, as an older version does.
 func (m *machine) write(text string) {
 	m.t.Helper()
 	path := filepath.Join(m.dir, "other")
--- a/internal/exclusion/refresh.go
+++ b/internal/exclusion/refresh.go
@@ -6,8 +6,8 @@
 	"os"
 )
 
-// Refresh reads the changes of other processes, from the files and from the link of pending changes, and hands over to
-// them the changes that could not be written.
+// Refresh reads the changes of other processes from the files and from the link of pending changes. It hands over the
+// changes of this process that could not be written.
 func (f *File) Refresh() {
 	f.refreshing.Lock()
 	defer f.refreshing.Unlock()
@@ -15,13 +15,13 @@
 	f.exchangePending()
 }
 
-// refreshSet reads the set's file if it has changed. If that fails, the error is logged and the set stays as it is.
+// refreshSet reads the set's file if it has changed. If the read fails, it logs the error and leaves the set as it is.
 func (f *File) refreshSet() {
 	f.mu.Lock()
 	saveCount := f.saveCount
 	f.mu.Unlock()
 	info, err := f.Files.Stat(f.path)
-	if errors.Is(err, os.ErrNotExist) { // the set is not lost with its file
+	if errors.Is(err, os.ErrNotExist) { // the removal of the file does not end the exclusions
 		return
 	}
 	if err == nil && f.isLastRead(info) {
@@ -34,13 +34,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case f.saveCount != saveCount: // this process has written since: what was read may be older
+	case f.saveCount != saveCount: // this process has saved meanwhile: the content read may be older
 	case err != nil:
-		// Only a process that knows the former content repairs the file. It does so at the second failure, as somebody
-		// may be editing the file.
+		// Only a process that knows the former content repairs the file. It waits for a second failure, because an
+		// operator may be editing the file.
 		if errors.Is(err, errDamaged) && err.Error() == f.readError && len(f.onDisk) > 0 {
 			f.mustRepair = true
-			f.signal()
+			f.updateSaved()
 		}
 		f.logReadError(err)
 	default:
@@ -50,22 +50,22 @@
 	}
 }
 
-// isLastRead reports whether a description is of the set's file as last read. The times and sizes are compared too,
-// as a new file may get the inode number of a removed one.
+// isLastRead reports whether info describes the set's file as last read. It also compares times and sizes, because a
+// new file may have the inode number of a removed file.
 func (f *File) isLastRead(info os.FileInfo) bool {
 	return f.lastRead != nil && os.SameFile(info, f.lastRead) &&
 		info.ModTime().Equal(f.lastRead.ModTime()) && info.Size() == f.lastRead.Size()
 }
 
-// logReadError logs an error of reading the set's file unless it is the same as the one before.
+// logReadError logs an error of reading the set's file, unless it equals the previous error.
 func (f *File) logReadError(err error) {
 	if err.Error() != f.readError {
 		f.readError = err.Error()
-		f.Log.Error().Err(err).Msg("exclusions: cannot be read, known ones stay in force")
+		f.Log.Error().Err(err).Msg("exclusions: file cannot be read, known exclusions stay in force")
 	}
 }
 
-// read reads the set's file and the file of changes. Only the set's file has to exist and to be valid.
+// read reads the set's file and the file of changes. Only the set's file must exist and be valid.
 func (f *File) read() (changes, error) {
 	text, err := f.Files.Read(f.path, f.Limits.MaxFileBytes)
 	if err != nil {
@@ -77,7 +77,7 @@
 	}
 	var stored changes
 	if text, err := f.Files.Read(f.path+changesSuffix, f.Limits.MaxFileBytes); err == nil {
-		stored, _ = decode[changes](text) // without it the ages of the exclusions are unknown
+		stored, _ = decode[changes](text) // if it is invalid, the ages of the exclusions are unknown
 	}
 	return combine(set, stored), nil
 }
--- a/internal/exclusion/save.go
+++ b/internal/exclusion/save.go
@@ -10,14 +10,15 @@
 	"time"
 )
 
-// Suffixes of the files beside the set's.
+// Suffixes of the path of the set's file, which name the other files.
 const (
 	changesSuffix = ".changes"
 	lockSuffix    = ".lock"
-	newSuffix     = ".new" // a file that is being written, until it is renamed
+	newSuffix     = ".new" // temporary file that replaces the file without this suffix
 )
 
-// saveLoop writes the pending changes whenever there are any. After a failure it retries with backoff.
+// saveLoop writes the pending changes whenever there are any, until the context ends. After a failure it retries with
+// backoff.
 func (f *File) saveLoop(ctx context.Context) {
 	failures := failureLog{file: f}
 	backoff := f.Limits.Retry.FirstBackoff
@@ -39,14 +40,14 @@
 	}
 }
 
-// hasUnsaved reports whether there is anything to be written.
+// hasUnsaved reports whether the files have to be written.
 func (f *File) hasUnsaved() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.dirty()
 }
 
-// wait blocks for a time, or until the context ends.
+// wait blocks for a duration or until the context ends.
 func wait(ctx context.Context, duration time.Duration) {
 	select {
 	case <-time.After(duration):
@@ -60,8 +61,8 @@
 	if err != nil {
 		return err
 	}
-	// Released after onDisk is updated: no other process writes between the two. Closing the descriptor releases the
-	// lock whatever it returns.
+	// The lock is released after onDisk is updated: no other process writes in between. Closing the descriptor releases
+	// the lock even if Close returns an error.
 	defer func() { _ = lock.Close() }()
 	onDisk, err := f.read()
 	rewrite := errors.Is(err, os.ErrNotExist) || errors.Is(err, errDamaged)
@@ -86,8 +87,8 @@
 	return nil
 }
 
-// write writes the file of changes and then the set's file, which alone decides which databases are excluded. The set
-// is written even if the changes cannot be, as all versions of the program obey it.
+// write writes the file of changes and then the set's file, which alone decides which databases are excluded. The set's
+// file is written even if the file of changes cannot be, because all versions of the program obey it.
 func (f *File) write(all changes) error {
 	changesErr := f.replace(f.path+changesSuffix, all)
 	if err := f.replace(f.path, all.excluded()); err != nil {
@@ -96,7 +97,7 @@
 	return changesErr
 }
 
-// replace replaces a file by the JSON of a value atomically: a kill at any moment leaves the old file or the new one.
+// replace atomically replaces a file with the JSON of a value: a kill at any moment leaves the old or the new file.
 func (f *File) replace(path string, content any) error {
 	text, err := json.Marshal(content)
 	if err != nil {
@@ -108,14 +109,14 @@
 	if err == nil {
 		return f.Files.SyncDir(filepath.Dir(path))
 	}
-	_ = f.Files.Remove(path + newSuffix) // the next write truncates it if it is still there
+	_ = f.Files.Remove(path + newSuffix) // if the file remains, the next write truncates it
 	return err
 }
 
-// sameFailureFactor is how many times longer the period between two log lines is while the error stays the same.
+// sameFailureFactor multiplies the log interval while the error stays the same.
 const sameFailureFactor = 10
 
-// failureLog logs failures of writing at most once per period, and the first success after them.
+// failureLog logs write failures at most once per Limits.LogInterval, and the first success after them.
 type failureLog struct {
 	file      *File
 	failed    bool
@@ -123,13 +124,13 @@
 	loggedAt  time.Time
 }
 
-// report logs a failure, unless another one was logged within the period.
+// report logs a failure, unless another failure was logged within the interval.
 func (l *failureLog) report(err error) {
-	period := l.file.Limits.LogInterval
+	interval := l.file.Limits.LogInterval
 	if err.Error() == l.lastError {
-		period *= sameFailureFactor
+		interval *= sameFailureFactor
 	}
-	if l.failed && time.Since(l.loggedAt) < period {
+	if l.failed && time.Since(l.loggedAt) < interval {
 		return
 	}
 	l.failed, l.lastError, l.loggedAt = true, err.Error(), time.Now()
@@ -145,8 +146,8 @@
 	l.failed = false
 }
 
-// pendingCopy returns the pending changes, and whether they have been pending for long enough to be handed over to the
-// other processes.
+// pendingCopy returns a copy of the pending changes. due reports whether they have been pending for at least
+// Limits.HandOverDelay and must be handed over to the other processes.
 func (f *File) pendingCopy() (pending changes, due bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fdshare/fdshare_test.go
+++ b/internal/fdshare/fdshare_test.go
@@ -17,15 +17,15 @@
 	"capercove/internal/fdshare"
 )
 
-// limit is the machine's number of descriptors.
-const limit = 384
+// grant is the number of descriptors of all processes together.
+const grant = 384
 
-// joined returns the stamp of a process that joined after so long.
-func joined(boot string, after time.Duration) clock.Stamp {
-	return clock.Stamp{Boot: boot, SinceBoot: after}
+// joined returns the stamp of a process that joined at a time since the boot.
+func joined(boot string, sinceBoot time.Duration) clock.Stamp {
+	return clock.Stamp{Boot: boot, SinceBoot: sinceBoot}
 }
 
-// quotaCase is a claim of a process beside those of others, and the quota that it gets.
+// quotaCase has the claims of a process and of the others, and the quota that the process gets.
 type quotaCase struct {
 	name   string
 	own    fdshare.Claim
@@ -39,63 +39,62 @@
 	younger = int64(2)
 )
 
-// The quota of a process follows from its own claim and those of the others.
-func TestComputeQuota(t *testing.T) {
+func TestQuotaFollowsFromClaims(t *testing.T) {
 	for _, test := range []quotaCase{
-		{"alone: all but what is reserved for another one", fdshare.Claim{InUse: 20}, nil, 336},
-		{"alone, and nearly all in use", fdshare.Claim{InUse: 330, Quota: 336}, nil, 336},
+		{"alone: all but the reserve for the next process", fdshare.Claim{InUse: 20}, nil, 336},
+		{"alone, with nearly all in use", fdshare.Claim{InUse: 330, Quota: 336}, nil, 336},
 		{
-			"the younger beside one that has not seen it",
+			"the younger beside an older one that has not seen it",
 			fdshare.Claim{JoinedUnixNano: younger, InUse: 16},
 			[]fdshare.Claim{{JoinedUnixNano: older, InUse: 90, Quota: 336}},
 			48,
 		},
 		{
-			"the older keeps what it uses, and a reserve",
+			"the older keeps the descriptors in use and a reserve",
 			fdshare.Claim{JoinedUnixNano: older, InUse: 90, Quota: 336},
 			[]fdshare.Claim{{JoinedUnixNano: younger, InUse: 16, Quota: 48}},
 			138,
 		},
 		{
-			"the older keeps all that it uses",
+			"the older keeps all descriptors in use",
 			fdshare.Claim{JoinedUnixNano: older, InUse: 330, Quota: 336},
 			[]fdshare.Claim{{JoinedUnixNano: younger, InUse: 48, Quota: 48}},
 			336,
 		},
 		{
-			"the younger gets what the older has given back",
+			"the younger gets the descriptors that the older has released",
 			fdshare.Claim{JoinedUnixNano: younger, InUse: 20, Quota: 48},
 			[]fdshare.Claim{{JoinedUnixNano: older, InUse: 90, Quota: 138}},
 			246,
 		},
 		{
-			"a process that leaves",
+			"a process that shuts down",
 			fdshare.Claim{JoinedUnixNano: older, InUse: 40, Quota: 138, ShuttingDown: true},
 			[]fdshare.Claim{{JoinedUnixNano: younger, InUse: 60, Quota: 246}},
 			64,
 		},
 		{
-			"the younger beside one that leaves",
+			"the younger beside one that shuts down",
 			fdshare.Claim{JoinedUnixNano: younger, InUse: 60, Quota: 246},
 			[]fdshare.Claim{{JoinedUnixNano: older, InUse: 40, Quota: 64, ShuttingDown: true}},
 			320,
 		},
 		{
-			"nothing is left",
+			"the others claim the whole grant",
 			fdshare.Claim{JoinedUnixNano: 3, InUse: 10},
 			[]fdshare.Claim{{InUse: 200, Quota: 200}, {InUse: 184, Quota: 184}},
 			0,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			require.Equal(t, test.want, fdshare.ComputeQuota(limit, test.own, test.others))
+			require.Equal(t, test.want, fdshare.ComputeQuota(grant, test.own, test.others))
 		})
 	}
 }
 
-// The stamps of the joining decide which of two processes is older, unless one has none or they are of two boots: then
-// the wall clock does.
-func TestComputeQuotaAfterClockSteps(t *testing.T) {
+// The stamps decide which of two processes is older. If one process has no stamp, or the stamps are of two boots, the
+// wall clock decides.
+func TestStampsOrderProcessesAfterClockSteps(t *testing.T) {
 	for _, test := range []quotaCase{
 		{
 			"the younger after a step back of the wall clock",
@@ -104,37 +103,37 @@
 			246,
 		},
 		{
-			"the older beside it",
+			"the older after a step back of the wall clock",
 			fdshare.Claim{JoinedUnixNano: younger, InUse: 90, Quota: 336, Joined: joined("a", 1)},
 			[]fdshare.Claim{{JoinedUnixNano: older, InUse: 16, Quota: 48, Joined: joined("a", 2)}},
 			138,
 		},
 		{
-			"beside one without a stamp, by the wall clock",
+			"beside one without a stamp, ordered by the wall clock",
 			fdshare.Claim{JoinedUnixNano: older, InUse: 90, Quota: 336, Joined: joined("a", 2)},
 			[]fdshare.Claim{{JoinedUnixNano: younger, InUse: 16, Quota: 48}},
 			138,
 		},
 		{
-			"beside one of another boot, by the wall clock",
+			"beside one of another boot, ordered by the wall clock",
 			fdshare.Claim{JoinedUnixNano: older, InUse: 90, Quota: 336, Joined: joined("a", 2)},
 			[]fdshare.Claim{{JoinedUnixNano: younger, InUse: 16, Quota: 48, Joined: joined("b", 1)}},
 			138,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			require.Equal(t, test.want, fdshare.ComputeQuota(limit, test.own, test.others))
+			require.Equal(t, test.want, fdshare.ComputeQuota(grant, test.own, test.others))
 		})
 	}
 }
 
-// simulation is several processes that compute their quotas from each other's claims.
+// simulation simulates numbered processes that compute their quotas from each other's claims.
 type simulation struct {
 	claims  map[int]fdshare.Claim
 	stopped map[int]bool
 }
 
-// compute lets a process compute its quota.
+// compute computes the quota of a process.
 func (s *simulation) compute(i int) {
 	own, others := s.claims[i], []fdshare.Claim{}
 	for j, claim := range s.claims {
@@ -142,11 +141,11 @@
 			others = append(others, claim)
 		}
 	}
-	own.Quota = fdshare.ComputeQuota(limit, own, others)
+	own.Quota = fdshare.ComputeQuota(grant, own, others)
 	s.claims[i] = own
 }
 
-// step lets something happen to a process.
+// step applies a random event to a process.
 func (s *simulation) step(random *rand.Rand, i int) {
 	claim, running := s.claims[i]
 	switch event := random.IntN(10); {
@@ -168,9 +167,9 @@
 	}
 }
 
-// Whichever of several processes start, grow, shrink, leave, end or stop, together their quotas never exceed the limit.
-// One that runs alone gets nearly all of it back.
-func TestQuotasStayWithinLimit(t *testing.T) {
+// Processes start, use more or fewer descriptors, shut down, end or stop in random order. Together their quotas never
+// exceed the grant. A process that runs alone gets the whole grant but the reserve.
+func TestQuotasStayWithinGrant(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		processes := &simulation{claims: map[int]fdshare.Claim{}, stopped: map[int]bool{}}
@@ -181,7 +180,7 @@
 				require.LessOrEqual(t, claim.InUse, claim.Quota, "seed %d", seed)
 				quotas += claim.Quota
 			}
-			require.LessOrEqual(t, quotas, limit, "seed %d", seed)
+			require.LessOrEqual(t, quotas, grant, "seed %d", seed)
 		}
 		clear(processes.claims)
 		processes.claims[0] = fdshare.Claim{}
@@ -190,12 +189,12 @@
 	}
 }
 
-// settleBy makes steps until one succeeds: another process may have the lock.
-func settleBy(t *testing.T, beside *fdshare.Member, leaving bool) {
+// settle makes steps until one succeeds: another process may hold the lock.
+func settle(t *testing.T, member *fdshare.Member, shuttingDown bool) {
 	t.Helper()
 	const inUse = 20
 	require.Eventually(t, func() bool {
-		err := beside.Settle(leaving, func() int { return inUse }, func(int) {})
+		err := member.Settle(shuttingDown, func() int { return inUse }, func(int) {})
 		if !errors.Is(err, fdshare.ErrBusy) {
 			require.NoError(t, err)
 		}
@@ -203,12 +202,13 @@
 	}, 20*time.Second, time.Millisecond)
 }
 
-// childDir is the variable of the environment that makes this test binary another process of the pooler.
-const childDir = "SHARE_TEST_DIR"
+// childDirVariable is the environment variable that makes this test binary another process of the pooler. Its value is
+// the directory of the claims.
+const childDirVariable = "SHARE_TEST_DIR"
 
-// TestMain runs the tests, or the other process: it takes its quota, prints that, and stays until it is ended.
+// TestMain runs the tests, or the other process if childDirVariable is set.
 func TestMain(m *testing.M) {
-	dir := os.Getenv(childDir)
+	dir := os.Getenv(childDirVariable)
 	if dir == "" {
 		os.Exit(m.Run())
 	}
@@ -216,16 +216,17 @@
 	os.Exit(1)
 }
 
-// settleOnce takes a quota, prints that, and does not return. It returns errors other than a taken lock.
+// settleOnce settles a quota, prints a line, and then blocks until the process is killed. It returns any error other
+// than ErrBusy.
 func settleOnce(dir string) error {
-	beside, err := fdshare.Join(dir, "n[0]*", limit)
+	member, err := fdshare.Join(dir, "n[0]*", grant)
 	if err != nil {
 		return err
 	}
 	for {
-		err := beside.Settle(false, func() int { return 100 }, func(int) {})
+		err := member.Settle(false, func() int { return 100 }, func(int) {})
 		if err == nil {
-			_, _ = fmt.Println("settled") // the test reads it
+			_, _ = fmt.Println("settled") // startOther reads the line
 			select {}
 		}
 		if !errors.Is(err, fdshare.ErrBusy) {
@@ -234,15 +235,15 @@
 	}
 }
 
-// startOther starts another process, and waits until it has its quota.
+// startOther starts another process and waits until its quota is settled.
 func startOther(t *testing.T, dir string) *exec.Cmd {
 	t.Helper()
 	other := exec.CommandContext(t.Context(), os.Args[0])
-	other.Env = append(os.Environ(), childDir+"="+dir)
+	other.Env = append(os.Environ(), childDirVariable+"="+dir)
 	output, err := other.StdoutPipe()
 	require.NoError(t, err)
 	require.NoError(t, other.Start())
-	t.Cleanup(func() { // it may have ended
+	t.Cleanup(func() { // the process may have ended
 		_ = other.Process.Kill()
 		_ = other.Wait()
 	})
@@ -253,35 +254,35 @@
 	return other
 }
 
-// A process that is killed loses its claim, at whatever point. A stopped one keeps it, and does not prevent others from
-// settling. The files of ended processes are removed.
-func TestKilledAndStoppedProcesses(t *testing.T) {
+// A killed process loses its claim. A stopped process keeps its claim and does not prevent others from settling. The
+// files of dead processes are removed.
+func TestKilledProcessLosesClaimAndStoppedKeepsIt(t *testing.T) {
 	dir := t.TempDir()
-	own, err := fdshare.Join(dir, "n[0]*", limit)
+	own, err := fdshare.Join(dir, "n[0]*", grant)
 	require.NoError(t, err)
-	settleBy(t, own, false)
+	settle(t, own, false)
 	require.Equal(t, 336, own.Quota())
-	other := startOther(t, dir) // uses more than the reserved quota
-	settleBy(t, own, false)
-	require.Equal(t, 20+limit/8, own.Quota(), "the older process shrinks")
+	other := startOther(t, dir) // has more descriptors open than the reserve
+	settle(t, own, false)
+	require.Equal(t, 20+grant/8, own.Quota(), "the older process shrinks")
 	require.NoError(t, other.Process.Signal(syscall.SIGSTOP))
-	settleBy(t, own, false)
-	require.Equal(t, 20+limit/8, own.Quota(), "a stopped process keeps its claim")
+	settle(t, own, false)
+	require.Equal(t, 20+grant/8, own.Quota(), "a stopped process keeps its claim")
 	require.NoError(t, other.Process.Kill())
-	require.Error(t, other.Wait(), "it was killed")
-	settleBy(t, own, false)
+	require.Error(t, other.Wait(), "the process was killed")
+	settle(t, own, false)
 	require.Equal(t, 336, own.Quota())
-	left, err := filepath.Glob(filepath.Join(dir, "*"))
+	remaining, err := filepath.Glob(filepath.Join(dir, "*"))
 	require.NoError(t, err)
-	require.Len(t, left, 2, "the lock and the own claim are left: %v", left)
+	require.Len(t, remaining, 2, "only the lock and the own claim remain: %v", remaining)
 
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "capercove-share-n%5B0%5D%2A.1"), []byte("noise"), 0o600))
-	settleBy(t, own, true)
-	require.Equal(t, 20+limit/16, own.Quota(), "leaving; a file of no process does not count")
+	settle(t, own, true)
+	require.Equal(t, 20+grant/16, own.Quota(), "shutting down; a file of no process does not count")
 }
 
-// A directory that does not exist is an error, not a quota.
+// Join returns an error if the directory does not exist.
 func TestJoinFailsWithoutDirectory(t *testing.T) {
-	_, err := fdshare.Join(filepath.Join(t.TempDir(), "none"), "n0", limit)
+	_, err := fdshare.Join(filepath.Join(t.TempDir(), "none"), "n0", grant)
 	require.ErrorContains(t, err, "none")
 }
--- a/internal/fdshare/member.go
+++ b/internal/fdshare/member.go
@@ -19,23 +19,24 @@
 )
 
 const (
-	// joinAttempts bounds the attempts to create the claim's file. They fail while another process reads the file or
-	// removes it as a dead process's.
+	// joinAttempts bounds the attempts to create the claim's file. An attempt fails while another process reads the
+	// file, or removes it as the file of a dead process.
 	joinAttempts = 20
 	joinPause    = 5 * time.Millisecond // between two attempts
 	fileMode     = 0o600
-	lockSuffix   = "lock" // of the file that serializes the steps
+	lockSuffix   = "lock" // of the file whose lock serializes the steps of all processes
 )
 
-// Member is the membership of this process among those of its pooler. Quota is safe for concurrent use; Settle is not.
+// Member is the membership of this process among the processes of its pooler. Quota is safe for concurrent use; Settle
+// is not.
 type Member struct {
-	path    string // the common prefix of the files
-	suffix  string // of the own claim's file
+	prefix  string // of the paths of all files of the pooler
+	suffix  string // of the path of the own claim's file
 	grant   int
 	write   writeAt
-	own     *os.File // the own claim's file, locked until the process ends: one without lock is a dead process's
+	ownFile *os.File // the own claim's file, locked until the process ends: a dead process's file has no lock
 	stored  [copies]storedCopy
-	claim   Claim // as written last
+	claim   Claim // the own claim as written last
 	limited bool  // setLimit has been called
 	quota   atomic.Int64
 }
@@ -43,13 +44,13 @@
 // storedCopy is what this process knows of one copy of its claim on disk.
 type storedCopy struct {
 	valid    bool // its last write succeeded
-	minQuota int  // the least quota that any version may read from it
+	minQuota int  // the smallest quota that a process of any version may read from it
 }
 
 // writeAt writes to a file at an offset. Tests pass one that fails.
 type writeAt func(f *os.File, text []byte, offset int64) (int, error)
 
-// sources are what a process gets from its system.
+// sources are the identity, the clocks and the file writes that a process gets from its system. Tests pass their own.
 type sources struct {
 	suffix string // of the own claim's file, unique among living processes
 	wall   func() time.Time
@@ -57,22 +58,23 @@
 	write  writeAt
 }
 
-// Join makes this process a member of those of the pooler, which exchange claims in a directory. It claims nothing
-// yet, and does not wait for other processes. An error means that the claim's file cannot be created or locked.
+// Join makes this process a member of the pooler's processes, which exchange claims through files in dir. grant is the
+// number of descriptors for all of them. Join writes no claim yet, and does not wait for the steps of other processes.
+// An error means that the claim's file cannot be created or locked.
 func Join(dir, pooler string, grant int) (*Member, error) {
 	system := sources{suffix: fmt.Sprint(os.Getpid()), wall: clock.Wall, stamp: clock.Now, write: (*os.File).WriteAt}
 	return join(dir, pooler, grant, system)
 }
 
-// join is Join with the system's part as an argument.
+// join is Join with the sources as an argument.
 func join(dir, pooler string, grant int, system sources) (*Member, error) {
 	stamp, err := system.stamp()
 	if err != nil {
 		stamp = clock.Stamp{} // JoinedUnixNano decides
 	}
-	joined := system.wall().UnixNano() //nolint:forbidigo // an injected clock; stored for older versions
+	joined := system.wall().UnixNano() //nolint:forbidigo // an injected clock; older versions read the Unix time
 	member := &Member{
-		path:   filepath.Join(dir, "capercove-share-"+url.PathEscape(pooler)+"."),
+		prefix: filepath.Join(dir, "capercove-share-"+url.PathEscape(pooler)+"."),
 		suffix: system.suffix,
 		grant:  grant,
 		write:  system.write,
@@ -87,7 +89,7 @@
 
 // openOwnFile creates the own claim's file, without a claim in it.
 func (member *Member) openOwnFile() (err error) {
-	if member.own, err = member.createOwnFile(); err != nil {
+	if member.ownFile, err = member.createOwnFile(); err != nil {
 		return err
 	}
 	for i := range member.stored {
@@ -101,11 +103,11 @@
 	var err error
 	for range joinAttempts {
 		var file *os.File
-		if file, err = os.OpenFile(member.path+member.suffix, os.O_CREATE|os.O_RDWR, fileMode); err != nil {
+		if file, err = os.OpenFile(member.prefix+member.suffix, os.O_CREATE|os.O_RDWR, fileMode); err != nil {
 			return nil, err
 		}
 		err = filelock.Acquire(file, unix.LOCK_EX, 0)
-		if err == nil && !isCurrent(file) { // another process has removed it as a dead one's
+		if err == nil && !isCurrent(file) { // another process has removed it as a dead process's
 			err = fs.ErrNotExist
 		}
 		if err == nil {
@@ -121,11 +123,11 @@
 	return nil, err
 }
 
-// lock acquires the lock that serializes the steps of all processes. Closing the file releases it. The file is opened
-// for reading only, as the directory may have become read-only. There is a single attempt, as a process may be
-// stopped while it holds the lock.
+// lock acquires the lock that serializes the steps of all processes. Closing the file releases the lock. The file is
+// opened for reading only, because the directory may have become read-only. There is a single attempt, because the
+// process that holds the lock may be stopped.
 func (member *Member) lock() (*os.File, error) {
-	file, err := os.OpenFile(member.path+lockSuffix, os.O_CREATE|os.O_RDONLY, fileMode)
+	file, err := os.OpenFile(member.prefix+lockSuffix, os.O_CREATE|os.O_RDONLY, fileMode)
 	if err != nil {
 		return nil, err
 	}
@@ -134,22 +136,22 @@
 		err = ErrBusy
 	}
 	if err != nil {
-		_ = file.Close() // nothing is written to it
+		_ = file.Close() // opened for reading only
 		return nil, err
 	}
 	return file, nil
 }
 
-// Quota returns the process's quota: how many descriptors it may have open. Before the first Settle it is the reserve.
+// Quota returns how many descriptors the process may have open. Before the first Settle it is the reserve.
 func (member *Member) Quota() int { return int(member.quota.Load()) }
 
-// Settle makes one step: it reads the claims of the others, computes the process's quota and writes its claim.
-// countOpen returns the number of open descriptors. setLimit limits how many more may be opened; it is called before a
-// smaller quota is written, and after a larger one is.
+// Settle makes one step: it reads the claims of the other processes, computes the quota of this process and writes its
+// claim. countOpen returns the number of open descriptors. setLimit limits how many more may be opened; it is called
+// before a smaller quota is written, and after a larger quota is written.
 //
-// Settle returns ErrBusy and changes nothing while another process holds the lock. After other errors, such as those
-// of writing the claim, the quota is one that the claims of all processes still cover: the previous one, or the new
-// one if it is smaller.
+// Settle returns ErrBusy and leaves the quota as it is while another process holds the lock. After other errors, such
+// as a failure to write the claim, the quota is the previous one, or the new one if that is smaller; the claims that
+// other processes read still cover it. The first Settle calls setLimit even if it fails.
 func (member *Member) Settle(shuttingDown bool, countOpen func() int, setLimit func(available int)) error {
 	err := member.step(shuttingDown, countOpen, setLimit)
 	if err != nil && !member.limited { // the process has no limit yet
@@ -159,13 +161,13 @@
 	return err
 }
 
-// step is Settle without the first limit after an error.
+// step is Settle without the limit that a failed first call sets.
 func (member *Member) step(shuttingDown bool, countOpen func() int, setLimit func(available int)) error {
 	lock, err := member.lock()
 	if err != nil {
 		return err
 	}
-	defer func() { _ = lock.Close() }() // releases the lock whatever it returns
+	defer func() { _ = lock.Close() }() // releases the lock even if it returns an error
 	if err := member.ensureOwnFile(); err != nil {
 		return err
 	}
@@ -178,7 +180,7 @@
 	quota := ComputeQuota(member.grant, claim, others)
 	if quota < member.Quota() {
 		setLimit(quota - claim.InUse)
-		claim.InUse = countOpen() // descriptors that were opened meanwhile are not closed either
+		claim.InUse = countOpen() // includes descriptors opened before the limit, which are not closed either
 		quota = max(quota, min(claim.Quota, claim.InUse))
 	}
 	claim.Quota = quota
@@ -199,32 +201,32 @@
 // ErrBusy is returned by Settle while another process makes its step.
 var ErrBusy = errors.New("another process is settling its quota")
 
-// ensureOwnFile creates the own claim's file again if it has been removed, as by a program that cleans up
-// directories. The others would not see the claim otherwise.
+// ensureOwnFile creates the own claim's file again if it has been removed, for example by a program that cleans up
+// directories. Other processes would not see the claim otherwise.
 func (member *Member) ensureOwnFile() error {
-	if isCurrent(member.own) {
+	if isCurrent(member.ownFile) {
 		return nil
 	}
-	old := member.own
+	old := member.ownFile
 	if err := member.openOwnFile(); err != nil {
-		member.own = old
+		member.ownFile = old
 		return err
 	}
 	_ = old.Close() // the file is removed
 	return nil
 }
 
-// globEscaper escapes a path in a pattern of filepath.Glob.
+// globEscaper escapes a path for use in a pattern of filepath.Glob.
 var globEscaper = strings.NewReplacer("*", `\*`, "?", `\?`, "[", `\[`, `\`, `\\`)
 
-// readOthers returns the claims of the other living processes. It removes the files of dead ones.
+// readOthers returns the claims of the other living processes. It removes the files of dead processes.
 func (member *Member) readOthers() (claims []Claim, err error) {
-	paths, err := filepath.Glob(globEscaper.Replace(member.path) + "*")
+	paths, err := filepath.Glob(globEscaper.Replace(member.prefix) + "*")
 	if err != nil {
 		return nil, err
 	}
 	for _, path := range paths {
-		if path == member.own.Name() || path == member.path+lockSuffix {
+		if path == member.ownFile.Name() || path == member.prefix+lockSuffix {
 			continue
 		}
 		claim, alive, err := readClaim(path, member.grant)
@@ -238,42 +240,42 @@
 	return claims, nil
 }
 
-// readClaim reads the claim of another process, or removes its file if the process is dead.
+// readClaim reads the claim of another process. If that process is dead, it removes the file.
 func readClaim(path string, grant int) (claim Claim, alive bool, err error) {
 	file, err := os.Open(path)
-	if errors.Is(err, fs.ErrNotExist) { // it was removed since the directory was read
+	if errors.Is(err, fs.ErrNotExist) { // removed after the directory was read
 		return Claim{}, false, nil
 	}
 	if err != nil {
 		return Claim{}, false, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	if filelock.Acquire(file, unix.LOCK_SH, 0) == nil {
-		// Still locked: a process that joins under this name retries and creates a new file. If removing fails, the
-		// next step removes it.
+		// The file is still locked here: a process that joins under this name retries and creates a new file. If the
+		// removal fails, the next step tries again.
 		_ = os.Remove(path)
 		return Claim{}, false, nil
 	}
 	text, err := io.ReadAll(io.LimitReader(file, copies*copySize))
 	if err != nil {
-		return Claim{Quota: grant - grant/reserveDivisor}, true, nil
+		return Claim{Quota: grant - grant/reserveDivisor}, true, nil // the largest quota that one process can have
 	}
 	return decode(text, grant), true, nil
 }
 
-// writeClaim replaces the own claim, one copy after the other. If a copy cannot be written, the other stays as it is.
-// No process reads them meanwhile, as the lock is held.
+// writeClaim replaces the two copies of the own claim, one after the other. If a copy cannot be written, the other copy
+// stays as it is. No process reads the copies meanwhile, because the caller holds the lock.
 func (member *Member) writeClaim(claim Claim) error {
 	text, err := encode(claim)
 	if err != nil {
 		return err
 	}
-	order := [copies]int{1, 0} // older versions read the first copy only: it changes last
+	order := [copies]int{1, 0} // older versions read the first copy only: it is written last
 	if !member.stored[0].valid && member.stored[1].valid {
-		order = [copies]int{0, 1}
+		order = [copies]int{0, 1} // the only valid copy is written last
 	}
 	for _, i := range order {
-		n, err := member.write(member.own, text, int64(i*copySize))
+		n, err := member.write(member.ownFile, text, int64(i*copySize))
 		if n > 0 {
 			member.stored[i] = storedCopy{valid: err == nil, minQuota: min(member.stored[i].minQuota, claim.Quota)}
 		}
@@ -285,12 +287,12 @@
 	return nil
 }
 
-// securedQuota returns the quota that every process counts at least for this one, whichever copy it reads.
+// securedQuota returns the smallest quota that another process may count for this process, whichever copy it reads.
 func (member *Member) securedQuota() int {
 	return min(member.stored[0].minQuota, member.stored[1].minQuota)
 }
 
-// isCurrent reports whether an open file is still the one of its name.
+// isCurrent reports whether the directory entry of an open file's name still refers to that file.
 func isCurrent(file *os.File) bool {
 	opened, err := file.Stat()
 	if err != nil {
--- a/internal/fdshare/member_test.go
+++ b/internal/fdshare/member_test.go
@@ -16,33 +16,35 @@
 )
 
 const (
-	testLimit     = 384
-	alone         = testLimit - testLimit/reserveDivisor
-	reservedQuota = testLimit / reserveDivisor
+	testGrant  = 384
+	reserve    = testGrant / reserveDivisor
+	aloneQuota = testGrant - reserve // of a process that runs alone
 )
 
-// process is one of several in a test. It opens no more descriptors than its last limit.
+// process is one of several processes in a test. It opens no more descriptors than its limit.
 type process struct {
 	*Member
-	uses  int
-	limit int
+	inUse int // open descriptors
+	limit int // of open descriptors, as last set by Settle
 }
 
-func (p *process) settle(leaving bool) error {
-	return p.Settle(leaving, func() int { return p.uses }, func(room int) { p.limit = p.uses + max(0, room) })
+func (p *process) settle(shuttingDown bool) error {
+	return p.Settle(shuttingDown, func() int { return p.inUse },
+		func(available int) { p.limit = p.inUse + max(0, available) })
 }
 
-// kill ends the process as the system would: its descriptors close.
-func (p *process) kill() { _ = p.own.Close() }
+// kill closes the file of the claim, as the system does when a process ends.
+func (p *process) kill() { _ = p.ownFile.Close() }
 
-// machine is where processes run, with a wall clock that tests step and a disk that they let fail.
+// machine runs the processes of a test, with a wall clock that the test can step and a write function that it can make
+// fail.
 type machine struct {
-	t       *testing.T
-	dir     string
-	wall    time.Time
-	since   time.Duration
-	started int
-	write   writeAt
+	t         *testing.T
+	dir       string
+	wall      time.Time
+	sinceBoot time.Duration
+	started   int // number of processes
+	write     writeAt
 }
 
 func newMachine(t *testing.T) *machine {
@@ -54,23 +56,23 @@
 	return sources{
 		suffix: suffix,
 		wall:   func() time.Time { return m.wall },
-		stamp:  func() (clock.Stamp, error) { return clock.Stamp{Boot: "a", SinceBoot: m.since}, nil },
+		stamp:  func() (clock.Stamp, error) { return clock.Stamp{Boot: "a", SinceBoot: m.sinceBoot}, nil },
 		write:  func(file *os.File, text []byte, offset int64) (int, error) { return m.write(file, text, offset) },
 	}
 }
 
 func (m *machine) start() *process {
 	m.started++
-	m.since += time.Second
-	joined, err := join(m.dir, "n0", testLimit, m.sources(fmt.Sprint(m.started)))
+	m.sinceBoot += time.Second
+	joined, err := join(m.dir, "n0", testGrant, m.sources(fmt.Sprint(m.started)))
 	require.NoError(m.t, err)
 	started := &process{Member: joined}
 	m.t.Cleanup(started.kill)
 	return started
 }
 
-// cutAt returns a write that fails after so many bytes.
-func cutAt(bytes int) writeAt {
+// failAfter returns a write function that fails after a number of bytes.
+func failAfter(bytes int) writeAt {
 	return func(file *os.File, text []byte, offset int64) (int, error) {
 		if bytes >= len(text) {
 			bytes -= len(text)
@@ -91,52 +93,53 @@
 		t.Run(step.String(), func(t *testing.T) {
 			host := newMachine(t)
 			older := host.start()
-			older.uses = 20
+			older.inUse = 20
 			require.NoError(t, older.settle(false))
 			host.wall = host.wall.Add(step)
 			younger := host.start()
-			younger.uses = 16
+			younger.inUse = 16
 			for range 3 {
 				require.NoError(t, younger.settle(false))
 				require.NoError(t, older.settle(false))
 			}
-			require.Equal(t, 20+reservedQuota, older.Quota(), "the older process shrinks")
-			require.Equal(t, testLimit-older.Quota(), younger.Quota(), "the younger one grows")
+			require.Equal(t, 20+reserve, older.Quota(), "the older process shrinks")
+			require.Equal(t, testGrant-older.Quota(), younger.Quota(), "the younger process grows")
 		})
 	}
 }
 
-// Wherever the write of a claim is cut off, others read a quota that covers what the process may open, and never more
-// than its previous or its new claim.
-func TestEveryIncompleteWriteOfClaim(t *testing.T) {
-	const textMost = 180 // bytes of a claim
+// If the write of a claim fails after any number of bytes, others read a quota that covers the limit of the process.
+// Together with the quota of the other process, it stays within the grant.
+func TestIncompleteClaimWriteKeepsLimitsWithinGrant(t *testing.T) {
+	const maxClaimBytes = 180
 	for cut := range copies*copySize + 1 {
-		if at := cut % copySize; at > textMost && at < bodySize { // only spaces are left out
+		if at := cut % copySize; at > maxClaimBytes && at < bodySize { // only spaces are missing
 			continue
 		}
-		for _, other := range []int{0, 250} { // descriptors of another process: the claim grows or shrinks
+		for _, earlierClaim := range []int{0, 250} { // 0: the first claim is written; otherwise an earlier one shrinks
 			host := newMachine(t)
 			older := host.start()
-			older.uses = 20
-			if other > 0 {
+			older.inUse = 20
+			if earlierClaim > 0 {
 				require.NoError(t, older.settle(false))
 			}
 			younger := host.start()
 			require.NoError(t, younger.settle(false))
-			host.write = cutAt(cut)
+			host.write = failAfter(cut)
 			err := older.settle(false)
 			require.Equal(t, cut < copies*copySize, err != nil)
-			read, lives, err := readClaim(older.own.Name(), testLimit)
+			read, alive, err := readClaim(older.ownFile.Name(), testGrant)
 			require.NoError(t, err)
-			require.True(t, lives)
+			require.True(t, alive)
 			require.GreaterOrEqual(t, read.Quota, older.limit, "cut %d", cut)
-			require.GreaterOrEqual(t, older.limit, older.uses)
-			require.LessOrEqual(t, read.Quota+younger.Quota(), testLimit, "cut %d", cut)
+			require.GreaterOrEqual(t, older.limit, older.inUse)
+			require.LessOrEqual(t, read.Quota+younger.Quota(), testGrant, "cut %d", cut)
 		}
 	}
 }
 
-// A claim of an older version is read as it was. An incomplete one counts as the quota of a process that runs alone.
+// A claim of an older version is read. An incomplete claim counts as the quota of a process that runs alone. An older
+// version can read a new claim.
 func TestClaimOfOlderVersionIsRead(t *testing.T) {
 	text, err := json.Marshal(struct {
 		Born        int64
@@ -146,93 +149,93 @@
 	require.NoError(t, err)
 	complete := append(text, '\n')
 	want := Claim{JoinedUnixNano: 1, InUse: 90, Quota: 138}
-	require.Equal(t, want, decode(complete, testLimit))
-	over := append(complete, "336}\n"...)
-	require.Equal(t, want, decode(over, testLimit), "written over a longer one")
+	require.Equal(t, want, decode(complete, testGrant))
+	overwritten := append(complete, "336}\n"...)
+	require.Equal(t, want, decode(overwritten, testGrant), "written over a longer claim")
 	for cut := 1; cut < len(text); cut++ {
-		require.Equal(t, alone, decode(text[:cut], testLimit).Quota, "cut %d", cut)
+		require.Equal(t, aloneQuota, decode(text[:cut], testGrant).Quota, "cut %d", cut)
 	}
-	require.Equal(t, reservedQuota, decode(nil, testLimit).Quota, "nothing written yet")
+	require.Equal(t, reserve, decode(nil, testGrant).Quota, "no claim written yet")
 	record, err := encode(Claim{JoinedUnixNano: 1, Quota: 138, Joined: clock.Stamp{Boot: "a", SinceBoot: 7}})
 	require.NoError(t, err)
 	require.Len(t, record, copySize)
 	old := struct{ Takes int }{}
-	require.NoError(t, json.Unmarshal(record[:bodySize], &old), "as an older version reads it")
+	require.NoError(t, json.Unmarshal(record[:bodySize], &old), "an older version reads the record")
 	require.Equal(t, 138, old.Takes)
 }
 
-// A process whose first claim cannot be written has the reserved quota, and grows once the disk works.
-func TestFirstClaimCannotBeWritten(t *testing.T) {
+// A process whose first claim cannot be written has the reserve as its quota. The quota grows once the disk works.
+func TestProcessHasReserveUntilItsClaimIsWritten(t *testing.T) {
 	host := newMachine(t)
 	older := host.start()
-	older.uses = 20
+	older.inUse = 20
 	require.NoError(t, older.settle(false))
-	host.write = cutAt(0)
+	host.write = failAfter(0)
 	younger := host.start()
 	for range 3 {
 		require.ErrorIs(t, younger.settle(false), unix.ENOSPC)
-		require.Equal(t, reservedQuota, younger.limit)
+		require.Equal(t, reserve, younger.limit)
 		require.ErrorIs(t, older.settle(false), unix.ENOSPC)
-		require.Equal(t, alone, older.limit, "it keeps its quota")
+		require.Equal(t, aloneQuota, older.limit, "the older process keeps its quota")
 	}
 	host.write = (*os.File).WriteAt
 	require.NoError(t, younger.settle(false))
-	host.write = cutAt(0)
+	host.write = failAfter(0)
 	require.ErrorIs(t, older.settle(false), unix.ENOSPC)
-	require.Equal(t, 20+reservedQuota, older.limit, "it uses less, though the claim cannot be written")
+	require.Equal(t, 20+reserve, older.limit, "the limit shrinks though the claim cannot be written")
 	require.ErrorIs(t, younger.settle(false), unix.ENOSPC)
-	require.Equal(t, reservedQuota, younger.limit, "a claim that others cannot read")
+	require.Equal(t, reserve, younger.limit, "the limit stays until the other's claim shrinks on disk")
 	host.write = (*os.File).WriteAt
 	require.NoError(t, older.settle(false))
 	require.NoError(t, younger.settle(false))
-	require.Equal(t, testLimit-20-reservedQuota, younger.limit)
+	require.Equal(t, testGrant-20-reserve, younger.limit)
 }
 
-// randomlyFailing returns a write that fails, and ends short, at random while the disk fails.
-func randomlyFailing(random *rand.Rand, fails func() bool) writeAt {
+// failRandomly returns a write function that fails after a random number of bytes whenever fails returns true.
+func failRandomly(random *rand.Rand, fails func() bool) writeAt {
 	return func(file *os.File, text []byte, offset int64) (int, error) {
 		if !fails() {
 			return file.WriteAt(text, offset)
 		}
-		return cutAt(random.IntN(2)*random.IntN(len(text)))(file, text, offset)
+		return failAfter(random.IntN(2)*random.IntN(len(text)))(file, text, offset)
 	}
 }
 
-// Whichever processes start, grow, shrink, leave or end while writes fail, together their limits never exceed the
-// machine's, and none is below what its process uses. A process that runs alone has nearly all of it at the first step
-// after the disk works.
-func TestLimitHoldsWhileWritesFail(t *testing.T) {
-	const places, steps, seeds = 4, 250, 30
+// Processes start, use more or fewer descriptors, shut down or end in random order while writes fail. Together their
+// limits never exceed the grant, and no limit is below the descriptors in use. A process that runs alone has the grant
+// but the reserve at its first step after the disk works.
+func TestLimitsStayWithinGrantWhileWritesFail(t *testing.T) {
+	const maxProcesses, steps, seeds = 4, 250, 30
 	for seed := range uint64(seeds) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		host := newMachine(t)
 		broken := false
-		host.write = randomlyFailing(random, func() bool { return broken && random.IntN(3) > 0 })
-		var all [places]*process
+		host.write = failRandomly(random, func() bool { return broken && random.IntN(3) > 0 })
+		var all [maxProcesses]*process
 		for range steps {
-			i := random.IntN(places)
-			switch what := random.IntN(12); {
-			case what == 0:
+			i := random.IntN(maxProcesses)
+			switch event := random.IntN(12); {
+			case event == 0:
 				broken = !broken
 			case all[i] == nil:
 				all[i] = host.start()
 				_ = all[i].settle(false)
-			case what == 1:
+			case event == 1:
 				all[i].kill()
 				all[i] = nil
-			case what < 6:
-				all[i].uses = random.IntN(all[i].limit + 1)
+			case event < 6:
+				all[i].inUse = random.IntN(all[i].limit + 1)
 			default:
-				_ = all[i].settle(what == 6)
+				_ = all[i].settle(event == 6)
 			}
 			sum := 0
 			for _, p := range all {
 				if p != nil {
-					require.LessOrEqual(t, p.uses, p.limit, "seed %d", seed)
+					require.LessOrEqual(t, p.inUse, p.limit, "seed %d", seed)
 					sum += p.limit
 				}
 			}
-			require.LessOrEqual(t, sum, testLimit, "seed %d", seed)
+			require.LessOrEqual(t, sum, testGrant, "seed %d", seed)
 		}
 		broken = false
 		last := host.start()
@@ -242,13 +245,13 @@
 			}
 		}
 		require.NoError(t, last.settle(false), "seed %d", seed)
-		require.Equal(t, alone, last.limit, "seed %d", seed)
+		require.Equal(t, aloneQuota, last.limit, "seed %d", seed)
 		last.kill()
 	}
 }
 
-// A process that is stopped while it has the lock does not prevent another from starting, with the reserved quota.
-func TestStartWhileLockIsTaken(t *testing.T) {
+// A process that is stopped while it holds the lock does not prevent another process from starting with the reserve.
+func TestStartDoesNotWaitForHeldLock(t *testing.T) {
 	host := newMachine(t)
 	lock, err := os.OpenFile(filepath.Join(host.dir, "capercove-share-n0.lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	require.NoError(t, err)
@@ -259,25 +262,26 @@
 	select {
 	case process := <-started:
 		require.ErrorIs(t, process.settle(false), ErrBusy)
-		require.Equal(t, reservedQuota, process.limit)
+		require.Equal(t, reserve, process.limit)
 	case <-time.After(20 * time.Second):
-		require.Fail(t, "it waits for the lock")
+		require.Fail(t, "the process waits for the lock")
 	}
 }
 
-// A file that is removed before it is read belongs to no process, and is no error.
-func TestFileRemovedWhileReading(t *testing.T) {
-	_, lives, err := readClaim(filepath.Join(t.TempDir(), "none"), testLimit)
+// A file that is removed before it is read counts as the file of a dead process, not as an error.
+func TestRemovedFileIsNoClaim(t *testing.T) {
+	_, alive, err := readClaim(filepath.Join(t.TempDir(), "none"), testGrant)
 	require.NoError(t, err)
-	require.False(t, lives)
+	require.False(t, alive)
 }
 
-// A process whose file has been removed, as by a program that removes old files, is seen again after its next step.
+// A process whose file has been removed, for example by a program that removes old files, creates the file again in its
+// next step.
 func TestRemovedOwnFileIsCreatedAgain(t *testing.T) {
 	host := newMachine(t)
 	own, other := host.start(), host.start()
 	require.NoError(t, own.settle(false))
-	require.NoError(t, os.Remove(own.own.Name()))
+	require.NoError(t, os.Remove(own.ownFile.Name()))
 	require.NoError(t, own.settle(false))
 	claims, err := other.readOthers()
 	require.NoError(t, err)
@@ -285,35 +289,36 @@
 	require.Equal(t, own.Quota(), claims[0].Quota)
 }
 
-// A process does not take over the claim of a running one with the same number, as in another container.
-func TestNameOfLivingProcessIsTaken(t *testing.T) {
+// A process cannot join under the process number of a living one, for example one in another container. The claim of
+// the living process stays.
+func TestJoinRejectsNumberOfLivingProcess(t *testing.T) {
 	host := newMachine(t)
 	own := host.start()
 	require.NoError(t, own.settle(false))
-	_, err := join(host.dir, "n0", testLimit, host.sources("1"))
+	_, err := join(host.dir, "n0", testGrant, host.sources("1"))
 	require.ErrorIs(t, err, unix.EWOULDBLOCK)
-	claim, lives, err := readClaim(own.own.Name(), testLimit)
+	claim, alive, err := readClaim(own.ownFile.Name(), testGrant)
 	require.NoError(t, err)
-	require.True(t, lives)
+	require.True(t, alive)
 	require.Equal(t, own.Quota(), claim.Quota)
 }
 
-// Repeated incomplete writes leave one copy valid: others always know the quota of the process.
+// Repeated incomplete writes leave one copy valid: other processes can always read the quota of the process.
 func TestOneCopyStaysValid(t *testing.T) {
-	const torn = 60 // bytes: behind what a claim takes
+	const written = 60 // bytes before the failure
 	host := newMachine(t)
 	older := host.start()
-	older.uses = 20
+	older.inUse = 20
 	require.NoError(t, older.settle(false))
 	require.NoError(t, host.start().settle(false))
-	host.write = cutAt(copySize + torn)
-	require.Error(t, older.settle(false), "the second copy is cut off")
+	host.write = failAfter(copySize + written)
+	require.Error(t, older.settle(false), "the second copy is incomplete")
 	for range 3 {
-		older.uses-- // the claim differs each time
-		host.write = cutAt(torn)
+		older.inUse-- // the claim differs each time
+		host.write = failAfter(written)
 		require.Error(t, older.settle(false))
-		claim, _, err := readClaim(older.own.Name(), testLimit)
+		claim, _, err := readClaim(older.ownFile.Name(), testGrant)
 		require.NoError(t, err)
-		require.Equal(t, 20+reservedQuota, claim.Quota)
+		require.Equal(t, 20+reserve, claim.Quota)
 	}
 }
--- a/internal/fdshare/record.go
+++ b/internal/fdshare/record.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// A claim's file holds two copies of the claim, each of a fixed size and with a checksum, so that one copy stays
-// valid if writing the other fails. A copy begins with the claim as JSON: older versions, which know one copy only,
-// read the first one and skip what follows the JSON.
+// A claim's file holds two copies of the claim, each of a fixed size and with a checksum: one copy stays valid if the
+// write of the other fails. A copy begins with the claim as JSON. Older versions, which write a single copy, read the
+// first copy and skip the rest of the file after the JSON.
 const (
 	copies       = 2
 	copySize     = 512
@@ -25,7 +25,7 @@
 		return nil, err
 	}
 	if len(text) > bodySize {
-		return nil, fmt.Errorf("a claim of %d bytes, %d at most", len(text), bodySize)
+		return nil, fmt.Errorf("claim has %d bytes, at most %d fit", len(text), bodySize)
 	}
 	body := string(text) + strings.Repeat(" ", bodySize-len(text))
 	return []byte(body + checksum([]byte(body))), nil
@@ -34,7 +34,7 @@
 // checksum returns the checksum of a copy's body, as text.
 func checksum(body []byte) string { return fmt.Sprintf("%08x\n", crc32.ChecksumIEEE(body)) }
 
-// decodeCopy returns the claim of one copy, and false if the copy is incomplete or damaged.
+// decodeCopy returns the claim in a copy. valid is false if the copy is incomplete or damaged.
 func decodeCopy(text []byte) (claim Claim, valid bool) {
 	if len(text) < copySize || string(text[bodySize:copySize]) != checksum(text[:bodySize]) {
 		return Claim{}, false
@@ -43,11 +43,13 @@
 	return claim, err == nil
 }
 
-// decode returns the claim of a living process from its file. Of two valid copies the one with the larger quota
-// counts, as the process changes from one to the other. A file without a valid copy is one of
-//   - an older version's, which holds one claim as JSON without a checksum;
-//   - a process's that has not been able to write yet, which uses at most the reserve;
-//   - damaged, as by an older version whose write failed half way. It counts as the largest quota of one process.
+// decode returns the claim of a living process from the content of its file. Of two valid copies, the copy with the
+// larger quota counts, because the process may use either quota while it changes between them. A file without a valid
+// copy is one of:
+//   - the file of an older version, which has one claim as JSON without a checksum;
+//   - the file of a process that has not written a claim yet, which uses at most the reserve;
+//   - a damaged file, for example after an incomplete write by an older version. It counts as the largest quota of one
+//     process.
 func decode(text []byte, grant int) Claim {
 	var largest Claim
 	found := false
@@ -60,7 +62,7 @@
 	if found {
 		return largest
 	}
-	if len(text) == 0 || text[0] == 0 { // copies are first written from the last to the first
+	if len(text) == 0 || text[0] == 0 { // the first write of a process starts with the last copy
 		return Claim{Quota: grant / reserveDivisor}
 	}
 	var old Claim
