--- a/internal/fdshare/fdshare_test.go
+++ b/internal/fdshare/fdshare_test.go
@@ -74,7 +74,7 @@
 			64,
 		},
 		{
-			"the younger beside one that shuts down",
+			"the younger beside an older one that shuts down",
 			fdshare.Claim{JoinedUnixNano: younger, InUse: 60, Quota: 246},
 			[]fdshare.Claim{{JoinedUnixNano: older, InUse: 40, Quota: 64, ShuttingDown: true}},
 			320,
--- a/internal/fdshare/member.go
+++ b/internal/fdshare/member.go
@@ -41,13 +41,13 @@
 	quota   atomic.Int64
 }
 
-// storedCopy is what this process knows of one copy of its claim on disk.
+// storedCopy describes a copy of the own claim on disk.
 type storedCopy struct {
 	valid    bool // its last write succeeded
 	minQuota int  // the smallest quota that a process of any version may read from it
 }
 
-// writeAt writes to a file at an offset. Tests pass one that fails.
+// writeAt writes to a file at an offset. Tests pass a function that fails.
 type writeAt func(f *os.File, text []byte, offset int64) (int, error)
 
 // sources are the identity, the clocks and the file writes that a process gets from its system. Tests pass their own.
--- a/internal/fdshare/member_test.go
+++ b/internal/fdshare/member_test.go
@@ -17,8 +17,8 @@
 
 const (
 	testGrant  = 384
+	aloneQuota = testGrant - testGrant/reserveDivisor // of a process that runs alone
 	reserve    = testGrant / reserveDivisor
-	aloneQuota = testGrant - reserve // of a process that runs alone
 )
 
 // process is one of several processes in a test. It opens no more descriptors than its limit.
--- a/internal/filelock/filelock.go
+++ b/internal/filelock/filelock.go
@@ -42,7 +42,7 @@
 }
 
 // acquire is Acquire with the system call as an argument.
-func acquire(file *os.File, mode int, timeout time.Duration, flock func(fd, how int) error) error {
+func acquire(file *os.File, mode int, timeout time.Duration, flock func(fd, mode int) error) error {
 	started := time.Now()
 	for {
 		err := flock(int(file.Fd()), mode|unix.LOCK_NB)
