--- a/internal/maintenance/agent/blocks.go
+++ b/internal/maintenance/agent/blocks.go
@@ -12,7 +12,7 @@
 	"capercove/routing"
 )
 
-// keepBlocks blocks what is out of service. It waits for no call of the record.
+// keepBlocks keeps the core's blocks up to date. It never waits for a call of the record.
 func (a *Agent) keepBlocks(ctx context.Context) {
 	for ctx.Err() == nil {
 		if status, known := a.updateBlocks(ctx); known {
@@ -29,7 +29,7 @@
 	}
 }
 
-// blocksInterval is when to look at the blocks again.
+// blocksInterval returns the time until the next update of the blocks.
 func (a *Agent) blocksInterval() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -39,13 +39,13 @@
 	return idleInterval
 }
 
-// databaseGroups are the databases that the pooler knows, by group.
+// databaseGroups holds the groups of the databases in the endpoint list.
 type databaseGroups struct {
-	names   map[int][]string // of each group
-	groupOf map[string]int   // of each database
+	names   map[int][]string // names of the databases, by group
+	groupOf map[string]int   // group, by name of the database
 }
 
-// groupsOf returns the groups of databases.
+// groupsOf returns the groups of some databases.
 func groupsOf(databases []core.DatabaseStatus) databaseGroups {
 	groups := databaseGroups{names: map[int][]string{}, groupOf: map[string]int{}}
 	for _, database := range databases {
@@ -55,22 +55,21 @@
 	return groups
 }
 
-// others returns the other databases of the group of one.
+// others returns the other databases in the group of a database.
 func (g databaseGroups) others(name string) []string {
 	members := slices.Clone(g.names[g.groupOf[name]])
 	return slices.DeleteFunc(members, func(other string) bool { return other == name })
 }
 
-// decidedBlocks are the blocks as they are decided, with what is to be done beside them.
+// decidedBlocks holds the blocks to set, and the actions that accompany them.
 type decidedBlocks struct {
 	blocks   core.Blocklist
-	plan     string                  // ID of the plan that they are of
-	draining map[routing.NodeID]bool // databases whose requests in flight are to be counted
+	plan     string                  // ID of the plan for which the blocks were decided
+	draining map[routing.NodeID]bool // databases whose requests in flight have to be counted
 	probe    []string                // databases to probe
 }
 
-// updateBlocks hands the core what it has to block, and returns the attempts for which this pooler has nothing in
-// flight any more, with the plan that they are of; false: the agent ends.
+// updateBlocks sets the core's blocks, and returns the status to report. It returns false if the agent ends meanwhile.
 func (a *Agent) updateBlocks(ctx context.Context) (status maintenance.PoolerStatus, known bool) {
 	decided := a.decideBlocks(a.pooler.Core.Figures().Databases)
 	counted := make(chan map[routing.NodeID]int, 1)
@@ -89,7 +88,7 @@
 	}
 }
 
-// decideBlocks decides what to block now, and from the end of the lease on.
+// decideBlocks decides which databases to block now, and which to block after the lease has expired.
 func (a *Agent) decideBlocks(databases []core.DatabaseStatus) decidedBlocks {
 	groups := groupsOf(databases)
 	a.mu.Lock()
@@ -108,22 +107,22 @@
 		}
 	}
 	active := a.record.Plan.Active()
-	a.logLapse((active || blocks.All) && now >= leaseEnd, len(blocks.UnverifiedAfterExpiry))
+	a.logLeaseExpiry((active || blocks.All) && now >= leaseEnd, len(blocks.UnverifiedAfterExpiry))
 	if !active && a.follower.Known() {
 		blocks = core.Blocklist{SlowStart: blocks.SlowStart}
 	}
-	a.overview.Off = nil
+	a.overview.Blocked = nil
 	for _, name := range names {
 		if blocks.All || blocks.Databases[discovery.ID(name)] {
-			a.overview.Off = append(a.overview.Off, name)
+			a.overview.Blocked = append(a.overview.Blocked, name)
 		}
 	}
 	probe := a.databasesToProbe(now, databases, blocks.Databases)
 	return decidedBlocks{blocks: blocks, plan: a.record.Plan.ID, draining: draining, probe: probe}
 }
 
-// blockable names the databases that could be blocked; mu is locked. One that the endpoint list has dropped is among
-// them: the list may bring it back at any time.
+// blockable returns the names of the databases that could be blocked. The caller must hold mu. It includes databases of
+// the plan that are missing in the endpoint list, because the list may add them again at any time.
 func (a *Agent) blockable(groups databaseGroups) []string {
 	names := slices.Sorted(maps.Keys(groups.groupOf))
 	for name := range a.record.Steps {
@@ -134,7 +133,7 @@
 	return names
 }
 
-// blockDatabase adds one database to the blocks; mu is locked.
+// blockDatabase adds one database to the blocks, if it has to be blocked. The caller must hold mu.
 func (a *Agent) blockDatabase(blocks *core.Blocklist, name string, groups databaseGroups, now time.Duration) {
 	id := discovery.ID(name)
 	_, listed := groups.groupOf[name]
@@ -154,22 +153,22 @@
 	}
 }
 
-// logLapse logs that the lease has run out or is renewed, once each time, with the number of databases to which
-// requests are sent blindly.
-func (a *Agent) logLapse(lapsed bool, blind int) {
-	if lapsed == a.lapsed.Load() {
+// logLeaseExpiry logs when the lease has expired or is valid again, once for each change. blind is the number of
+// databases that may receive requests although they could be in maintenance.
+func (a *Agent) logLeaseExpiry(expired bool, blind int) {
+	if expired == a.leaseExpired.Load() {
 		return
 	}
-	a.lapsed.Store(lapsed)
-	line := a.pooler.Log.Warn().Bool("lapsed", lapsed)
-	if lapsed && blind > 0 {
+	a.leaseExpired.Store(expired)
+	line := a.pooler.Log.Warn().Bool("lapsed", expired)
+	if expired && blind > 0 {
 		line = line.Int("blind", blind)
 	}
 	line.Msg("maintenance: lease on the record")
 }
 
-// databasesToProbe names the databases to probe where all that this pooler takes for the primary of a group is blocked:
-// another has taken over, and it has seen nothing of that yet. Mu is locked.
+// databasesToProbe returns the unblocked databases of groups that have a blocked database and no unblocked primary. One
+// of them may have taken over without evidence at this pooler yet. The caller must hold mu.
 func (a *Agent) databasesToProbe(
 	now time.Duration, databases []core.DatabaseStatus, blocked map[routing.NodeID]bool,
 ) (names []string) {
@@ -193,17 +192,18 @@
 	return names
 }
 
-// stoppedStatus returns the status to report, given the requests in flight to the databases that are draining.
+// stoppedStatus returns the status to report: the attempts for which this pooler has stopped, with their plan. inFlight
+// counts the requests in flight to each database that was draining when the blocks were decided.
 func (a *Agent) stoppedStatus(decided decidedBlocks, inFlight map[routing.NodeID]int) maintenance.PoolerStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.overview.Out = map[string]int{}
+	a.overview.InFlight = map[string]int{}
 	stopped := a.follower.Stopped(func(name string) int {
 		id := discovery.ID(name)
-		if !decided.draining[id] { // it is draining only since the requests were counted
+		if !decided.draining[id] { // It began to drain after the requests were counted.
 			return 1
 		}
-		a.overview.Out[name] = inFlight[id]
+		a.overview.InFlight[name] = inFlight[id]
 		return inFlight[id]
 	})
 	return maintenance.PoolerStatus{Plan: decided.plan, Stopped: stopped}
--- a/internal/maintenance/agent/byhand_test.go
+++ b/internal/maintenance/agent/byhand_test.go
@@ -8,17 +8,17 @@
 	"capercove/internal/maintenance"
 )
 
-// workAttempts bounds how often a machine is put back before the work on it is over, as only a busy machine lets a
-// group look too small.
+// workAttempts limits the attempts to work on a machine that the plan puts back. A machine is put back only if load on
+// the test machine makes the other databases of its group look unhealthy.
 const workAttempts = 10
 
-// workOnNext waits until a machine is drained, checks that it gets nothing until a person says at another pooler that
-// the work has ended, and returns its name once it is done. If the machine was put back meanwhile, as the others of its
-// group did not look healthy, it is drained again under another number, and all is checked anew.
+// workOnNext waits until a machine is drained, checks that it receives nothing until an operator reports the end of the
+// work at another pooler, and returns its name when its step is done. If the machine was put back meanwhile, because
+// its group did not look healthy, it is drained again with a new fencing number, and the checks are repeated.
 func (f *fleet) workOnNext(at, operatorAt string) string {
 	f.T.Helper()
 	for range workAttempts {
-		step := f.drained(at)
+		step := f.awaitDrained(at)
 		database := f.database(step.Machine)
 		before := len(database.Statements())
 		for range 5 {
@@ -30,21 +30,21 @@
 			f.Net.Note("%s was put back", step.Machine)
 			continue
 		}
-		require.Empty(f.T, received, "%s got something while it was drained", step.Machine)
-		printed, status := f.answered(operatorAt, "end", step.Machine)
+		require.Empty(f.T, received, "%s received statements while it was drained", step.Machine)
+		printed, status := f.runUntilAnswered(operatorAt, "end", step.Machine)
 		if status != 0 && f.step(at, step.Machine).State == maintenance.Waiting {
 			f.Net.Note("%s was put back", step.Machine)
 			continue
 		}
 		require.Zero(f.T, status, printed)
-		f.reaches(at, step.Machine, maintenance.Done)
+		f.awaitState(at, step.Machine, maintenance.Done)
 		return step.Machine
 	}
-	require.Fail(f.T, "each machine is put back again and again")
+	require.Fail(f.T, "no machine stays drained until the work ends")
 	return ""
 }
 
-// handOver waits until the plan asks for a hand-over, and carries it out.
+// handOver waits until the plan requires a hand-over, and performs it.
 func (f *fleet) handOver(at string) {
 	f.T.Helper()
 	var handOver maintenance.HandOver
@@ -59,19 +59,19 @@
 	f.promote(handOver.From, handOver.To)
 }
 
-// One replica after the other is taken out by hand, then the primary, once another has taken over. All poolers serve
-// throughout, and none sends anything to a machine between "free" and "end".
-func TestByHand(t *testing.T) {
+// Operators do the work: on one replica after the other, and then on the primary, after a replica has taken over. All
+// poolers serve throughout, and none sends anything to a machine between its state "free" and the command "end".
+func TestDrainedMachinesReceiveNothingUntilEnd(t *testing.T) {
 	t.Parallel()
 	const spec = "machines = [\"db-0\", \"db-1\", \"db-2\"]\nfresh = 1\n"
 	poolers := startFleet(t, 1, 3, 1, "")
 	require.Contains(t, poolers.execute("n1", "status"), "no plan")
 	poolers.start("n1", spec)
-	poolers.refuse("abort it first", "n2", "start", poolers.specFile(spec))
+	poolers.requireRefused("abort it first", "n2", "start", poolers.specFile(spec))
 	require.NotEqual(t, "db-0", poolers.workOnNext("n0", "n2"))
 	require.NotEqual(t, "db-0", poolers.workOnNext("n0", "n2"))
 	poolers.handOver("n0")
 	require.Equal(t, "db-0", poolers.workOnNext("n0", "n2"), "the primary goes last")
-	poolers.planOver("n0")
+	poolers.awaitPlanEnd("n0")
 	require.Contains(t, poolers.execute("n0", "history"), "has taken over")
 }
--- a/internal/maintenance/agent/clients_test.go
+++ b/internal/maintenance/agent/clients_test.go
@@ -12,23 +12,23 @@
 	"capercove/internal/testbed"
 )
 
-// Statements of load.
+// Times of the statements that load sends.
 const (
 	loadDeadline = time.Second
-	loadTimeout  = 2 * time.Second // of a client that gets no answer
+	loadTimeout  = 2 * time.Second // for which a client waits for an answer
 )
 
-// loadClasses are the classes of load, by turns.
+// loadClasses holds the classes of the statements that load sends, in turn.
 var loadClasses = []string{"read", "report", "write"}
 
-// statement is one whose key begins with the name of the pooler that it is sent to, so that databases can tell by whom
-// they get it.
+// statement returns a statement whose key begins with the name of the pooler that it is sent to. The databases identify
+// the sender by this name.
 func statement(pooler, key string, number int, class string, deadline time.Duration) string {
 	const format = "SELECT val FROM state WHERE uid = '%s' /* id=%s%08x,c=%s,d=%d,cluster=3 */"
 	return fmt.Sprintf(format, pooler+key, pooler[1:], number, class, deadline.Milliseconds())
 }
 
-// senderOf is the pooler from which a database got a statement.
+// senderOf returns the pooler that sent a statement to a database.
 func senderOf(sql string) string {
 	_, key, _ := strings.Cut(sql, "'")
 	key, _, _ = strings.Cut(key, "'")
@@ -36,7 +36,7 @@
 	return sender
 }
 
-// load sends to all poolers, one statement after the other, until the function that it returns is called.
+// load sends one statement after the other to each pooler, until the returned function is called.
 func (f *fleet) load() (end func()) {
 	var over atomic.Bool
 	var clients sync.WaitGroup
@@ -46,7 +46,7 @@
 			for number := 0; !over.Load(); number++ {
 				sql := statement(name, "", number, loadClasses[number%len(loadClasses)], loadDeadline)
 				if _, answered := bed.Try(sql, loadTimeout); !answered {
-					time.Sleep(testbed.PollInterval) // it is down, or paused
+					time.Sleep(testbed.PollInterval) // the pooler is down or stopped
 				}
 			}
 		})
@@ -57,9 +57,9 @@
 	}
 }
 
-// passStatements waits until the databases have received so many more statements: time in which something could have
-// happened, however slow the machine is.
-func (f *fleet) passStatements(more int) {
+// awaitStatements waits until the databases have received a number of further statements. It replaces a wait for a
+// fixed time, which would be too short on a slow machine.
+func (f *fleet) awaitStatements(more int) {
 	f.T.Helper()
 	received := func() int {
 		count := 0
@@ -68,21 +68,21 @@
 		}
 		return count
 	}
-	until := received() + more
-	f.eventually(func() bool { return received() >= until }, "clients are served")
+	target := received() + more
+	f.eventually(func() bool { return received() >= target }, "clients are served")
 }
 
-// Words of statements, see testbed.Database.
-const heldWord = "hold" // it is not answered before the databases are released
+// heldWord marks statements that databases do not answer before they are released, see testbed.Database.
+const heldWord = "hold"
 
-// sendHeld sends a report at a pooler that its database does not answer before it is released.
-func (f *fleet) sendHeld(at string, client *testbed.Client) {
+// sendHeldReport sends a report through a pooler. The database does not answer it before it is released.
+func (f *fleet) sendHeldReport(at string, client *testbed.Client) {
 	f.T.Helper()
-	client.Send(testbed.Query(f.Beds[at].Statement("report", at+" "+heldWord, longReport)))
+	client.Send(testbed.Query(f.Beds[at].Statement("report", at+" "+heldWord, heldReportTimeout)))
 }
 
-// hasHeld reports whether a database holds a report.
-func (f *fleet) hasHeld(name string) bool {
+// hasHeldReport reports whether a database has received a report that it does not answer before it is released.
+func (f *fleet) hasHeldReport(name string) bool {
 	for _, sql := range f.database(name).Statements() {
 		if strings.Contains(sql, heldWord) {
 			return true
@@ -91,18 +91,18 @@
 	return false
 }
 
-// requireNothingBroken checks that no rule was broken, and returns how many requests of blind poolers reached machines
+// requireNoViolation checks that no rule was violated, and returns how many requests of blind poolers reached machines
 // in maintenance.
-func (f *fleet) requireNothingBroken(calls []hookCall) (blind int) {
+func (f *fleet) requireNoViolation(calls []hookCall) (blind int) {
 	f.T.Helper()
 	blind, violation := f.violation(calls)
 	require.Empty(f.T, violation)
 	return blind
 }
 
-// violation tells, as the databases and the hook saw it, whether something but requests of blind poolers reached a
-// machine in maintenance, whether two machines were in maintenance at once, and whether the hook of one ran under two
-// numbers. It returns how many requests came from blind poolers.
+// violation returns the first violation of a rule that the logs of the databases and the hook show, and empty if there
+// is none. The rules: only requests of blind poolers reach a machine in maintenance, no two machines are in maintenance
+// at once, and the hook runs under one fencing number for each machine. blind counts the requests of blind poolers.
 func (f *fleet) violation(calls []hookCall) (blind int, violation string) {
 	numbers := map[string]string{}
 	for i, call := range calls {
--- a/internal/maintenance/agent/config.go
+++ b/internal/maintenance/agent/config.go
@@ -8,37 +8,37 @@
 	"capercove/internal/config/tables"
 )
 
-// Config is table [works] of the operators' file.
+// Config is the table [works] of the operators' file.
 type Config struct {
 	Enabled bool `toml:"enabled"`
-	// Record has the API addresses of the poolers that keep the record; empty: those of [store].
+	// Record holds the API addresses of the poolers that store the record; empty: those of [store].
 	Record []string `toml:"record"`
-	// LeaseMS is for how long a pooler that does not read the record may send to machines that a plan lists.
+	// LeaseMS is the length of a lease: for how long after a read of the record a pooler may send to a plan's machines.
 	LeaseMS int `toml:"lease_ms"`
-	// SkewMS is by how much two clocks run apart in a lease at the most.
+	// SkewMS is the maximum difference that two clocks develop during a lease.
 	SkewMS int `toml:"skew_ms"`
-	// SettleMS is for how long a machine that is back has to be seen healthy.
+	// SettleMS is for how long a recovering machine has to be seen healthy.
 	SettleMS int `toml:"settle_ms"`
-	// FreshMS is the replication lag from which on a replica does not keep up; 0: what the tightest class tolerates.
+	// FreshMS is the maximum replication lag of a replica that keeps up; 0: the lag that the strictest class tolerates.
 	FreshMS int `toml:"fresh_ms"`
-	// Hook is a program that does the work, with its arguments; empty: a person does it, or HookURL.
+	// Hook is the program that does the work, with its arguments; empty: HookURL is called, or a person does the work.
 	Hook []string `toml:"hook"`
-	// HookURL is called with POST instead of a program.
+	// HookURL is the web service that is called with POST instead of a program.
 	HookURL string `toml:"hook_url"`
-	// HandOver is a program that lets a replica take over, with its arguments; empty: a person does.
+	// HandOver is the program that makes a replica take over, with its arguments; empty: a person does it.
 	HandOver []string `toml:"hand_over"`
-	// HookSeconds is how long a call of a hook takes at the most.
+	// HookSeconds is the timeout of a call of a hook.
 	HookSeconds int `toml:"hook_seconds"`
-	// HookCalls is how often a hook that fails, or whose caller is gone, is called at the most, with the same ID.
+	// HookCalls is the maximum number of calls, with the same ID, of a hook that fails or whose caller is gone.
 	HookCalls int `toml:"hook_calls"`
 }
 
-// Defaults returns what an empty table means.
+// Defaults returns the configuration of an empty table.
 func Defaults() Config {
 	return Config{LeaseMS: 5000, SkewMS: 500, SettleMS: 3000, HookSeconds: 1800, HookCalls: 1}
 }
 
-// Check finds what is wrong with the table.
+// Check validates the table if maintenance is enabled. The error names the key.
 func (c Config) Check() error {
 	if !c.Enabled {
 		return nil
@@ -75,4 +75,5 @@
 	return nil
 }
 
+// milliseconds converts a number of milliseconds.
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/maintenance/agent/failures_test.go
+++ b/internal/maintenance/agent/failures_test.go
@@ -13,35 +13,35 @@
 	"capercove/internal/maintenance"
 )
 
-// The leader is killed while a request that does not end keeps a machine draining, and the next one while the hook
-// runs: the hook is called once, under one number, and only a person can say how it ended. Poolers that come back
-// remember nothing.
-func TestLeaderDies(t *testing.T) {
+// The leader is killed while a request in flight keeps a machine draining, and the next leader while the hook runs. The
+// hook is called once, with one fencing number, and an operator has to report its end. Restarted poolers have lost
+// their state in memory.
+func TestCallsHookOnceWhenLeadersDie(t *testing.T) {
 	t.Parallel()
 	hook, line := newHook(t)
 	poolers := startFleet(t, 11, 4, 1, line)
 	end := poolers.load()
 	defer end()
 	client := poolers.Beds["n3"].Client()
-	for !poolers.hasHeld("db-1") { // reads are spread over the replicas
+	for !poolers.hasHeldReport("db-1") { // reads are spread over the replicas
 		client = poolers.Beds["n3"].Client()
-		poolers.sendHeld("n3", client)
-		poolers.passStatements(50)
+		poolers.sendHeldReport("n3", client)
+		poolers.awaitStatements(50)
 	}
 	poolers.start("n3", "machines = [\"db-1\"]\nfresh = 1\n")
-	poolers.reaches("n3", "db-1", maintenance.Draining)
+	poolers.awaitState("n3", "db-1", maintenance.Draining)
 	poolers.eventually(func() bool {
 		overview, known := poolers.overview("n3")
-		return known && overview.Out["db-1"] > 0
-	}, "n3 knows what it has in flight there")
+		return known && overview.InFlight["db-1"] > 0
+	}, "n3 reports its request in flight")
 	first := poolers.leader()
 	poolers.Kill(first)
 	poolers.leader()
-	require.Equal(t, maintenance.Draining, poolers.state("n3", "db-1"), "nobody has gone on without n3")
+	require.Equal(t, maintenance.Draining, poolers.state("n3", "db-1"), "the step waits for the report of n3")
 	poolers.release()
-	require.True(t, client.Next().Complete, "what was in flight is answered")
-	poolers.Restart(first) // otherwise the step waits for it
-	hook.began(1)
+	require.True(t, client.Next().Complete, "the request in flight is answered")
+	poolers.Restart(first) // the step waits for its report, too
+	hook.awaitCalls(1)
 	require.Equal(t, maintenance.InMaintenance, poolers.state("n3", "db-1"))
 	second := poolers.leader()
 	poolers.Kill(second)
@@ -49,69 +49,70 @@
 	poolers.Restart(second)
 	hook.open()
 	hook.wait(func(calls []hookCall) bool { return calls[0].ended() }, "the hook ends")
-	poolers.passStatements(2000)
-	require.Len(t, hook.read(), 1, "it is not called again")
-	require.Equal(t, maintenance.InMaintenance, poolers.state("n3", "db-1"), "nobody knows that it has ended")
+	poolers.awaitStatements(2000)
+	require.Len(t, hook.read(), 1, "the hook is not called again")
+	require.Equal(t, maintenance.InMaintenance, poolers.state("n3", "db-1"), "the end of the hook is not recorded")
 	poolers.execute("n3", "end", "db-1")
-	poolers.planOver("n3")
+	poolers.awaitPlanEnd("n3")
 	end()
-	poolers.requireNothingBroken(hook.read())
+	poolers.requireNoViolation(hook.read())
 	require.Len(t, hook.read(), 1)
 }
 
-// A pooler is cut off from all others, but not from clients and databases: it cannot change the plan, and blocks all
-// that is listed once its lease is over. The others go on without it after that time, and say so. One that starts while
-// it is cut off blocks all, and is blind then. When the cut is over all poolers agree again.
-func TestCutOff(t *testing.T) {
+// A pooler is partitioned from all others, but not from clients and databases. It cannot change the plan, and blocks
+// all machines of the plan when its lease has expired. After that time, the others continue without it and record its
+// name. When it restarts during the partition, it blocks all databases for the length of a lease, and is blind after
+// that. After the partition, all poolers agree again.
+func TestPlanContinuesWithoutPartitionedPooler(t *testing.T) {
 	t.Parallel()
 	hook, line := newHook(t)
 	poolers := startFleet(t, 12, 4, 2, line)
 	poolers.start("n0", "machines = [\"db-1\", \"db-2\"]\nfresh = 1\ngo_on = true\n")
-	hook.began(1) // all have read the plan
-	cutOff := poolers.bystander()
+	hook.awaitCalls(1) // all poolers have read the plan
+	cutOff := poolers.uninvolvedPooler()
 	rest := slices.DeleteFunc(slices.Clone(poolers.Names), func(name string) bool { return name == cutOff })
 	end := poolers.load()
 	defer end()
-	const operator = "operator" // where commands are run
+	const operator = "operator" // the node from which commands are run
 	poolers.Net.Register(operator, netip.MustParseAddr("127.0.0.1"))
 	poolers.Net.Partition([]string{cutOff, operator}, rest)
 	printed, status := poolers.command(cutOff, "pause")
-	require.Equal(t, statusNotPossible, status, printed)
+	require.Equal(t, exitNotPossible, status, printed)
 	require.Contains(t, printed, noMajorityText)
 	poolers.eventually(func() bool {
 		overview, known := poolers.overview(cutOff)
-		return known && overview.Lapses < 0 && slices.Equal(overview.Off, []string{"db-1", "db-2"})
-	}, "its lease runs out")
+		return known && overview.LeaseLeftMS < 0 && slices.Equal(overview.Blocked, []string{"db-1", "db-2"})
+	}, "its lease expires")
 	known := poolers.status(cutOff)
 	require.False(t, known.Agreed)
-	require.Equal(t, maintenance.Running, known.Plan.State, "as it was when it was last read")
+	require.Equal(t, maintenance.Running, known.Plan.State, "the plan as the pooler last read it")
 	for _, name := range rest {
 		poolers.Net.Both(operator, name, faults.Link{})
 	}
 	hook.open()
 	calls := hook.wait(func(calls []hookCall) bool {
 		return len(calls) == 2 && calls[1].ended()
-	}, "the other one is worked on without it")
+	}, "the work on the other machine ends without it")
 	step := poolers.step(rest[0], calls[1].machine)
-	require.Equal(t, []string{cutOff}, step.Unreachable, "the record says without whom")
-	require.Zero(t, poolers.requireNothingBroken(calls))
+	require.Equal(t, []string{cutOff}, step.Unreachable, "the record names the unreachable pooler")
+	require.Zero(t, poolers.requireNoViolation(calls))
 	poolers.Kill(cutOff)
-	poolers.Restart(cutOff) // it reads nothing, waits for the length of a lease, and serves
-	poolers.eventually(func() bool { return poolers.wasBlind(cutOff) }, "it says that it is blind")
+	poolers.Restart(cutOff) // it cannot read the record, waits for the length of a lease, and serves
+	poolers.eventually(func() bool { return poolers.wasBlind(cutOff) }, "it logs that it is blind")
 	poolers.Net.Heal()
-	poolers.planOver(rest[0])
+	poolers.awaitPlanEnd(rest[0])
 	end()
-	require.Zero(t, poolers.requireNothingBroken(hook.read()))
+	require.Zero(t, poolers.requireNoViolation(hook.read()))
 }
 
-// A pooler dies after it has reported that it stopped, and comes back remembering nothing while it is cut off from the
-// record: for the length of a lease it sends nothing, and what it sends then is counted. As soon as it reads the record
-// it blocks the machine.
-func TestRestartRemembersNothing(t *testing.T) {
+// A pooler is killed after it has reported that it stopped, and restarts while it cannot reach the record. For the
+// length of a lease, it sends nothing. Requests that it sends after that are counted. When it reads the record, it
+// blocks the machine.
+func TestRestartedPoolerCountsBlindRequests(t *testing.T) {
 	t.Parallel()
 	poolers := startFleet(t, 13, 4, 1, "")
 	poolers.start("n0", "machines = [\"db-1\"]\nfresh = 1\n")
-	poolers.reaches("n0", "db-1", maintenance.Drained)
+	poolers.awaitState("n0", "db-1", maintenance.Drained)
 	poolers.Kill("n3")
 	poolers.Net.Partition([]string{"n3"}, []string{"n0", "n1", "n2"})
 	poolers.Restart("n3")
@@ -124,16 +125,16 @@
 	poolers.eventually(func() bool {
 		read()
 		return received() > before
-	}, "it is blind, and serves")
+	}, "it serves without the record")
 	poolers.eventually(func() bool {
 		overview, known := poolers.overview("n3")
 		return known && overview.Blind > 0
-	}, "that is counted")
-	poolers.eventually(func() bool { return poolers.wasBlind("n3") }, "it says so")
+	}, "blind requests are counted")
+	poolers.eventually(func() bool { return poolers.wasBlind("n3") }, "it logs that it is blind")
 	poolers.Net.Heal()
 	poolers.eventually(func() bool {
 		overview, known := poolers.overview("n3")
-		return known && slices.Equal(overview.Off, []string{"db-1"})
+		return known && slices.Equal(overview.Blocked, []string{"db-1"})
 	}, "it blocks the machine")
 	before = received()
 	poolers.Serve("while db-1 is drained", poolers.Names...)
@@ -142,11 +143,11 @@
 	}
 	require.Equal(t, before, received())
 	poolers.execute("n3", "end", "db-1")
-	poolers.planOver("n0")
+	poolers.awaitPlanEnd("n0")
 }
 
-// Of two plans that are handed in at once one is taken.
-func TestTwoPlansAtOnce(t *testing.T) {
+// Of two plans that are started concurrently, one is accepted.
+func TestAcceptsOneOfTwoConcurrentPlans(t *testing.T) {
 	t.Parallel()
 	poolers := startFleet(t, 14, 3, 2, "")
 	specs := map[string]string{
@@ -156,87 +157,87 @@
 	outcomes := make(chan startOutcome, len(specs))
 	var starting sync.WaitGroup
 	for at, spec := range specs {
-		starting.Go(func() { outcomes <- poolers.handIn(at, spec) })
+		starting.Go(func() { outcomes <- poolers.tryStart(at, spec) })
 	}
 	starting.Wait()
 	close(outcomes)
-	taken, unknown := 0, 0
+	accepted, unknown := 0, 0
 	for outcome := range outcomes {
 		switch outcome {
-		case planTaken:
-			taken++
+		case planAccepted:
+			accepted++
 		case planRefusedAfterUnknown:
 			unknown++
 		}
 	}
-	require.LessOrEqual(t, taken, 1, "not both")
-	require.Positive(t, taken+unknown, "not none")
+	require.LessOrEqual(t, accepted, 1, "both plans were accepted")
+	require.Positive(t, accepted+unknown, "no plan was accepted")
 	poolers.eventually(func() bool {
 		current := poolers.status("n1")
 		return current.Agreed && current.Plan.Active()
-	}, "one is carried out")
+	}, "one of the plans is active")
 	poolers.execute("n1", "abort")
-	poolers.planOver("n1")
+	poolers.awaitPlanEnd("n1")
 }
 
-// A replica dies while another is out: nothing further is taken, and the one that is drained is put back. Then the
-// primary changes while a replica is out: the plan goes on, and the new primary goes last.
-func TestGroupChanges(t *testing.T) {
+// Replicas fail while another replica is out: no further machine is taken, and the drained one is put back. Then the
+// primary changes while a replica is out: the plan continues, and takes the new primary last.
+func TestPlanAdaptsToChangesOfTheGroup(t *testing.T) {
 	t.Parallel()
 	poolers := startFleet(t, 14, 3, 2, "")
 	poolers.start("n0", "machines = [\"db-0\", \"db-1\", \"db-2\"]\nfresh = 1\nper_group = 2\n")
-	drained := poolers.drained("n0").Machine
+	drained := poolers.awaitDrained("n0").Machine
 	require.NotEqual(t, "db-0", drained, "the primary goes last")
 	before := len(poolers.database(drained).Statements())
 	others := slices.DeleteFunc([]string{"db-1", "db-2", "db-3"}, func(name string) bool { return name == drained })
 	for _, name := range others {
 		poolers.database(name).Freeze(true)
 	}
-	poolers.reaches("n0", drained, maintenance.Waiting)
+	poolers.awaitState("n0", drained, maintenance.Waiting)
 	require.Len(t, poolers.database(drained).Statements(), before)
 	for _, name := range others {
 		poolers.database(name).Freeze(false)
-		poolers.database(name).Cut() // what it did not answer is answered no more
+		poolers.database(name).Cut() // open requests are never answered
 	}
-	drained = poolers.drained("n0").Machine
+	drained = poolers.awaitDrained("n0").Machine
 	poolers.promote("db-0", "db-3")
 	poolers.Serve("after the primary has changed", poolers.Names...)
 	poolers.execute("n0", "end", drained)
-	poolers.reaches("n0", drained, maintenance.Done)
+	poolers.awaitState("n0", drained, maintenance.Done)
 	for range 2 { // db-0 is a replica now
-		next := poolers.drained("n0").Machine
+		next := poolers.awaitDrained("n0").Machine
 		poolers.execute("n0", "end", next)
-		poolers.reaches("n0", next, maintenance.Done)
+		poolers.awaitState("n0", next, maintenance.Done)
 	}
-	poolers.planOver("n0")
+	poolers.awaitPlanEnd("n0")
 	require.Nil(t, poolers.status("n0").Plan.HandOver)
 }
 
-// A plan can be aborted in every state; a machine in maintenance comes back when the work ends, and the plan waits for
-// one that does not become healthy.
-func TestAbort(t *testing.T) {
+// A plan can be aborted in every state. A machine in maintenance returns to service when the work ends, and the plan
+// waits for a machine that does not become healthy.
+func TestAbortsPlanInEveryState(t *testing.T) {
 	t.Parallel()
 	poolers := startFleet(t, 15, 3, 1, "")
-	for !poolers.hasHeld("db-1") {
-		poolers.sendHeld("n1", poolers.Beds["n1"].Client())
+	for !poolers.hasHeldReport("db-1") {
+		poolers.sendHeldReport("n1", poolers.Beds["n1"].Client())
 		poolers.Serve("beside", "n1")
 	}
 	poolers.start("n0", "machines = [\"db-1\"]\nfresh = 1\n")
-	poolers.reaches("n0", "db-1", maintenance.Draining)
+	poolers.awaitState("n0", "db-1", maintenance.Draining)
 	poolers.execute("n2", "abort")
-	poolers.planOver("n0")
+	poolers.awaitPlanEnd("n0")
 	require.Equal(t, maintenance.RolledBack, poolers.state("n0", "db-1"))
 	poolers.release()
 
 	const spec = "machines = [\"db-1\", \"db-2\"]\nfresh = 1\n"
 	poolers.start("n0", spec)
-	poolers.drained("n0")
+	poolers.awaitDrained("n0")
 	poolers.execute("n2", "abort")
-	poolers.planOver("n0")
+	poolers.awaitPlanEnd("n0")
 	poolers.eventually(func() bool {
 		overview, known := poolers.overview("n1")
-		return known && len(overview.Off) == 0
-	}, "it is put back")
+		return known && len(overview.Blocked) == 0
+	}, "the machine is put back")
 
 	poolers.start("n0", spec)
 	worked := poolers.beginWork("n0")
@@ -244,17 +245,17 @@
 	poolers.execute("n1", "abort")
 	require.Equal(t, maintenance.InMaintenance, poolers.state("n0", worked))
 	require.Equal(t, maintenance.Aborting, poolers.status("n0").Plan.State)
-	poolers.reaches("n0", waiting, maintenance.RolledBack)
-	poolers.database(worked).Freeze(true) // it does not come back
+	poolers.awaitState("n0", waiting, maintenance.RolledBack)
+	poolers.database(worked).Freeze(true) // the database stays unhealthy
 	poolers.execute("n0", "end", worked)
-	poolers.reaches("n0", worked, maintenance.Recovering)
+	poolers.awaitState("n0", worked, maintenance.Recovering)
 	poolers.eventually(func() bool {
 		overview, known := poolers.overview("n0")
-		machine := overview.Look.Machines[worked]
+		machine := overview.Snapshot.Machines[worked]
 		return known && machine != nil && !machine.Up
 	}, "it is seen to be unhealthy")
 	require.Equal(t, maintenance.Aborting, poolers.status("n0").Plan.State, "the plan waits for it")
 	poolers.database(worked).Freeze(false)
-	poolers.planOver("n0")
-	poolers.refuse("no plan", "n0", "skip", "db-2")
+	poolers.awaitPlanEnd("n0")
+	poolers.requireRefused("no plan", "n0", "skip", "db-2")
 }
--- a/internal/maintenance/agent/fleet_test.go
+++ b/internal/maintenance/agent/fleet_test.go
@@ -17,35 +17,35 @@
 	"capercove/internal/testbed"
 )
 
-// quickTimes are lines of the table [works] for processes on one machine.
-const quickTimes = "lease_ms = 1500\nskew_ms = 100\nsettle_ms = 300\n"
+// shortTimes holds lines of the table [works] with short times, for processes on one machine.
+const shortTimes = "lease_ms = 1500\nskew_ms = 100\nsettle_ms = 300\n"
 
-// settings are those of the testbed, with databases that are warm soon, and reports that may take long.
+// settings are those of the testbed, with a short warm-up of databases and a long deadline of reports.
 var settings = strings.NewReplacer(
 	`"coldMs":18000`, `"coldMs":400`,
 	`"deadlineMs":10000`, `"deadlineMs":120000`,
 ).Replace(testbed.Settings)
 
-// longReport is how long a client waits for a report that a database does not answer before it is released.
-const longReport = 100 * time.Second
+// heldReportTimeout is for how long a client waits for a report that a database does not answer before it is released.
+const heldReportTimeout = 100 * time.Second
 
 func withSettings(bed *testbed.Bed) { bed.Settings = settings }
 
-// fleet is several poolers with maintenance, before the same databases.
+// fleet is a fleet of poolers with maintenance and the same databases.
 type fleet struct {
 	*testbed.Fleet
-	blindAtStart map[string]int // lines of a blind pooler, see awaitRecord
+	blindAtStart map[string]int // lines with blindLine by pooler, see awaitRecord
 }
 
-// newFleet prepares poolers, none of which is started. More are further lines of the table [works].
+// newFleet prepares poolers and starts none. more holds further lines of the table [works].
 func newFleet(t *testing.T, seed uint64, poolers int, more string, options ...testbed.Option) *fleet {
 	t.Helper()
 	options = append(options, withSettings)
-	return &fleet{Fleet: testbed.NewMaintenanceFleet(t, seed, poolers, quickTimes+more, options...)}
+	return &fleet{Fleet: testbed.NewMaintenanceFleet(t, seed, poolers, shortTimes+more, options...)}
 }
 
-// startFleet starts poolers before a primary and a number of replicas beside the first one, and waits until they have
-// converged and have read the record.
+// startFleet starts poolers with a primary and replicas, where replicas is the number beyond the first one. It waits
+// until the poolers have converged and have read the record.
 func startFleet(
 	t *testing.T, seed uint64, poolers, replicas int, more string, options ...testbed.Option,
 ) *fleet {
@@ -60,19 +60,19 @@
 	return started
 }
 
-// blindLine is in the line that a pooler prints when its lease has run out and it may send to databases that could be
-// in maintenance.
+// blindLine is part of the line that a pooler logs when its lease has expired and it may send to databases that could
+// be in maintenance.
 const blindLine = `"blind":`
 
-// awaitRecord waits until all poolers have read the record. On a busy machine the first ones wait for a majority for
-// longer than their lease, and are blind until then: lines of that time are left out of account.
+// awaitRecord waits until all poolers have read the record. On a busy machine, the first poolers wait for a majority
+// for longer than their lease, and are blind until then. wasBlind ignores the lines of that time.
 func (f *fleet) awaitRecord() {
 	f.T.Helper()
 	f.blindAtStart = map[string]int{}
 	for _, name := range f.Names {
 		f.eventually(func() bool {
 			overview, known := f.overview(name)
-			return known && overview.Revision > 0 && len(overview.Off) == 0
+			return known && overview.Revision > 0 && len(overview.Blocked) == 0
 		}, name+" has read the record")
 		f.blindAtStart[name] = f.Beds[name].CountLines(blindLine)
 	}
@@ -84,8 +84,8 @@
 	return known && bed.CountLines(blindLine) > f.blindAtStart[name]
 }
 
-// eventually waits for a condition, as long as a fleet may take on a busy machine. The condition is checked outside of
-// the test's goroutine, and may not fail the test.
+// eventually waits for a condition, for as long as a fleet may take on a busy machine. The condition runs outside the
+// test's goroutine, and must not fail the test.
 func (f *fleet) eventually(condition func() bool, what string) {
 	f.T.Helper()
 	require.Eventually(f.T, condition, testbed.FleetTimeout, testbed.PollInterval, what)
@@ -93,8 +93,8 @@
 
 // Exit statuses of the command.
 const (
-	statusNotPossible = 1
-	statusNoAnswer    = 2
+	exitNotPossible = 1
+	exitNoAnswer    = 2
 )
 
 // Texts of the command's errors.
@@ -103,7 +103,7 @@
 	unknownOutcomeText = "it is not known whether"
 )
 
-// command runs a command of maintenance at a pooler.
+// command runs a maintenance command at a pooler.
 func (f *fleet) command(at string, arguments ...string) (printed string, status int) {
 	arguments = append([]string{"works"}, arguments...)
 	printed, status = f.Command(append(arguments, f.Beds[at].Management)...)
@@ -111,10 +111,10 @@
 	return printed, status
 }
 
-// answered runs a command, and again while there is no majority or no answer: that changes nothing. It is run again,
-// too, where it is not known whether it was done, as on a busy machine the leader may change meanwhile; if it cannot be
-// done then, it has been done, and the caller sees what it came to.
-func (f *fleet) answered(at string, arguments ...string) (printed string, status int) {
+// runUntilAnswered runs a command, and repeats it while there is no majority or no answer: such a run changes nothing.
+// It also repeats a command whose outcome is unknown, because the leader may change on a busy machine. If the repeated
+// command is then refused, the earlier run was applied. The status is 0 in this case, and the caller checks the effect.
+func (f *fleet) runUntilAnswered(at string, arguments ...string) (printed string, status int) {
 	f.T.Helper()
 	unknown := false
 	f.eventually(func() bool {
@@ -123,31 +123,31 @@
 			unknown = true
 			return false
 		}
-		return status != statusNoAnswer && !strings.Contains(printed, noMajorityText)
+		return status != exitNoAnswer && !strings.Contains(printed, noMajorityText)
 	}, "the record has a leader")
-	if unknown && status == statusNotPossible {
+	if unknown && status == exitNotPossible {
 		status = 0
 	}
 	return printed, status
 }
 
-// execute runs a command that must go well.
+// execute runs a command that must succeed.
 func (f *fleet) execute(at string, arguments ...string) (printed string) {
 	f.T.Helper()
-	printed, status := f.answered(at, arguments...)
+	printed, status := f.runUntilAnswered(at, arguments...)
 	require.Zero(f.T, status, printed)
 	return printed
 }
 
-// refuse runs a command that cannot be done, for this reason.
-func (f *fleet) refuse(reason, at string, arguments ...string) {
+// requireRefused runs a command that must be refused for a reason.
+func (f *fleet) requireRefused(reason, at string, arguments ...string) {
 	f.T.Helper()
-	printed, status := f.answered(at, arguments...)
-	require.Equal(f.T, statusNotPossible, status, printed)
+	printed, status := f.runUntilAnswered(at, arguments...)
+	require.Equal(f.T, exitNotPossible, status, printed)
 	require.Contains(f.T, printed, reason)
 }
 
-// specFile writes a file with a plan's specification.
+// specFile writes text to a file, such as a plan's specification, and returns its path.
 func (f *fleet) specFile(text string) string {
 	f.T.Helper()
 	path := filepath.Join(f.T.TempDir(), "wish.toml")
@@ -155,7 +155,7 @@
 	return path
 }
 
-// start hands in a plan at a pooler. Where the answer came too late the plan may have been taken all the same.
+// start starts a plan at a pooler. If the outcome of an attempt is unknown, an active plan counts as started.
 func (f *fleet) start(at, spec string) {
 	f.T.Helper()
 	path := f.specFile(spec)
@@ -168,20 +168,20 @@
 		}
 		current := f.status(at)
 		return current.Agreed && current.Plan.Active()
-	}, "the plan is taken")
+	}, "the plan is started")
 }
 
-// startOutcome is what came of handing in a plan.
+// startOutcome is the outcome of starting a plan.
 type startOutcome uint8
 
 const (
 	planRefused             startOutcome = iota
-	planRefusedAfterUnknown              // refused when it was handed in again: it may have been taken before
-	planTaken
+	planRefusedAfterUnknown              // refused in a repeated attempt: an earlier one may have been accepted
+	planAccepted
 )
 
-// handIn hands in a plan once, and again while there is no majority, no answer, or none that says whether it was taken.
-func (f *fleet) handIn(at, path string) (outcome startOutcome) {
+// tryStart starts a plan, and repeats that while there is no majority, no answer or no known outcome.
+func (f *fleet) tryStart(at, path string) (outcome startOutcome) {
 	f.T.Helper()
 	refused := planRefused
 	f.eventually(func() bool {
@@ -190,10 +190,10 @@
 		case strings.Contains(printed, unknownOutcomeText):
 			refused = planRefusedAfterUnknown
 			return false
-		case status == statusNoAnswer || strings.Contains(printed, noMajorityText):
+		case status == exitNoAnswer || strings.Contains(printed, noMajorityText):
 			return false
 		case status == 0:
-			outcome = planTaken
+			outcome = planAccepted
 		default:
 			outcome = refused
 		}
@@ -202,13 +202,13 @@
 	return outcome
 }
 
-// beginWork waits until a machine is drained, begins the work on it and returns its name. If it was put back meanwhile,
-// as the others of its group did not look healthy or the leader changed, the next that is drained is taken.
+// beginWork waits until a machine is drained, begins the work on it and returns its name. If the machine was put back
+// meanwhile, because its group did not look healthy or the leader changed, it uses the next machine that is drained.
 func (f *fleet) beginWork(at string) string {
 	f.T.Helper()
 	for range workAttempts {
-		machine := f.drained(at).Machine
-		printed, status := f.answered(at, "begin", machine)
+		machine := f.awaitDrained(at).Machine
+		printed, status := f.runUntilAnswered(at, "begin", machine)
 		if strings.Contains(printed, machine+" is waiting") {
 			f.Net.Note("%s was put back", machine)
 			continue
@@ -216,11 +216,11 @@
 		require.Zero(f.T, status, printed)
 		return machine
 	}
-	require.Fail(f.T, "each machine is put back again and again")
+	require.Fail(f.T, "no machine stays drained until the work begins")
 	return ""
 }
 
-// status is the plan as a majority holds it; the zero value if the pooler does not answer.
+// status returns the status of the plan, or the zero value if the pooler does not answer.
 func (f *fleet) status(at string) agent.Status {
 	var status agent.Status
 	printed, _ := f.Command("works", "status", "--json", f.Beds[at].Management)
@@ -230,7 +230,7 @@
 	return status
 }
 
-// step is how far a machine of the plan is; the zero value if the pooler does not answer.
+// step returns the step of a machine, or the zero value if the pooler does not answer.
 func (f *fleet) step(at, machine string) maintenance.Step {
 	for _, step := range f.status(at).Steps {
 		if step.Machine == machine {
@@ -240,7 +240,7 @@
 	return maintenance.Step{}
 }
 
-// state is the state of a machine of the plan, as a majority holds it.
+// state returns the state of a machine of the plan, as a majority has stored it.
 func (f *fleet) state(at, machine string) maintenance.State {
 	f.T.Helper()
 	var step maintenance.Step
@@ -256,8 +256,8 @@
 	return step.State
 }
 
-// reaches waits until a machine has come to a state.
-func (f *fleet) reaches(at, machine string, state maintenance.State) {
+// awaitState waits until a machine is in a state.
+func (f *fleet) awaitState(at, machine string, state maintenance.State) {
 	f.T.Helper()
 	f.eventually(func() bool {
 		step := f.step(at, machine)
@@ -266,8 +266,8 @@
 	f.Net.Note("%s is %s", machine, state)
 }
 
-// drained waits until a machine is drained, and returns its step: which one is next depends on what is observed then.
-func (f *fleet) drained(at string) maintenance.Step {
+// awaitDrained waits until any machine is drained, and returns its step. The leader's observations decide the order.
+func (f *fleet) awaitDrained(at string) maintenance.Step {
 	f.T.Helper()
 	var found maintenance.Step
 	f.eventually(func() bool {
@@ -283,8 +283,8 @@
 	return found
 }
 
-// planOver waits until the plan is over.
-func (f *fleet) planOver(at string) {
+// awaitPlanEnd waits until the plan has finished.
+func (f *fleet) awaitPlanEnd(at string) {
 	f.T.Helper()
 	f.eventually(func() bool {
 		status := f.status(at)
@@ -292,14 +292,14 @@
 	}, "the plan ends")
 }
 
-// overview is what a pooler shows of its part; false: it did not answer in time.
+// overview returns the overview of a pooler. It returns false if the pooler does not answer in time.
 func (f *fleet) overview(name string) (overview agent.Overview, known bool) {
 	code, body := f.Beds[name].CallAgain(http.MethodGet, "/works")
 	known = code == http.StatusOK && json.Unmarshal([]byte(body), &overview) == nil
 	return overview, known
 }
 
-// leader is the pooler that leads the record, as that pooler itself knows.
+// leader waits until a pooler reports that it leads the record, and returns its name.
 func (f *fleet) leader() string {
 	f.T.Helper()
 	leader := ""
@@ -315,23 +315,23 @@
 	return leader
 }
 
-// callingHookLine is in the line that a pooler prints when it calls the hook.
+// callingHookLine is part of the line that a pooler logs when it calls the hook.
 const callingHookLine = "maintenance: calling hook"
 
-// bystander is a pooler that holds the record, but neither leads it nor has called the hook, which must have been
-// called. The plan goes on without it: how a hook ended is known to its caller alone, and on a busy machine the leader
-// may have changed since the call.
-func (f *fleet) bystander() string {
+// uninvolvedPooler returns a pooler that neither leads the record nor has called the hook. The plan can continue
+// without it. The hook must have been called. Only its caller knows its result, and on a busy machine the leader may
+// have changed since the call.
+func (f *fleet) uninvolvedPooler() string {
 	f.T.Helper()
 	leader := f.leader()
 	called := func(name string) bool { return f.Beds[name].CountLines(callingHookLine) > 0 }
 	running := f.Running()
 	require.True(f.T, slices.ContainsFunc(running, called), "the hook was called")
-	place := slices.IndexFunc(running, func(name string) bool { return name != leader && !called(name) })
-	return running[place]
+	index := slices.IndexFunc(running, func(name string) bool { return name != leader && !called(name) })
+	return running[index]
 }
 
-// databases are those of all poolers.
+// databases returns the databases, which all poolers share.
 func (f *fleet) databases() []*testbed.Database { return f.Beds[f.Names[0]].Databases }
 
 func (f *fleet) database(name string) *testbed.Database {
@@ -339,14 +339,14 @@
 	return all[slices.IndexFunc(all, func(database *testbed.Database) bool { return database.ID == name })]
 }
 
-// release lets the databases answer the statements that wait for it.
+// release lets the databases answer the statements with heldWord.
 func (f *fleet) release() {
 	for _, database := range f.databases() {
 		database.Release()
 	}
 }
 
-// promote makes one database the primary in the place of another.
+// promote replaces the primary by another database.
 func (f *fleet) promote(from, to string) {
 	f.database(from).Lead(false)
 	f.database(to).Lead(true)
--- a/internal/maintenance/agent/hook.go
+++ b/internal/maintenance/agent/hook.go
@@ -20,34 +20,34 @@
 )
 
 const (
-	maxHookOutput  = 300 // bytes of what a hook writes that are reported in the error
+	maxQuotedBytes = 300 // of the output of a hook, or of a response, that an error quotes
 	taskWork       = "work"
 	taskHandOver   = "hand-over"
-	workIDVariable = "CAPERCOVE_WORK" // environment variable with the number of the work
+	workIDVariable = "CAPERCOVE_WORK" // environment variable that holds the fencing number of the call
 )
 
-// startHooks calls hooks in the background. The agent's end waits for the goroutines, though not for the hooks.
+// startHooks calls hooks in the background. Stop waits for these goroutines, but not for the hooks.
 func (a *Agent) startHooks(ctx context.Context, calls []maintenance.Call, self maintenance.Instance) {
 	for _, call := range calls {
-		a.ended.Go(func() { a.runHook(ctx, call, self) })
+		a.background.Go(func() { a.runHook(ctx, call, self) })
 	}
 }
 
-// runHook calls a hook, and writes how it ended. Only the pooler that called it knows; if that cannot be written
-// while this process runs, no other may write it.
+// runHook calls a hook and writes its result to the record. Only the pooler that called the hook knows the result. If
+// this process ends before it has written the result, no other pooler may write it.
 func (a *Agent) runHook(ctx context.Context, call maintenance.Call, self maintenance.Instance) {
 	a.pooler.Log.Info().Str("machine", call.Machine).Str("to", call.To).Uint64("number", call.Number).
 		Msg("maintenance: calling hook")
-	ended := make(chan string, 1)
-	go func() { ended <- a.config.callHook(call) }() //nolint:contextcheck // the hook outlives this process
+	result := make(chan string, 1)
+	go func() { result <- a.config.callHook(call) }() //nolint:contextcheck // the hook may outlive this process
 	select {
-	case failed := <-ended:
+	case failed := <-result:
 		a.writeHookResult(ctx, call, self, failed)
 	case <-ctx.Done():
 	}
 }
 
-// writeHookResult writes how a hook ended, and calls it again if that is agreed.
+// writeHookResult writes the result of a hook to the record, and calls the hook again if the change asks for that.
 func (a *Agent) writeHookResult(
 	ctx context.Context, call maintenance.Call, self maintenance.Instance, failed string,
 ) {
@@ -59,7 +59,7 @@
 		}
 		proposal := policy.HookResult(a.pooler.Clock(), wallClock(), record, call, failed)
 		if revisions, _, _ := proposal.Change(record); revisions == nil {
-			return // it is known, or of an attempt that is over
+			return // the result is already recorded, or its attempt has ended
 		}
 		if a.agree(ctx, proposal, record) {
 			a.startHooks(ctx, proposal.Calls, self)
@@ -68,8 +68,8 @@
 	}
 }
 
-// callHook calls the hook and waits for its end; the text says why it failed, and is empty if it did not. The hook
-// is not ended with this process: interrupted work is worse than work whose end is not
+// callHook calls the hook for a piece of work and waits for its end. It returns the reason of a failure, and an empty
+// text after a success. The hook survives the end of this process: interrupted work is worse than work whose end is not
 // recorded.
 func (c Config) callHook(call maintenance.Call) (failed string) {
 	timeout := time.Duration(c.HookSeconds) * time.Second
@@ -93,36 +93,36 @@
 	return err.Error()
 }
 
-// runProgram runs a program with its own arguments and then those of the task. Its output goes to a file, as a pipe
-// would end the program at its next write, should this process end.
+// runProgram runs a program with its configured arguments, followed by those of the task. Its output goes to a file: if
+// this process ended, a pipe would break and end the program at its next write.
 func runProgram(ctx context.Context, program []string, number uint64, task ...string) error {
 	output, err := os.CreateTemp("", "capercove-hook-*")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = output.Close() }() // what it holds is only read
-	_ = os.Remove(output.Name())          // a file that is left behind does no harm
+	defer func() { _ = output.Close() }() // no data of this process can be lost
+	_ = os.Remove(output.Name())          // a remaining file does no harm
 	args := slices.Concat(program[1:], task)
 	command := exec.CommandContext(ctx, program[0], args...)
 	command.Env = append(os.Environ(), workIDVariable+"="+strconv.FormatUint(number, 10))
 	command.Stdout, command.Stderr = output, output
-	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a signal for this process's group is not for it
+	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // signals to this process's group do not reach it
 	if err := command.Run(); err != nil {
-		text := make([]byte, maxHookOutput)
+		text := make([]byte, maxQuotedBytes)
 		n, _ := output.ReadAt(text, 0)
 		return fmt.Errorf("%w: %s", err, strings.TrimSpace(string(text[:n])))
 	}
 	return nil
 }
 
-// hookRequest is the body of a hook that is called over HTTP.
+// hookRequest is the body of an HTTP request to a hook.
 type hookRequest struct {
 	Do      string `json:"do"`
 	ID      uint64 `json:"id"`
 	Machine string `json:"machine"`
 }
 
-// postHook calls a web service to do the work. Any status but those of success is an error.
+// postHook calls a web service that does the work. Any status other than 2xx is an error.
 func postHook(ctx context.Context, url string, call maintenance.Call) error {
 	body, err := json.Marshal(hookRequest{Do: taskWork, ID: call.Number, Machine: call.Machine})
 	if err != nil {
@@ -137,9 +137,9 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // nothing more is read of it
+	defer func() { _ = response.Body.Close() }() // the body is not read further
 	if response.StatusCode < http.StatusOK || response.StatusCode >= http.StatusMultipleChoices {
-		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxHookOutput))
+		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxQuotedBytes))
 		return fmt.Errorf("%s %s", response.Status, strings.TrimSpace(string(reason)))
 	}
 	return nil
--- a/internal/maintenance/agent/hook_test.go
+++ b/internal/maintenance/agent/hook_test.go
@@ -14,15 +14,15 @@
 	"capercove/internal/testbed"
 )
 
-// hook is a program that logs when it begins and ends, and ends once it may.
+// hook is a program that logs when its calls begin and end. A call ends only after its gate file exists.
 type hook struct {
 	t     *testing.T
 	calls string // path of its log
-	gate  string // path of a file: where it exists all calls may end; with .MACHINE behind it, those of the machine
+	gate  string // path of the gate file for all calls; with the suffix .MACHINE, for the calls for this machine
 }
 
-// hookScript is the hook's program, with the paths of its log and gate. It is called with the name of the machine as
-// its second argument. The wait has an end.
+// hookScript is the format of the hook's program, with the paths of its log and gate. Its second argument is the name
+// of the machine. The wait for the gate is limited, in case the test ends before.
 const hookScript = `#!/bin/sh
 calls=%s gate=%s
 echo "$2 $CAPERCOVE_WORK begins $(date +%%s%%N)" >> "$calls"
@@ -32,7 +32,7 @@
 echo "$2 $CAPERCOVE_WORK ends $(date +%%s%%N)" >> "$calls"
 `
 
-// newHook returns a hook, and the line of the table [works] that names it.
+// newHook returns a hook, and the line of the table [works] that configures it.
 func newHook(t *testing.T) (created hook, line string) {
 	t.Helper()
 	folder := t.TempDir()
@@ -43,12 +43,12 @@
 	return created, fmt.Sprintf("hook = [%q]\n", program)
 }
 
-// hookCall is one call of the hook; a machine is in maintenance from its begin to its end.
+// hookCall is one call of the hook. The machine is in maintenance from the begin to the end of the call.
 type hookCall struct {
 	machine string
-	number  string
+	number  string // fencing number
 	begin   time.Time
-	end     time.Time // zero: it has not ended, or was killed
+	end     time.Time // zero: the call has not ended, or was killed
 }
 
 func (c hookCall) ended() bool { return !c.end.IsZero() }
@@ -73,15 +73,15 @@
 	return h.read()
 }
 
-// began waits until the hook has been called so many times.
-func (h hook) began(count int) []hookCall {
+// awaitCalls waits until the hook has been called a number of times, and returns the calls.
+func (h hook) awaitCalls(count int) []hookCall {
 	h.t.Helper()
 	what := fmt.Sprintf("%d calls of the hook", count)
 	return h.wait(func(calls []hookCall) bool { return len(calls) >= count }, what)
 }
 
-// lastEnded waits until the last call has ended.
-func (h hook) lastEnded() []hookCall {
+// awaitLastEnd waits until the last call has ended, and returns the calls.
+func (h hook) awaitLastEnd() []hookCall {
 	h.t.Helper()
 	return h.wait(func(calls []hookCall) bool {
 		return len(calls) > 0 && calls[len(calls)-1].ended()
@@ -91,13 +91,13 @@
 // read returns the calls so far.
 func (h hook) read() []hookCall {
 	text, err := os.ReadFile(h.calls)
-	if err != nil { // it was not called yet
+	if err != nil { // the hook was not called yet
 		return nil
 	}
 	var calls []hookCall
 	for _, line := range strings.Split(strings.TrimSpace(string(text)), "\n") {
 		fields := strings.Fields(line)
-		if len(fields) < 4 { // it is being written
+		if len(fields) < 4 { // the line is being written
 			continue
 		}
 		nanoseconds, err := strconv.ParseInt(fields[3], 10, 64)
@@ -114,7 +114,7 @@
 	return calls
 }
 
-// endFirst ends the first call of a machine and number that has not ended.
+// endFirst sets the end of the first call of a machine and number that has not ended.
 func endFirst(calls []hookCall, machine, number string, at time.Time) {
 	for i := range calls {
 		if calls[i].machine == machine && calls[i].number == number && !calls[i].ended() {
--- a/internal/maintenance/agent/leader.go
+++ b/internal/maintenance/agent/leader.go
@@ -19,7 +19,8 @@
 			leader = nil
 			continue
 		}
-		if now := a.self(); leader == nil || self != now { // others took it for gone, and it refuted that
+		// The incarnation changes when other poolers suspected this one to be gone, and it refuted the suspicion.
+		if now := a.self(); leader == nil || self != now {
 			leader, self = maintenance.NewLeader(a.policy(now)), now
 		}
 		record, err := a.readWholeRecord(ctx)
@@ -32,7 +33,7 @@
 	}
 }
 
-// leadOnce makes one proposal and carries it out once it is agreed; false: another pooler is to lead.
+// leadOnce makes one proposal, and carries it out after it is agreed on. It returns false if this pooler resigned.
 func (a *Agent) leadOnce(
 	ctx context.Context, leader *maintenance.Leader, self maintenance.Instance, record maintenance.Record,
 ) bool {
@@ -49,7 +50,7 @@
 	return true
 }
 
-// resign transfers the leadership of the record to another pooler, as this one is the next to be taken out of service.
+// resign transfers the leadership of the record to another pooler, because this one is taken out of service next.
 func (a *Agent) resign() {
 	a.pooler.Log.Info().Msg("maintenance: handing over leadership, this pooler is next")
 	if err := a.pooler.Store.HandOver(); err != nil {
@@ -62,7 +63,7 @@
 	return maintenance.Instance{Name: a.pooler.Name, Incarnation: a.pooler.Incarnation()}
 }
 
-// policy returns how maintenance is done by this instance.
+// policy returns the configuration by which this instance carries out maintenance.
 func (a *Agent) policy(self maintenance.Instance) maintenance.Policy {
 	return maintenance.Policy{
 		Self:      self,
@@ -75,7 +76,7 @@
 	}
 }
 
-// readWholeRecord reads the record, with what poolers do not follow.
+// readWholeRecord reads the record, including the keys that poolers do not follow.
 func (a *Agent) readWholeRecord(ctx context.Context) (maintenance.Record, error) {
 	read, err := a.pooler.Client.Read(ctx, maintenance.KeyPrefix)
 	if err != nil {
@@ -84,8 +85,8 @@
 	return parse(read.Values)
 }
 
-// agree writes a proposal, and retries under the same ID until it is known whether it was applied. It returns true if
-// it was, or if there is nothing to write.
+// agree writes a proposal to the record. It retries with the same ID until the outcome is known, or until the context
+// ends. It returns true if the change was applied, or if the proposal changes nothing.
 func (a *Agent) agree(ctx context.Context, proposal maintenance.Proposal, record maintenance.Record) bool {
 	revisions, set, deleted := proposal.Change(record)
 	if revisions == nil {
@@ -98,7 +99,7 @@
 			a.pooler.Log.Error().Err(err).Msg("maintenance: proposal rejected")
 			return false
 		}
-		if err != nil { // it is not known yet
+		if err != nil { // the outcome is not known yet
 			continue
 		}
 		if outcome.Applied {
@@ -109,7 +110,7 @@
 	return false
 }
 
-// logHistory logs new entries of the history.
+// logHistory logs new history entries.
 func (a *Agent) logHistory(history []maintenance.HistoryEntry) {
 	for _, entry := range history {
 		a.pooler.Log.Info().Str("machine", entry.Machine).Uint64("number", entry.Number).Str("by", entry.By).
--- a/internal/maintenance/agent/lease.go
+++ b/internal/maintenance/agent/lease.go
@@ -6,7 +6,7 @@
 	"capercove/internal/maintenance"
 )
 
-// renewLease renews the lease while there is a plan, and reads the record for the first time.
+// renewLease reads the record until it has succeeded once, and then renews the lease while there is a plan.
 func (a *Agent) renewLease(ctx context.Context) {
 	known, failing := false, false
 	for ctx.Err() == nil {
@@ -29,23 +29,23 @@
 	}
 }
 
-// readRecord reads the record, and reports whether that has renewed the lease.
+// readRecord reads the record and reports whether the read renewed the lease.
 func (a *Agent) readRecord(ctx context.Context) (renewed bool, err error) {
-	askedAt := a.pooler.Clock()
+	requestedAt := a.pooler.Clock()
 	statusKey := a.statusKey()
 	read, err := a.pooler.Client.Read(ctx, maintenance.FollowedPrefix, statusKey)
 	if err != nil {
 		return false, err
 	}
-	if _, stands := read.Values[statusKey]; !stands { // It was deleted while this pooler was taken for gone.
+	if _, stored := read.Values[statusKey]; !stored { // It was deleted while this pooler was considered gone.
 		a.statusMissing.Store(true)
 	}
 	delete(read.Values, statusKey)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if read.Revision >= a.revision && !a.takeIn(read.Values, read.Revision) {
+	if read.Revision >= a.revision && !a.applyValues(read.Values, read.Revision) {
 		return false, nil
 	}
-	a.follower.Refresh(askedAt, a.revision, a.record.PlanSteps())
+	a.follower.Refresh(requestedAt, a.revision, a.record.PlanSteps())
 	return true, nil
 }
--- a/internal/maintenance/agent/measure_test.go
+++ b/internal/maintenance/agent/measure_test.go
@@ -18,17 +18,18 @@
 	"capercove/internal/testbed"
 )
 
-// measureVariable names what is measured: told, leaderless, idle or roll. docs/measured/maintenance.md has the figures.
+// measureVariable selects a measurement: told, leaderless, idle or roll. docs/measured/maintenance.md has the results.
 const measureVariable = "WORKS_MEASURE"
 
-func skipUnlessMeasured(t *testing.T, what string) {
+// skipUnlessMeasured skips a measurement that is not selected.
+func skipUnlessMeasured(t *testing.T, measurement string) {
 	t.Helper()
-	if os.Getenv(measureVariable) != what {
-		t.Skip(measureVariable + "=" + what + " asks for it")
+	if os.Getenv(measureVariable) != measurement {
+		t.Skip("only runs with " + measureVariable + "=" + measurement)
 	}
 }
 
-// history is that of the record.
+// history returns the history of the record.
 func (f *fleet) history() []maintenance.HistoryEntry {
 	f.T.Helper()
 	var entries []maintenance.HistoryEntry
@@ -37,7 +38,7 @@
 	return entries
 }
 
-// spread describes measured values.
+// spread returns the median, range and number of measured values, as text. It sorts the values.
 func spread(name string, values []float64) string {
 	slices.Sort(values)
 	last := len(values) - 1
@@ -45,8 +46,8 @@
 		name, values[len(values)/2], values[0], values[last], len(values))
 }
 
-// From draining to drained, by number of poolers, with nothing in flight at the machine.
-func TestMeasureTold(t *testing.T) {
+// Measures the time from draining to drained by the number of poolers, with no request in flight to the machine.
+func TestMeasureTimeToDrained(t *testing.T) {
 	skipUnlessMeasured(t, "told")
 	const plans = 8
 	for _, count := range []int{5, 15, 30} {
@@ -54,9 +55,9 @@
 		var toDrained, toOver []float64
 		for range plans {
 			poolers.start("n0", "machines = [\"db-1\"]\nfresh = 1\n")
-			poolers.reaches("n0", "db-1", maintenance.Drained)
+			poolers.awaitState("n0", "db-1", maintenance.Drained)
 			poolers.execute("n0", "end", "db-1")
-			poolers.planOver("n0")
+			poolers.awaitPlanEnd("n0")
 			at := map[string]int64{} // in milliseconds
 			for _, entry := range poolers.history() {
 				at[entry.Text] = entry.At // of the last plan
@@ -69,24 +70,24 @@
 	}
 }
 
-// How long nobody leads the record when the leader is killed.
+// Measures the time without a leader of the record after the leader is killed.
 func TestMeasureLeaderless(t *testing.T) {
 	skipUnlessMeasured(t, "leaderless")
 	poolers := startFleet(t, 60, 3, 2, "")
 	var seconds []float64
 	for range 10 {
 		leader := poolers.leader()
-		begun := time.Now()
+		killedAt := time.Now()
 		poolers.Kill(leader)
 		poolers.leader()
-		seconds = append(seconds, time.Since(begun).Seconds())
+		seconds = append(seconds, time.Since(killedAt).Seconds())
 		poolers.Restart(leader)
 		poolers.WaitConverged("again", poolers.Names...)
 	}
 	t.Log(spread("seconds without a leader", seconds))
 }
 
-// logIdleCost logs the CPU and the memory of the first four poolers of a fleet that has nothing to do.
+// logIdleCost logs the CPU and memory use of the first four poolers of an idle fleet.
 func logIdleCost(t *testing.T, what string, poolers *testbed.Fleet) {
 	t.Helper()
 	const (
@@ -99,7 +100,7 @@
 	for _, name := range poolers.Names {
 		before[name] = poolers.Beds[name].CPU()
 	}
-	time.Sleep(span) // what is measured
+	time.Sleep(span) // the measured time
 	for _, name := range poolers.Names[:min(shownPoolers, len(poolers.Names))] {
 		used := (poolers.Beds[name].CPU() - before[name]).Seconds() * 1000 / span.Seconds()
 		private := float64(poolers.Beds[name].AnonymousMemory()) / bytesInMB
@@ -107,32 +108,31 @@
 	}
 }
 
-// What it costs when nothing is out: CPU and memory of a pooler with membership alone, and with maintenance and the
-// record.
+// Measures the CPU and memory use of an idle pooler, with membership alone, and with maintenance and the record.
 func TestMeasureIdle(t *testing.T) {
 	skipUnlessMeasured(t, "idle")
 	for _, count := range []int{5, 15} {
 		alone := testbed.NewFleet(t, uint64(70+count), count, []string{"n0"}, "slower = 0.25")
 		alone.StartAll()
-		logIdleCost(t, fmt.Sprint(count, " poolers, the fleet alone"), alone)
+		logIdleCost(t, fmt.Sprint(count, " poolers, membership alone"), alone)
 		poolers := startFleet(t, uint64(80+count), count, 0, "")
-		logIdleCost(t, fmt.Sprint(count, " poolers, works"), poolers.Fleet)
+		logIdleCost(t, fmt.Sprint(count, " poolers, with maintenance"), poolers.Fleet)
 	}
 }
 
-// rollout is the way in which work is done at all databases, one after the other.
+// rollout is a way to work on all databases, one after the other.
 type rollout string
 
 const (
-	byMaintenance rollout = "works"
-	byExclusion   rollout = "bans"        // in the order of a list, with a wait that is guessed
-	unannounced   rollout = "nobody told" // in the order of a list
+	byMaintenance rollout = "maintenance"
+	byExclusion   rollout = "exclusions"  // in the order of a list, with a fixed wait before the work
+	unannounced   rollout = "unannounced" // in the order of a list
 )
 
-// rolledDatabases are in the order of the list.
+// rolledDatabases lists the databases in the order of the work.
 var rolledDatabases = []string{"db-0", "db-1", "db-2", "db-3"}
 
-// guessedDrain is the wait between an exclusion and the work.
+// guessedDrain is the fixed wait between an exclusion and the work. An operator can only guess it.
 const guessedDrain = time.Second
 
 // work makes a database unresponsive for a second and breaks its connections.
@@ -144,11 +144,11 @@
 	database.Cut()
 }
 
-// rollByMaintenance takes all databases out by a plan whose hook does the work, and returns when the plan began.
-func (f *fleet) rollByMaintenance() (begun time.Time) {
+// rollByMaintenance works on all databases by a plan whose hook does the work, and returns when the plan was started.
+func (f *fleet) rollByMaintenance() (startedAt time.Time) {
 	f.T.Helper()
 	f.start("n0", "machines = [\"db-0\", \"db-1\", \"db-2\", \"db-3\"]\nfresh = 1\n")
-	begun = time.Now()
+	startedAt = time.Now()
 	promoted := false
 	f.eventually(func() bool {
 		status := f.status("n0")
@@ -158,7 +158,7 @@
 		}
 		return status.Agreed && status.Plan.State == maintenance.Finished
 	}, "the plan ends")
-	return begun
+	return startedAt
 }
 
 // rollByList works on all databases in the order of the list, with exclusions or without.
@@ -192,11 +192,11 @@
 	}
 }
 
-// measureRoll rolls over a group of four in one way, and returns the share of requests that were served in time, and
-// the seconds that it took.
+// measureRoll works on a group of four databases in one way. It returns the share of requests that were served in time,
+// and the duration in seconds.
 func measureRoll(t *testing.T, seed uint64, way rollout) (share, seconds float64) {
 	t.Helper()
-	const cores = 1000 // of a database: more than it needs
+	const cores = 1000 // of a database: more than it uses
 	var poolers *fleet // set before the first call
 	service := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		var call struct{ Machine string }
@@ -212,13 +212,13 @@
 		database.Cores(cores)
 	}
 	end := poolers.steadyLoad()
-	begun := time.Now()
+	startedAt := time.Now()
 	if way == byMaintenance {
-		begun = poolers.rollByMaintenance()
+		startedAt = poolers.rollByMaintenance()
 	} else {
 		poolers.rollByList(way)
 	}
-	seconds = time.Since(begun).Seconds()
+	seconds = time.Since(startedAt).Seconds()
 	share = end()
 	for _, name := range poolers.Names {
 		poolers.Kill(name)
@@ -226,8 +226,8 @@
 	return share, seconds
 }
 
-// A roll over a group of four: by maintenance, by exclusions in the order of a list with a wait that is guessed, and
-// unannounced. Of fifty requests one is a report that takes 2.5 s.
+// Measures work on a group of four databases in three ways: by maintenance, by exclusions with a fixed wait, and
+// unannounced. One of fifty requests is a report that takes 2.5 s.
 func TestMeasureRoll(t *testing.T) {
 	skipUnlessMeasured(t, "roll")
 	shares, times := map[rollout][]float64{}, map[rollout][]float64{}
@@ -235,7 +235,7 @@
 		for _, way := range []rollout{byMaintenance, byExclusion, unannounced} {
 			share, seconds := measureRoll(t, uint64(90+round), way)
 			shares[way], times[way] = append(shares[way], share), append(times[way], seconds)
-			t.Logf("pair %d, %s: in time %.4f, %.1f s", round, way, share, seconds)
+			t.Logf("round %d, %s: in time %.4f, %.1f s", round, way, share, seconds)
 		}
 	}
 	for way := range shares {
@@ -244,17 +244,17 @@
 	}
 }
 
-// Requests of the steady load.
+// Parameters of the steady load.
 const (
 	steadyInterval = 10 * time.Millisecond // between two requests at a pooler
 	steadyDeadline = 6 * time.Second
 	steadyTimeout  = 7 * time.Second
-	reportEvery    = 50
-	writeEvery     = 4
+	reportEvery    = 50 // one of this many requests is a report
+	writeEvery     = 4  // one of this many other requests is a write
 )
 
-// steadyLoad sends at a steady pace to all poolers; its end returns the share that was served in time: reads in 300 ms,
-// writes in 1 s, reports in 5 s.
+// steadyLoad sends requests at a constant rate to all poolers, until the returned function is called. That function
+// returns the share that was served in time: reads in 300 ms, writes in 1 s, reports in 5 s.
 func (f *fleet) steadyLoad() (end func() float64) {
 	stop := make(chan struct{})
 	var sent, inTime atomic.Int64
@@ -267,10 +267,10 @@
 		case number%writeEvery == 0:
 			class, objective = "write", time.Second
 		}
-		begun := time.Now()
+		sentAt := time.Now()
 		reply, answered := f.Beds[name].Try(statement(name, key, number, class, steadyDeadline), steadyTimeout)
 		sent.Add(1)
-		if answered && reply.Complete && reply.Code == "" && time.Since(begun) <= objective {
+		if answered && reply.Complete && reply.Code == "" && time.Since(sentAt) <= objective {
 			inTime.Add(1)
 		}
 	}
--- a/internal/maintenance/agent/observe.go
+++ b/internal/maintenance/agent/observe.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	maxEvidenceAge = 6 * time.Second  // evidence of a database that is older says nothing
-	peakHalfLife   = 10 * time.Minute // a peak of the load counts half after this
+	maxEvidenceAge = 6 * time.Second  // a database with older evidence does not count as up
+	peakHalfLife   = 10 * time.Minute // time in which a recent peak of the load decays to a half
 
-	// States of a member in membership's view, as texts.
+	// Texts of the states of a member in membership's view.
 	memberLive = "live"
 	memberGone = "gone"
 	memberLeft = "left"
 )
 
-// observe returns what a plan is decided by, as this pooler sees it now. Capacity is how many requests a second one
-// database can do; 0: the load does not count.
+// observe returns the state of all machines as this pooler sees it now. capacity is how many requests per second one
+// database can serve; 0: the load is ignored.
 func (a *Agent) observe(capacity float64) maintenance.Observation {
 	in := inputs{
 		now:      a.pooler.Clock(),
@@ -38,7 +38,7 @@
 	return a.observer.observe(in)
 }
 
-// probe requests evidence from databases of their state.
+// probe probes databases, by name, for new evidence of their state.
 func (a *Agent) probe(databases []string) {
 	if len(databases) == 0 {
 		return
@@ -50,15 +50,15 @@
 	})
 }
 
-// observer makes observations of what a pooler sees and of membership's view.
+// observer combines the figures of a pooler and membership's view into observations.
 type observer struct {
-	zones  []string
-	maxLag time.Duration   // of a replica that keeps up
-	peaks  map[int]float64 // requests a second by group: the highest of late
-	at     time.Duration   // when the peaks were last taken; 0: never
+	zones   []string
+	maxLag  time.Duration   // of a replica that keeps up
+	peaks   map[int]float64 // recent peak by group, in requests per second; it decays
+	peaksAt time.Duration   // when the peaks were last updated; 0: never
 }
 
-// newObserver returns the observer of a pooler.
+// newObserver returns the observer of a pooler that has no peaks yet.
 func newObserver(config Config, pooler Pooler) observer {
 	maxLag := pooler.Fresh
 	if config.FreshMS > 0 {
@@ -67,16 +67,16 @@
 	return observer{zones: pooler.Zones, maxLag: maxLag, peaks: map[int]float64{}}
 }
 
-// inputs are what an observation is made of.
+// inputs holds the inputs of one observation.
 type inputs struct {
 	now      time.Duration
 	figures  core.Figures
 	members  gossip.State
 	leads    bool    // this pooler leads the record
-	capacity float64 // requests a second that one database can do; 0: the load does not count
+	capacity float64 // requests per second that one database can serve; 0: the load is ignored
 }
 
-// observe makes an observation. Loads are in databases.
+// observe returns an observation, and updates the peaks. The unit of its loads is the capacity of one database.
 func (o *observer) observe(in inputs) maintenance.Observation {
 	observation := maintenance.Observation{
 		Snapshot: maintenance.Snapshot{
@@ -93,7 +93,7 @@
 	return observation
 }
 
-// observePoolers adds the poolers, and returns the requests a second that they report, by group.
+// observePoolers adds the poolers, and returns the requests per second that they report, summed by group.
 func observePoolers(in inputs, observation *maintenance.Observation) (rates map[int]float64) {
 	rates = map[int]float64{}
 	for _, member := range in.members.Poolers {
@@ -152,7 +152,8 @@
 	}
 }
 
-// reportedStates returns how many poolers report each database as unhealthy, and which are reported as warming up.
+// reportedStates returns how many poolers report each database as unhealthy, and which databases are reported as
+// warming up, both by name.
 func reportedStates(members gossip.State) (unhealthy map[string]int, warmingUp map[string]bool) {
 	unhealthy, warmingUp = map[string]int{}, map[string]bool{}
 	for _, database := range members.Databases {
@@ -168,7 +169,7 @@
 	return unhealthy, warmingUp
 }
 
-// unreachableZones returns the zones that have several databases, all of them unresponsive.
+// unreachableZones returns the zones in which two or more databases are known, and all are unresponsive.
 func unreachableZones(databases []core.DatabaseStatus) map[int]bool {
 	unresponsive, all := map[int]int{}, map[int]int{}
 	for _, database := range databases {
@@ -184,7 +185,7 @@
 	return unreachable
 }
 
-// zoneName returns the name of a zone.
+// zoneName returns the name of a zone. A zone without a configured name is named by its number.
 func (o *observer) zoneName(number int) string {
 	if number < len(o.zones) {
 		return o.zones[number]
@@ -192,21 +193,21 @@
 	return "zone " + strconv.Itoa(number)
 }
 
-// expectLoad sets the load to expect of each group, in databases of the given capacity: the present load or the recent
-// peak, which decays.
+// expectLoad sets the expected load of each group: the present load or the decayed recent peak, whichever is higher.
+// The unit is the capacity of one database. Without a capacity, it only updates the peaks.
 func (o *observer) expectLoad(now time.Duration, rates map[int]float64, capacity float64, load map[int]float64) {
-	fade := math.Exp2(-float64(now-o.at) / float64(peakHalfLife))
-	if o.at == 0 {
-		fade = 0
+	decay := math.Exp2(-float64(now-o.peaksAt) / float64(peakHalfLife))
+	if o.peaksAt == 0 {
+		decay = 0
 	}
-	o.at = now
+	o.peaksAt = now
 	for group := range rates {
 		if _, known := o.peaks[group]; !known {
 			o.peaks[group] = 0
 		}
 	}
 	for group, peak := range o.peaks {
-		o.peaks[group] = max(rates[group], peak*fade)
+		o.peaks[group] = max(rates[group], peak*decay)
 		if capacity > 0 {
 			load[group] = o.peaks[group] / capacity
 		}
--- a/internal/maintenance/agent/operator.go
+++ b/internal/maintenance/agent/operator.go
@@ -26,19 +26,19 @@
 
 const (
 	callTimeout   = 2 * time.Second        // of a call of a pooler or of the record
-	evidenceWait  = 5 * time.Second        // for evidence by which a plan can be done
-	watchInterval = 500 * time.Millisecond // of status --watch
-	changeRetries = 20                     // of a change where another's came first
+	evidenceWait  = 5 * time.Second        // for evidence that makes the plan feasible
+	watchInterval = 500 * time.Millisecond // between two reads of status --watch
+	changeRetries = 20                     // attempts of a change that conflicts with other changes
 )
 
 // Exit statuses of the commands.
 const (
-	statusDone        = 0
-	statusNotPossible = 1
-	statusNoAnswer    = 2
+	exitSuccess     = 0
+	exitNotPossible = 1
+	exitNoAnswer    = 2
 )
 
-// The commands that are not maintenance.Commands.
+// Commands that are not of type maintenance.Command.
 const (
 	commandPlan    = "plan"
 	commandStart   = "start"
@@ -57,7 +57,7 @@
 // invocation is a parsed command line.
 type invocation struct {
 	command string
-	name    string // of a file, machine or pooler, if the command takes one
+	name    string // of a file, machine or pooler, if the command has one
 	address string // management address of a pooler
 	asJSON  bool
 	watch   bool
@@ -87,17 +87,17 @@
 	return parsed, true
 }
 
-// Command runs a command of operators and prints the result. The status is 0, 1 where it cannot be done, or 2 where
-// no pooler answers; ok is false for what is no command.
+// Command runs an operator's command and prints the result to out. It returns the exit status: 0 for success, 1 if the
+// command cannot be executed and 2 if the pooler does not answer. ok is false if args are no valid command line.
 func Command(args []string, out io.Writer) (status int, ok bool) {
 	parsed, ok := parseInvocation(args)
 	if !ok {
-		return statusDone, false
+		return exitSuccess, false
 	}
 	o := &operator{address: parsed.address, out: out}
 	if err := o.readOverview(0); err != nil {
 		o.println(err)
-		return statusNoAnswer, true
+		return exitNoAnswer, true
 	}
 	o.client = store.NewClient(o.overview.Record, callTimeout, nil)
 	if parsed.command == commandStatus {
@@ -105,20 +105,20 @@
 	}
 	if err := o.run(parsed); err != nil {
 		o.println(err)
-		return statusNotPossible, true
+		return exitNotPossible, true
 	}
-	return statusDone, true
+	return exitSuccess, true
 }
 
-// operator calls a pooler and the record for a command.
+// operator executes one command by calls of a pooler and of the record.
 type operator struct {
-	address  string
-	client   *store.Client
-	overview Overview // of the pooler, as last read
+	address  string        // management address of the pooler
+	client   *store.Client // of the record
+	overview Overview      // of the pooler, as last read
 	out      io.Writer
 }
 
-// run runs any command but status.
+// run runs any command except status.
 func (o *operator) run(parsed invocation) error {
 	switch parsed.command {
 	case commandPlan:
@@ -135,10 +135,11 @@
 	})
 }
 
-// operatorName names the operator, for the history.
+// operatorName returns the name of the operator for the history.
 func operatorName() string { return cmp.Or(os.Getenv("USER"), "an operator") }
 
-// readOverview reads the pooler's overview. Capacity is how many requests a second one database can do.
+// readOverview reads the pooler's overview. capacity is how many requests per second one database can serve; 0: the
+// load is ignored.
 func (o *operator) readOverview(capacity float64) error {
 	url := "http://" + o.address + "/works?bears=" + strconv.FormatFloat(capacity, 'g', -1, 64)
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, http.NoBody)
@@ -149,15 +150,15 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // nothing more is read of it
+	defer func() { _ = response.Body.Close() }() // the body is not read further
 	if response.StatusCode != http.StatusOK {
-		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxHookOutput))
+		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxQuotedBytes))
 		return fmt.Errorf("%s: %s", o.address, strings.TrimSpace(string(reason)))
 	}
 	return json.NewDecoder(response.Body).Decode(&o.overview)
 }
 
-// readRecord reads the record as a majority holds it.
+// readRecord reads the record as a majority has stored it.
 func (o *operator) readRecord() (maintenance.Record, error) {
 	read, err := o.client.Read(context.Background(), maintenance.KeyPrefix)
 	if err != nil {
@@ -166,10 +167,11 @@
 	return parse(read.Values)
 }
 
-// decision derives a proposal from the record, given the Unix time.
+// decision derives a proposal from the record. wall is the Unix time.
 type decision func(record maintenance.Record, wall time.Duration) (maintenance.Proposal, error)
 
-// change applies a change of the record. It decides again if another change was applied first.
+// change writes the proposal of a decision to the record. If another change was applied first, it reads the record and
+// decides again.
 func (o *operator) change(decide decision) error {
 	id := fmt.Sprintf("works/operator/%d/%016x", os.Getpid(), rand.Uint64())
 	for attempt := range changeRetries {
@@ -187,7 +189,7 @@
 		}
 		change := store.Change{ID: fmt.Sprint(id, "/", attempt), If: revisions, Set: set, Delete: deleted}
 		outcome, err := o.client.Change(context.Background(), change)
-		if err != nil { // retried under the same ID, so that it is applied once
+		if err != nil { // retries with the same ID: the change is applied only once
 			outcome, err = o.client.Change(context.Background(), change)
 		}
 		if err != nil {
@@ -203,8 +205,8 @@
 	return errors.New("others change the plan all the time")
 }
 
-// plan prints the dry run of the plan in a file, and returns its specification. It waits for evidence, which comes
-// in as overviews are read.
+// plan prints the dry run of the plan in a file, and returns its specification. While the plan is not feasible, it
+// reads overviews for up to evidenceWait: each read makes the pooler probe databases for evidence.
 func (o *operator) plan(path string) (spec maintenance.PlanSpec, err error) {
 	spec, err = readSpec(path)
 	if err == nil {
@@ -213,16 +215,16 @@
 	if err != nil {
 		return spec, err
 	}
-	for begun := time.Now(); ; time.Sleep(leaderInterval) {
+	for startedAt := time.Now(); ; time.Sleep(leaderInterval) {
 		if err := o.readOverview(spec.Capacity); err != nil {
 			return spec, err
 		}
-		order, err := dryRun(spec, o.overview.Look)
+		order, err := dryRun(spec, o.overview.Snapshot)
 		if err == nil {
 			o.printOrder(order)
 			return spec, nil
 		}
-		if time.Since(begun) > evidenceWait {
+		if time.Since(startedAt) > evidenceWait {
 			o.printOrder(order)
 			return spec, fmt.Errorf("%s: %w", path, err)
 		}
@@ -237,7 +239,7 @@
 	return maintenance.DryRun(spec, snapshot)
 }
 
-// start prints the dry run of the plan in a file, and hands in the plan.
+// start prints the dry run of the plan in a file, and starts the plan.
 func (o *operator) start(path string) error {
 	spec, err := o.plan(path)
 	if err != nil {
@@ -245,17 +247,17 @@
 	}
 	id := planID(clock.Wall())
 	return o.change(func(record maintenance.Record, wall time.Duration) (maintenance.Proposal, error) {
-		return maintenance.Start(wall, record, id, operatorName(), spec, o.overview.Look)
+		return maintenance.Start(wall, record, id, operatorName(), spec, o.overview.Snapshot)
 	})
 }
 
-// planID returns a name for a plan that begins now: the time is for people, and no other plan has the number,
-// whatever the clock says and whichever machine a plan is started from.
+// planID returns an ID for a plan that starts now. The time is for operators. The random number keeps IDs unique if a
+// clock is stepped back or plans are started from several machines.
 func planID(now time.Time) string {
 	return fmt.Sprintf("%s-%08x", now.UTC().Format("20060102T150405"), rand.Uint32())
 }
 
-// readSpec reads a file with a plan's specification. Errors name the line and the key.
+// readSpec reads a plan's specification from a file. Errors name the line and the key.
 func readSpec(path string) (spec maintenance.PlanSpec, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/maintenance/agent/operator_test.go
+++ b/internal/maintenance/agent/operator_test.go
@@ -8,15 +8,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two plans that begin at the same time by a clock that was stepped back are two.
-func TestPlansOfTheSameTime(t *testing.T) {
+// Two plans can have the same start time if the clock was stepped back. Their IDs must differ.
+func TestPlanIDsOfTheSameTimeDiffer(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	first, second := planID(now), planID(now)
 	require.NotEqual(t, first, second)
 	require.Contains(t, first, "20270115T080000-")
 }
 
-// A command line has its file, machine or pooler before the address, and nothing else is a command.
+// A command line has a command, its flags, its file, machine or pooler if any, and the address. Others are rejected.
 func TestParseInvocation(t *testing.T) {
 	for name, test := range map[string]struct {
 		args string
@@ -25,7 +25,7 @@
 	}{
 		"plan of a file": {"plan wish.toml :1", invocation{command: "plan", name: "wish.toml", address: ":1"}, true},
 		"machine":        {"begin db-1 :1", invocation{command: "begin", name: "db-1", address: ":1"}, true},
-		"of the plan":    {"pause :1", invocation{command: "pause", address: ":1"}, true},
+		"about the plan": {"pause :1", invocation{command: "pause", address: ":1"}, true},
 		"flags": {
 			"status --json --watch :1",
 			invocation{command: "status", address: ":1", asJSON: true, watch: true},
--- a/internal/maintenance/agent/planstatus.go
+++ b/internal/maintenance/agent/planstatus.go
@@ -9,20 +9,21 @@
 	"capercove/internal/maintenance"
 )
 
-// Status is what the command status shows: the plan as a majority has stored it, or as the queried pooler has read it.
+// Status is the output of the command status: the plan as a majority has stored it. If the record cannot be read, it is
+// the plan as the queried pooler has read it last.
 type Status struct {
-	Agreed bool               `json:"agreed"` // as a majority has stored it
-	Why    string             `json:"why,omitempty"`
+	Agreed bool               `json:"agreed"`        // a majority has returned the record
+	Why    string             `json:"why,omitempty"` // why the record could not be read
 	Plan   maintenance.Plan   `json:"plan"`
 	Steps  []maintenance.Step `json:"steps"`
-	// Waits is why each machine waits.
-	Waits map[string]string `json:"waits"`
-	// Missed are the poolers for whose report a step waits.
-	Missed []string `json:"missed,omitempty"`
-	Pooler Overview `json:"pooler"`
+	// WaitReasons holds why each waiting machine waits.
+	WaitReasons map[string]string `json:"waits"`
+	// MissingReports lists the poolers that have not reported that they stopped sending to a draining machine.
+	MissingReports []string `json:"missed,omitempty"`
+	Pooler         Overview `json:"pooler"`
 }
 
-// readStatus reads how far the plan is.
+// readStatus reads the present state of the plan.
 func (o *operator) readStatus() Status {
 	record, err := o.readRecord()
 	status := Status{Agreed: err == nil, Plan: record.Plan, Steps: record.PlanSteps(), Pooler: o.overview}
@@ -33,17 +34,17 @@
 	for _, step := range status.Steps {
 		states[step.Machine] = step.State
 	}
-	status.Missed = missedReports(status.Steps, record.Statuses)
-	decision := maintenance.Decide(status.Plan.Spec, states, o.overview.Look)
-	status.Waits = decision.Reasons
+	status.MissingReports = missingReports(status.Steps, record.Statuses)
+	decision := maintenance.Decide(status.Plan.Spec, states, o.overview.Snapshot)
+	status.WaitReasons = decision.Reasons
 	if decision.PutBack != "" {
-		status.Waits[decision.PutBack] = "put back, as its group has become too small"
+		status.WaitReasons[decision.PutBack] = "put back, as its group has become too small"
 	}
 	return status
 }
 
-// missedReports names the poolers that have not reported that they have stopped for a step that is draining.
-func missedReports(steps []maintenance.Step, statuses map[string]maintenance.PoolerStatus) (missed []string) {
+// missingReports returns the poolers that have not reported that they stopped sending to a draining machine.
+func missingReports(steps []maintenance.Step, statuses map[string]maintenance.PoolerStatus) (missed []string) {
 	for _, step := range steps {
 		if step.State != maintenance.Draining {
 			continue
@@ -58,8 +59,8 @@
 	return missed
 }
 
-// status prints how far the plan is, with watch at each change until it is over. The exit status is 0 where it goes on
-// or is over, and 1 where it makes no progress, as it is paused or there is no majority.
+// status prints the state of the plan. With watch, it prints each change until the plan has finished. It returns the
+// exit status: 1 if the plan makes no progress, because it is paused or no majority answers, and 0 otherwise.
 func (o *operator) status(asJSON, watch bool) int {
 	for last := ""; ; time.Sleep(watchInterval) {
 		status := o.readStatus()
@@ -70,9 +71,9 @@
 		over := !status.Plan.Active() && status.Agreed
 		if !watch || over {
 			if status.Agreed && status.Plan.State != maintenance.Paused {
-				return statusDone
+				return exitSuccess
 			}
-			return statusNotPossible
+			return exitNotPossible
 		}
 		if err := o.readOverview(status.Plan.Spec.Capacity); err != nil {
 			o.println(err)
@@ -80,11 +81,11 @@
 	}
 }
 
-// text returns the status as people or programs read it.
+// text returns the status as JSON, or as text for people.
 func (s Status) text(asJSON bool) string {
 	var text strings.Builder
 	if asJSON {
-		_ = json.NewEncoder(&text).Encode(s) // the next look shows what could not be written
+		_ = json.NewEncoder(&text).Encode(s) // an error leaves the text empty
 	} else {
 		s.print(&text)
 	}
--- a/internal/maintenance/agent/planted_faults_test.go
+++ b/internal/maintenance/agent/planted_faults_test.go
@@ -12,7 +12,7 @@
 	"capercove/internal/testbed"
 )
 
-// plantedFault is a fault in the program, and a course in which it shows.
+// plantedFault is a bug that is added to the program, and a sequence of events that reveals it.
 type plantedFault struct {
 	edits []testbed.Edit
 	play  func(poolers *fleet, hook hook)
@@ -25,13 +25,13 @@
 )
 
 var plantedFaults = map[string]plantedFault{
-	"the lease does not bind": {
+	"the lease never expires": {
 		edits: []testbed.Edit{
 			{File: followerFile, Old: "case now < f.LeaseEnd():", New: "case f.known || now < f.LeaseEnd():"},
 		},
-		play: playLeaseThatDoesNotBind,
+		play: playUnexpiringLease,
 	},
-	"a restart is forgotten": {
+	"a restarted pooler does not wait for the record": {
 		edits: []testbed.Edit{
 			{
 				File: "internal/maintenance/agent/agent.go",
@@ -43,67 +43,67 @@
 			},
 			{File: followerFile, Old: "return f.known, false //", New: "return true, false //"},
 		},
-		play: playForgottenRestart,
+		play: playRestartWithoutRecord,
 	},
-	"work can be given up": {
+	"work in progress can be aborted": {
 		edits: []testbed.Edit{
 			{File: stepFile, Old: "case s.State == InMaintenance: // The machine", New: "case false: // The machine"},
 		},
-		play: playWorkGivenUp,
+		play: playAbortedWork,
 	},
 }
 
-// twoReplicas is a plan of two machines that ignores unreachable poolers.
+// twoReplicas is the specification of a plan for two machines that continues without unreachable poolers.
 const twoReplicas = "machines = [\"db-1\", \"db-2\"]\nfresh = 1\ngo_on = true\n"
 
-// playLeaseThatDoesNotBind cuts a pooler off, and takes out a machine of which it has read nothing.
-func playLeaseThatDoesNotBind(poolers *fleet, hook hook) {
+// playUnexpiringLease partitions a pooler from the others, and then has the plan take a second machine.
+func playUnexpiringLease(poolers *fleet, hook hook) {
 	poolers.start("n3", twoReplicas)
-	first := hook.began(1)[0].machine
-	cutOff := poolers.bystander()
+	first := hook.awaitCalls(1)[0].machine
+	cutOff := poolers.uninvolvedPooler()
 	for _, name := range poolers.Names {
 		if name != cutOff {
 			poolers.Net.Both(cutOff, name, faults.Link{Cut: true})
 		}
 	}
 	hook.openFor(first)
-	second := hook.began(2)[1]
-	poolers.eventually(func() bool { // however few requests a busy machine lets it serve
+	second := hook.awaitCalls(2)[1]
+	poolers.eventually(func() bool { // a busy machine may serve few requests
 		received := poolers.database(second.machine).Between(second.begin, time.Now())
 		return slices.ContainsFunc(received, func(sql string) bool { return senderOf(sql) == cutOff })
-	}, "the pooler that is cut off sends to a machine in maintenance")
+	}, "the partitioned pooler sends to a machine in maintenance")
 	hook.open()
 }
 
-// playForgottenRestart restarts a pooler that had reported that it stopped, while it cannot read the record.
-func playForgottenRestart(poolers *fleet, hook hook) {
+// playRestartWithoutRecord restarts a pooler that has reported that it stopped, while it cannot read the record.
+func playRestartWithoutRecord(poolers *fleet, hook hook) {
 	poolers.start("n0", twoReplicas)
-	hook.began(1)
+	hook.awaitCalls(1)
 	poolers.Kill("n3")
 	poolers.Net.Partition([]string{"n3"}, []string{"n0", "n1", "n2"})
 	poolers.Restart("n3")
-	poolers.passStatements(2000)
+	poolers.awaitStatements(2000)
 	poolers.Net.Heal()
 	hook.open()
 }
 
-// playWorkGivenUp aborts a plan while work goes on, and begins the work again.
-func playWorkGivenUp(poolers *fleet, hook hook) {
+// playAbortedWork aborts a plan while the hook runs, and starts the same plan again.
+func playAbortedWork(poolers *fleet, hook hook) {
 	poolers.start("n0", twoReplicas)
-	hook.began(1)
+	hook.awaitCalls(1)
 	poolers.execute("n1", "abort")
-	poolers.planOver("n1")
+	poolers.awaitPlanEnd("n1")
 	poolers.eventually(func() bool {
 		return poolers.step("n1", "db-1").State == maintenance.RolledBack
-	}, "it is given up")
+	}, "the step is rolled back")
 	poolers.start("n0", twoReplicas)
-	hook.began(2)
+	hook.awaitCalls(2)
 	hook.open()
 }
 
-// Faults that are planted in the program are seen by the databases and the hook: the check that finds nothing in the
-// shipped program does find faults.
-func TestPlantedFaults(t *testing.T) {
+// The check for violations detects bugs that are added to the program. Other tests require that it reports no violation
+// of the unchanged program.
+func TestViolationCheckDetectsPlantedFaults(t *testing.T) {
 	for name, fault := range plantedFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -113,7 +113,7 @@
 			end := poolers.load()
 			defer end()
 			fault.play(poolers, hook)
-			calls := hook.lastEnded()
+			calls := hook.awaitLastEnd()
 			end()
 			_, violation := poolers.violation(calls)
 			require.NotEmpty(t, violation)
@@ -122,9 +122,9 @@
 	}
 }
 
-// The clocks of two poolers are two minutes ahead of and behind the others': membership rejects what they report, the
-// record knows them, and the plan ends with nothing broken.
-func TestClocks(t *testing.T) {
+// The clocks of two poolers are two minutes ahead of and behind the others. Membership rejects their reports, but the
+// record includes their statuses, and the plan ends without a violation.
+func TestPlanEndsWithShiftedClocks(t *testing.T) {
 	t.Parallel()
 	program := testbed.WithProgram(testbed.Variant(t, testbed.Edit{
 		File: "internal/clock/clock.go", Old: "epoch := time.Duration(start.UnixNano())",
@@ -142,15 +142,15 @@
 	end := poolers.load()
 	defer end()
 	poolers.start("n0", "machines = [\"db-1\", \"db-2\", \"db-3\"]\nfresh = 1\n")
-	hook.began(1)
+	hook.awaitCalls(1)
 	first := poolers.leader()
-	poolers.Kill(first) // another's clock counts from here on, be it one of the shifted ones
+	poolers.Kill(first) // the clock of the next leader counts now; it may be a shifted one
 	hook.wait(func(calls []hookCall) bool { return calls[0].ended() }, "the hook ends")
 	poolers.Restart(first)
-	if poolers.state("n3", "db-1") == maintenance.InMaintenance { // who called the hook could not write that it ended
+	if poolers.state("n3", "db-1") == maintenance.InMaintenance { // the killed pooler could not record the end
 		poolers.execute("n3", "end", "db-1")
 	}
-	poolers.planOver("n3")
+	poolers.awaitPlanEnd("n3")
 	end()
-	require.Zero(t, poolers.requireNothingBroken(hook.read()))
+	require.Zero(t, poolers.requireNoViolation(hook.read()))
 }
--- a/internal/maintenance/agent/print.go
+++ b/internal/maintenance/agent/print.go
@@ -12,16 +12,16 @@
 	"capercove/internal/maintenance"
 )
 
-// columnGap is the space between the columns of a table.
+// columnGap is the number of spaces between the columns of a table.
 const columnGap = 2
 
-// timeLayout is of times in the history, in UTC.
+// timeLayout is the format of times in the history, which are in UTC.
 const timeLayout = "2006-01-02 15:04:05.000"
 
-// print writes text. There is nowhere to report that the output cannot be written.
+// print writes text to the output. An error is ignored, because it could only be reported to the same output.
 func (o *operator) print(text string) { _, _ = io.WriteString(o.out, text) }
 
-// println writes a value and a line's end.
+// println writes a value and a newline.
 func (o *operator) println(value any) { o.print(fmt.Sprintln(value)) }
 
 // printOrder prints the steps of a dry run.
@@ -35,7 +35,7 @@
 	})
 }
 
-// printTable prints rows whose cells end with tabs. There is nowhere to report that the output cannot be written.
+// printTable prints rows whose cells are separated by tabs. It ignores errors of the output, as print does.
 func printTable(out io.Writer, rows int, row func(i int) string) {
 	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 	for i := range rows {
@@ -44,7 +44,7 @@
 	_ = table.Flush()
 }
 
-// print prints the status as people read it.
+// print writes the status as text for people.
 func (s Status) print(out *strings.Builder) {
 	if s.Plan.ID == "" {
 		out.WriteString("no plan\n")
@@ -64,12 +64,12 @@
 	}
 }
 
-// stepRow returns the row of one step.
+// stepRow returns the table row of one step.
 func (s Status) stepRow(step maintenance.Step) string {
-	note := s.Waits[step.Machine]
+	note := s.WaitReasons[step.Machine]
 	switch {
-	case step.State == maintenance.Draining && len(s.Missed) > 0:
-		note = "not heard yet: " + strings.Join(s.Missed, " ")
+	case step.State == maintenance.Draining && len(s.MissingReports) > 0:
+		note = "not heard yet: " + strings.Join(s.MissingReports, " ")
 	case len(step.Unreachable) > 0:
 		note = strings.TrimSpace(note + " without " + strings.Join(step.Unreachable, " "))
 	}
--- a/internal/maintenance/agent/restarts_test.go
+++ b/internal/maintenance/agent/restarts_test.go
@@ -18,16 +18,16 @@
 	"capercove/internal/testbed"
 )
 
-// restarter is a hook that is called over HTTP and restarts poolers.
+// restarter is an HTTP hook that restarts poolers.
 type restarter struct {
 	poolers *fleet // set before the first call
 
 	mu     sync.Mutex
-	order  []string // machines, by their calls
+	order  []string // machines, in the order of the calls
 	faults []string
 }
 
-// ServeHTTP takes one call after the other.
+// ServeHTTP handles one call of the hook at a time.
 func (r *restarter) ServeHTTP(_ http.ResponseWriter, request *http.Request) {
 	var call struct {
 		ID          uint64
@@ -36,7 +36,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if json.NewDecoder(request.Body).Decode(&call) != nil || call.Do != "work" || call.ID == 0 {
-		r.faults = append(r.faults, "not a call")
+		r.faults = append(r.faults, "invalid hook request")
 	}
 	r.order = append(r.order, call.Machine)
 	if r.poolers.Beds[call.Machine] == nil { // a database
@@ -49,16 +49,16 @@
 	r.poolers.Restart(call.Machine)
 }
 
-// running is a pooler that runs.
+// running returns the name of a running pooler.
 func (r *restarter) running() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.poolers.Running()[0]
 }
 
-// A release restarts all poolers, one after the other and the one that leads the record last, by a hook that is called
-// over HTTP; a database is in the same plan.
-func TestRelease(t *testing.T) {
+// An HTTP hook restarts all poolers, one after the other and the leader of the record last: it resigns before its
+// restart. The plan takes the database before the poolers.
+func TestRestartsAllPoolersByPlan(t *testing.T) {
 	t.Parallel()
 	hook := &restarter{}
 	service := httptest.NewServer(hook)
@@ -81,63 +81,64 @@
 	hook.poolers.WaitConverged("the end", hook.poolers.Names...)
 }
 
-// holdByNewProcess waits until db-1 holds a report of the new one of two processes; the other one is stopped. A
-// connection may be meant for that one, which was waiting for it: each that comes wakes another that waits.
+// holdByNewProcess waits until db-1 has a report in flight from the new process of two; the old process is stopped. It
+// returns the clients that sent reports. The kernel may assign a connection to the stopped process, which was waiting
+// for one. Each further connection wakes another waiting process.
 func (f *fleet) holdByNewProcess(name string) (clients []*testbed.Client) {
 	f.T.Helper()
 	f.eventually(func() bool {
 		client, started := f.Beds[name].TryDial(time.Second)
 		if started {
-			f.T.Cleanup(func() { _ = client.Close() }) // it may have ended
-			f.sendHeld(name, client)
+			f.T.Cleanup(func() { _ = client.Close() }) // the connection may have ended
+			f.sendHeldReport(name, client)
 			clients = append(clients, client)
 			f.Serve("beside", "n0")
 		}
-		return f.hasHeld("db-1")
-	}, "db-1 holds something of the new process")
+		return f.hasHeldReport("db-1")
+	}, "db-1 has a report of the new process in flight")
 	return clients
 }
 
-// At an upgrade two processes of one name serve for a while: a machine is not drained before both have stopped, and the
-// new one goes on under the name alone.
-func TestUpgrade(t *testing.T) {
+// During an upgrade, two processes of one name serve. A machine is not drained before both have stopped sending to it,
+// and the new process continues alone under the name.
+func TestDrainWaitsForBothProcessesOfUpgrade(t *testing.T) {
 	t.Parallel()
 	poolers := newFleet(t, 18, 4, "")
 	poolers.Start("n0", testbed.WithReplicas(1))
 	poolers.Start("n1")
 	poolers.Start("n2")
-	upgraded := poolers.Start("n3", testbed.WithListener) // it holds no record: two processes cannot share one
+	upgraded := poolers.Start("n3", testbed.WithListener) // stores no record: two processes cannot share its files
 	poolers.WaitConverged("the start", poolers.Names...)
 	old := upgraded.Process()
 	end := upgraded.Upgrade()
-	require.NoError(t, old.Signal(syscall.SIGSTOP)) // what comes now is the new one's
+	require.NoError(t, old.Signal(syscall.SIGSTOP)) // new connections are served by the new process
 	clients := poolers.holdByNewProcess("n3")
 	require.NoError(t, old.Signal(syscall.SIGCONT))
 	poolers.start("n0", "machines = [\"db-1\"]\nfresh = 1\n")
-	poolers.reaches("n0", "db-1", maintenance.Draining)
+	poolers.awaitState("n0", "db-1", maintenance.Draining)
 	poolers.eventually(func() bool {
-		return slices.Equal(poolers.status("n0").Missed, []string{"n3+"})
+		return slices.Equal(poolers.status("n0").MissingReports, []string{"n3+"})
 	}, "the new process alone has not reported")
 	poolers.release()
 	for _, client := range clients {
 		require.True(t, client.Next().Complete)
 	}
-	poolers.reaches("n0", "db-1", maintenance.Drained)
+	poolers.awaitState("n0", "db-1", maintenance.Drained)
 	require.NoError(t, end())
-	poolers.WaitConverged("the old one has left", poolers.Names...)
+	poolers.WaitConverged("the old process has left", poolers.Names...)
 	before := len(poolers.database("db-1").Statements())
 	for range 5 {
 		poolers.Serve("after the upgrade", poolers.Names...)
 	}
 	require.Len(t, poolers.database("db-1").Statements(), before)
 	poolers.execute("n3", "end", "db-1")
-	poolers.planOver("n0")
-	poolers.start("n0", "machines = [\"db-2\"]\nfresh = 1\n") // nobody waits for a second process any more
-	poolers.reaches("n0", "db-2", maintenance.Drained)
+	poolers.awaitPlanEnd("n0")
+	poolers.start("n0", "machines = [\"db-2\"]\nfresh = 1\n") // the step does not wait for a second process any more
+	poolers.awaitState("n0", "db-2", maintenance.Drained)
 }
 
-// Errors of a plan's specification name line and key, and a command that cannot be done gives the reason.
-func TestBadPlans(t *testing.T) {
+// Errors of a plan's specification name the line or the key, and a refused command states the reason.
+func TestRejectsBadPlansAndCommands(t *testing.T) {
 	t.Parallel()
 	poolers := startFleet(t, 17, 1, 1, "")
 	for name, test := range map[string]struct{ spec, reason string }{
@@ -150,25 +151,25 @@
 			"1 replicas of group 3 that keep up would be left, 2 at the least",
 		},
 	} {
-		printed, status := poolers.answered("n0", "plan", poolers.specFile(test.spec))
-		require.Equal(t, statusNotPossible, status, "%s: %s", name, printed)
+		printed, status := poolers.runUntilAnswered("n0", "plan", poolers.specFile(test.spec))
+		require.Equal(t, exitNotPossible, status, "%s: %s", name, printed)
 		require.Contains(t, printed, test.reason, name)
 	}
 	for command, reason := range map[string]string{
 		"pause":     "there is no plan",
 		"forget n9": `no pooler "n9"`,
 	} {
-		poolers.refuse(reason, "n0", strings.Fields(command)...)
+		poolers.requireRefused(reason, "n0", strings.Fields(command)...)
 	}
 }
 
-// Errors of the operators' table name line and key.
-func TestBadTable(t *testing.T) {
+// Errors of the table [works] name the line and the key.
+func TestRejectsBadTable(t *testing.T) {
 	t.Parallel()
-	poolers := newFleet(t, 17, 1, "") // none is started
+	poolers := newFleet(t, 17, 1, "") // no pooler is started
 	path := poolers.specFile("[works]\nenabled = true\nlease_ms = 1\n")
 	printed, status := poolers.Command("check", path)
-	require.Equal(t, statusNotPossible, status)
+	require.Equal(t, exitNotPossible, status)
 	require.Contains(t, printed, "wish.toml:3: works.lease_ms: 1 is not from 500 to 600000")
 	require.NoError(t, os.WriteFile(path, []byte("[works]\nenabled = true\n"), 0o600))
 	printed, _ = poolers.Command("check", path)
--- a/internal/maintenance/agent/schedules_test.go
+++ b/internal/maintenance/agent/schedules_test.go
@@ -11,17 +11,17 @@
 
 const (
 	faultSteps    = 10
-	betweenFaults = 4000 // statements that databases receive
+	betweenFaults = 4000 // statements that the databases receive between two faults
 )
 
-// Poolers are killed, stopped and restarted, and links cut, by a schedule from a seed, while a plan takes three
-// replicas out and clients read at all poolers. Nothing reaches a machine in maintenance, no two are in maintenance at
-// once, and when the faults are over the plan ends.
-func TestSchedules(t *testing.T) {
+// A schedule from a seed kills, stops and restarts poolers and cuts links. Meanwhile, a plan takes three replicas, and
+// clients send to all poolers. No request reaches a machine in maintenance except from blind poolers, no two machines
+// are in maintenance at once, and the plan ends after the faults.
+func TestFaultSchedulesCauseNoViolation(t *testing.T) {
 	testbed.RunSeeds(t, "WORKS_SEEDS", 1, playSchedule)
 }
 
-// playSchedule plays the schedule of one seed.
+// playSchedule runs the test with one seed.
 func playSchedule(t *testing.T, seed uint64) {
 	t.Helper()
 	hook, line := newHook(t)
@@ -31,17 +31,17 @@
 	end := poolers.load()
 	defer end()
 	for _, step := range faults.Plan(seed, poolers.Names, faultSteps) {
-		if step.What == faults.Garble { // raft's streams have no checksums
+		if step.What == faults.Garble { // streams of raft have no checksums
 			continue
 		}
 		poolers.Apply(step)
-		poolers.passStatements(betweenFaults)
+		poolers.awaitStatements(betweenFaults)
 	}
-	poolers.Net.Note("the faults are over; %d calls of the hook", len(hook.read()))
-	poolers.planOver("n0")
+	poolers.Net.Note("the faults have ended; %d calls of the hook", len(hook.read()))
+	poolers.awaitPlanEnd("n0")
 	end()
 	calls := hook.read()
-	blind := poolers.requireNothingBroken(calls)
+	blind := poolers.requireNoViolation(calls)
 	t.Logf("seed %d: %d calls of the hook, %d blind requests", seed, len(calls), blind)
 	require.GreaterOrEqual(t, len(calls), 3)
 }
--- a/internal/maintenance/agent/watch.go
+++ b/internal/maintenance/agent/watch.go
@@ -9,7 +9,7 @@
 	"capercove/internal/store"
 )
 
-// watch follows the changes of the record, as soon as any store that it reaches has them.
+// watch applies changes of the record as soon as a reachable store has them.
 func (a *Agent) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		a.mu.Lock()
@@ -28,8 +28,8 @@
 	}
 }
 
-// observeChanges applies the changes that a watch returned. It returns false if they are left to renewLease: a new plan
-// has to be read together with its lease, as the machines that it lists would be blocked until then.
+// observeChanges applies the changes that a watch returned. It returns false for a new plan, which it leaves to
+// renewLease: that applies the plan together with a renewed lease. Until then, the plan's machines would be blocked.
 func (a *Agent) observeChanges(after uint64, changes store.Changes) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -49,29 +49,29 @@
 		a.active.Store(true)
 		return false
 	}
-	if a.takeIn(values, changes.Revision) {
+	if a.applyValues(values, changes.Revision) {
 		a.follower.Observe(a.revision, a.record.PlanSteps())
 	}
 	return true
 }
 
-// takeIn stores the values under maintenance.FollowedPrefix; mu is locked. Values that cannot be read change nothing,
-// so that the lease runs out.
-func (a *Agent) takeIn(values map[string]store.Value, revision uint64) bool {
+// applyValues stores the values under maintenance.FollowedPrefix, and reports whether they can be decoded. Values that
+// cannot be decoded change nothing, and the lease is not renewed. The caller must hold mu.
+func (a *Agent) applyValues(values map[string]store.Value, revision uint64) bool {
 	record, err := parse(values)
 	if err != nil {
-		if err.Error() != a.unreadable {
-			a.unreadable = err.Error()
+		if err.Error() != a.decodeError {
+			a.decodeError = err.Error()
 			a.pooler.Log.Error().Err(err).Msg("maintenance: record not decoded")
 		}
 		return false
 	}
-	a.values, a.revision, a.record, a.unreadable = values, revision, record, ""
+	a.values, a.revision, a.record, a.decodeError = values, revision, record, ""
 	a.active.Store(record.Plan.Active())
 	return true
 }
 
-// parse reads values of the store as a record.
+// parse decodes a record from values of the store.
 func parse(values map[string]store.Value) (maintenance.Record, error) {
 	texts, revisions := map[string]json.RawMessage{}, map[string]uint64{}
 	for key, value := range values {
