--- a/internal/maintenance/agent/measure_test.go
+++ b/internal/maintenance/agent/measure_test.go
@@ -25,7 +25,7 @@
 func skipUnlessMeasured(t *testing.T, measurement string) {
 	t.Helper()
 	if os.Getenv(measureVariable) != measurement {
-		t.Skip("only runs with " + measureVariable + "=" + measurement)
+		t.Skip(measureVariable + "=" + measurement + " enables this measurement")
 	}
 }
 
