--- a/internal/exclusion/refresh.go
+++ b/internal/exclusion/refresh.go
@@ -61,7 +61,7 @@
 func (f *File) logReadError(err error) {
 	if err.Error() != f.readError {
 		f.readError = err.Error()
-		f.Log.Error().Err(err).Msg("exclusions: file cannot be read, known exclusions stay in force")
+		f.Log.Error().Err(err).Msg("exclusions: cannot be read, known ones stay in force")
 	}
 }
 
