--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -104,7 +104,7 @@
 // sendHealthCheck writes the statement of a health check and starts the timeout of its answer.
 func (connection *connection) sendHealthCheck(job *job, now time.Duration) {
 	pool := connection.pool
-	job.timer = pool.core.Wheel.At(now+pool.limits.HealthCheckTimeout, func() {
+	job.timer = pool.core.Wheel.Schedule(now+pool.limits.HealthCheckTimeout, func() {
 		pool.abort(job, routing.TimedOut)
 	})
 	connection.write(pg.AppendQuery(nil, probeStatement))
--- a/internal/backend/database.go
+++ b/internal/backend/database.go
@@ -112,7 +112,7 @@
 			oldest.close()
 		}
 	}
-	pool.core.Wheel.At(now+pool.limits.IdleTimeout/idleChecksPerTimeout, pool.closeExpired)
+	pool.core.Wheel.Schedule(now+pool.limits.IdleTimeout/idleChecksPerTimeout, pool.closeExpired)
 }
 
 // abortWaiting ends all jobs that wait for a connection as not sent.
--- a/internal/backend/database_test.go
+++ b/internal/backend/database_test.go
@@ -61,7 +61,7 @@
 	database.connecting = 2
 	require.False(t, database.shouldDial(), "a connection is being opened for each job")
 	database.connecting = 0
-	database.retry = wheel.At(1, func() {})
+	database.retry = wheel.Schedule(1, func() {})
 	database.transientFailures, database.lastFailure = 3, dialLacksResource
 	require.False(t, database.shouldDial(), "dials are in backoff")
 	require.True(t, database.resetBackoff())
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -112,7 +112,7 @@
 		cancelDial: cancelDial,
 	}
 	database.connections[connection] = struct{}{}
-	connection.timeout = pool.core.Wheel.At(pool.core.Now()+bounds.ConnectTimeout, func() {
+	connection.timeout = pool.core.Wheel.Schedule(pool.core.Now()+bounds.ConnectTimeout, func() {
 		pool.connectTimedOut(connection)
 	})
 	return connection
@@ -180,7 +180,7 @@
 	}
 	database.transientFailures++
 	retryAt := pool.core.Now() + pool.backoff.After(database.transientFailures)
-	database.retry = pool.core.Wheel.At(retryAt, func() { pool.retryDials(database) })
+	database.retry = pool.core.Wheel.Schedule(retryAt, func() { pool.retryDials(database) })
 	pool.abortExpiring(database, retryAt)
 }
 
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -100,8 +100,8 @@
 	pool.dialForWaitingJobs(database) // jobs whose dials were closed need a dial to the new address
 }
 
-// Forgotten implements core.Watcher. It is called when the database has permanently left the endpoint list.
-func (pool *Pool) Forgotten(member *core.Member) {
+// Removed implements core.Watcher. It is called when the database has permanently left the endpoint list.
+func (pool *Pool) Removed(member *core.Member) {
 	if database := pool.databases[member.ID]; database != nil {
 		database.resetBackoff()
 	}
--- a/internal/backend/queue.go
+++ b/internal/backend/queue.go
@@ -59,7 +59,7 @@
 		return
 	}
 	database.waiting = append(database.waiting, job)
-	job.timer = pool.core.Wheel.At(job.startedAt+pool.limits.ConnectTimeout, func() {
+	job.timer = pool.core.Wheel.Schedule(job.startedAt+pool.limits.ConnectTimeout, func() {
 		pool.abort(job, database.lastFailure.status())
 	})
 	pool.dialForOneJob(database)
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -167,7 +167,7 @@
 // performAdmission performs one action of the admission controller. now is the time of its Step.
 func (c *Core) performAdmission(action admission.Action, now time.Duration) {
 	if action.Kind == admission.Wake {
-		c.Wheel.At(now+action.After, func() { c.pushAdmission(admission.Event{Kind: admission.Woken}) })
+		c.Wheel.Schedule(now+action.After, func() { c.pushAdmission(admission.Event{Kind: admission.Woken}) })
 		return
 	}
 	request := c.requests[routing.RequestID(action.Request)]
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -66,7 +66,7 @@
 		c.counters.Blind++
 	}
 	// The timeout also ends attempts at unreachable databases, whose connections are never closed.
-	attempt.timeout = c.Wheel.At(attempt.Deadline, func() { c.cancel(attempt, routing.TimedOut) })
+	attempt.timeout = c.Wheel.Schedule(attempt.Deadline, func() { c.cancel(attempt, routing.TimedOut) })
 	attempt.transmission = request.Statement.Send(attempt)
 }
 
@@ -175,7 +175,7 @@
 // resetTimeout changes the time at which an attempt is cancelled.
 func (c *Core) resetTimeout(attempt *Attempt, at time.Duration) {
 	attempt.timeout.Stop()
-	attempt.timeout = c.Wheel.At(at, func() { c.cancel(attempt, routing.TimedOut) })
+	attempt.timeout = c.Wheel.Schedule(at, func() { c.cancel(attempt, routing.TimedOut) })
 }
 
 // Done ends an attempt and reports its outcome to the router. With status OK, the answer goes to the client unless the
@@ -197,12 +197,12 @@
 		c.answerWith(attempt, status, answer)
 	}
 	c.pushEvent(routing.Event{Kind: routing.AttemptDone, Request: request.id, Outcome: routing.Outcome{
-		Node:     attempt.Member.ID,
-		Attempt:  attempt.number,
-		Status:   status,
-		Duration: took,
-		Final:    request.done,
-		Note:     evidence,
+		Node:           attempt.Member.ID,
+		Attempt:        attempt.number,
+		Status:         status,
+		Duration:       took,
+		Final:          request.done,
+		AnswerEvidence: evidence,
 	}})
 	c.release(request)
 }
--- a/internal/core/attempt_test.go
+++ b/internal/core/attempt_test.go
@@ -80,7 +80,7 @@
 				hedged.core.Flush()
 				require.Equal(t, "one two three", hedged.client.pieces)
 				require.Equal(t, []string{"served "}, hedged.client.answers)
-				require.Zero(t, hedged.core.Open())
+				require.Zero(t, hedged.core.OpenRequests())
 			})
 		}
 	}
@@ -184,6 +184,6 @@
 	harness.pass(time.Second)
 	require.Len(t, harness.sent, 1, "the request is not sent again")
 	require.Empty(t, departing.answers)
-	require.Zero(t, harness.core.Open())
+	require.Zero(t, harness.core.OpenRequests())
 	require.EqualValues(t, 1, harness.core.Counters().Fronts["test"]["read"].Gone)
 }
--- a/internal/core/blocks.go
+++ b/internal/core/blocks.go
@@ -33,7 +33,7 @@
 	c.blocks = blocks
 	c.blocksExpiry.Stop()
 	if now := c.clock(); blocks.Expiry > now {
-		c.blocksExpiry = c.Wheel.At(blocks.Expiry, c.applyBlocks)
+		c.blocksExpiry = c.Wheel.Schedule(blocks.Expiry, c.applyBlocks)
 	}
 	c.applyBlocks()
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -129,9 +129,9 @@
 	c.Wheel.Advance(now)
 }
 
-// Alarm registers a function that is called with the time of the earliest timer whenever that changes; see
-// timerwheel.Wheel.Alarm.
-func (c *Core) Alarm(alarm func(at time.Duration)) { c.Wheel.Alarm(alarm) }
+// SetAlarm registers a function that is called with the time of the earliest timer whenever that changes; see
+// timerwheel.Wheel.SetAlarm.
+func (c *Core) SetAlarm(alarm func(at time.Duration)) { c.Wheel.SetAlarm(alarm) }
 
 // pushEvent queues an event for the router's next Step and requests a Flush.
 func (c *Core) pushEvent(event routing.Event) {
@@ -161,7 +161,7 @@
 	c.counters.Batches++
 	c.counters.Events += int64(len(events))
 	c.actions = c.router.Step(c.clock(), events, c.actions[:0])
-	c.counters.Size = c.router.Size()
+	c.counters.Size = c.router.NodeSize()
 	for _, action := range c.actions {
 		c.perform(action)
 	}
@@ -179,7 +179,7 @@
 		c.lister.Subscribe()
 		return
 	case routing.SetTimer:
-		c.Wheel.At(c.clock()+action.Delay, func() { c.pushEvent(routing.Event{Kind: routing.TimerFired}) })
+		c.Wheel.Schedule(c.clock()+action.Delay, func() { c.pushEvent(routing.Event{Kind: routing.TimerFired}) })
 		return
 	case routing.Probe:
 		c.counters.Probes++
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -43,7 +43,7 @@
 	require.Equal(t, []string{"rejected"}, late.answers)
 	harness.core.Flush()
 	require.Len(t, harness.sent, 1, "nothing is sent after AnswerAll")
-	require.Zero(t, harness.core.Open())
+	require.Zero(t, harness.core.OpenRequests())
 }
 
 // knownMembers returns the number of members with IDs below 20,000.
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -13,12 +13,12 @@
 	Ready                 bool
 	Classes               map[string]Answers // by class, summed over all fronts
 	Written               int64              // attempts whose last byte was written to a database
-	Pending               int                // requests without a final answer
+	OpenRequests          int                // requests without a final answer
 	Members, Unavailable  int                // listed databases; those that the router does not use
 	Reloads, ReloadErrors int64              // configurations applied; rejected
 	Admission             *AdmissionFigures  // nil: admission control is off
 	Databases             []DatabaseStatus   // nil unless Observe was called
-	Asks                  map[int]int64      // requests by group; nil unless Observe was called
+	RequestsByGroup       map[int]int64      // requests by group; nil unless Observe was called
 	Blind                 int64              // attempts sent to databases that may be in maintenance; see Blocklist
 }
 
@@ -42,7 +42,7 @@
 	routing.NodeStatus
 	Name        string
 	Group, Zone int
-	MayAsk      bool // another pooler's hint may cause a probe of it; see Core.ProbeByName
+	MayProbe    bool // another pooler's hint may cause a probe of it; see Core.ProbeByName
 }
 
 // Figures returns the figures that were published last. It is safe for concurrent use.
@@ -69,7 +69,7 @@
 	c.checkReady(now, figures.Members)
 	figures.Ready = c.ready == nil && figures.Members > 0 && !c.stopping
 	c.figures.Store(&figures)
-	c.Wheel.At(now+c.limits.FiguresInterval, c.publish)
+	c.Wheel.Schedule(now+c.limits.FiguresInterval, c.publish)
 }
 
 // checkReady calls ready, once, if the core can serve or ReadyTimeout has passed.
@@ -87,17 +87,17 @@
 // collectFigures returns the current figures, without Ready.
 func (c *Core) collectFigures() Figures {
 	return Figures{
-		Classes:      c.answersByClass(),
-		Written:      c.counters.Written,
-		Pending:      c.Open(),
-		Members:      len(c.Members()),
-		Unavailable:  c.router.Unavailable(),
-		Reloads:      c.counters.Reloads,
-		ReloadErrors: c.counters.ReloadErrors,
-		Admission:    c.AdmissionFigures(),
-		Databases:    c.databaseStatuses(),
-		Asks:         maps.Clone(c.requestsByGroup),
-		Blind:        c.counters.Blind,
+		Classes:         c.answersByClass(),
+		Written:         c.counters.Written,
+		OpenRequests:    c.OpenRequests(),
+		Members:         len(c.MemberNames()),
+		Unavailable:     c.router.UnavailableNodes(),
+		Reloads:         c.counters.Reloads,
+		ReloadErrors:    c.counters.ReloadErrors,
+		Admission:       c.AdmissionFigures(),
+		Databases:       c.databaseStatuses(),
+		RequestsByGroup: maps.Clone(c.requestsByGroup),
+		Blind:           c.counters.Blind,
 	}
 }
 
@@ -133,7 +133,7 @@
 			Name:       member.Name,
 			Group:      member.Group,
 			Zone:       member.Zone,
-			MayAsk:     c.mayProbe(member),
+			MayProbe:   c.mayProbe(member),
 		})
 	}
 	return statuses
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -32,8 +32,8 @@
 
 func (h *harness) Subscribe() {}
 
-func (h *harness) Changed(*core.Member)          {}
-func (h *harness) Forgotten(member *core.Member) { h.forgotten = append(h.forgotten, member) }
+func (h *harness) Changed(*core.Member)        {}
+func (h *harness) Removed(member *core.Member) { h.forgotten = append(h.forgotten, member) }
 
 // transmission is an attempt that was sent.
 type transmission struct {
--- a/internal/core/healthcheck.go
+++ b/internal/core/healthcheck.go
@@ -43,9 +43,9 @@
 	delete(c.hintedProbes, member.ID)
 	c.sampleReport(took, report)
 	c.pushEvent(routing.Event{Kind: routing.ProbeDone, Outcome: routing.Outcome{
-		Node:     member.ID,
-		Status:   status,
-		Duration: took,
-		Report:   report,
+		Node:         member.ID,
+		Status:       status,
+		Duration:     took,
+		HealthReport: report,
 	}})
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -13,10 +13,10 @@
 type EndpointLister interface{ Subscribe() }
 
 // Watcher is notified of members. Changed is called for each change of a member, before anything is sent to the changed
-// member. Forgotten is called once a member is dropped; a database that is listed again later is a new Member.
+// member. Removed is called once a member is dropped; a database that is listed again later is a new Member.
 type Watcher interface {
 	Changed(*Member)
-	Forgotten(*Member)
+	Removed(*Member)
 }
 
 // Member is a database of the endpoint list.
@@ -27,8 +27,8 @@
 	DrainingSince time.Duration // when it was first listed as draining or permanently gone; 0: neither
 }
 
-// Members returns the names of the databases that are not gone, sorted.
-func (c *Core) Members() (names []string) {
+// MemberNames returns the names of the databases that are not gone, sorted.
+func (c *Core) MemberNames() (names []string) {
 	for _, member := range c.members {
 		if member.State != routing.Gone {
 			names = append(names, member.Name)
@@ -134,7 +134,7 @@
 	*member = entry
 	_, member.Excluded = c.excluded[member.ID]
 	member.DrainingSince = 0
-	permanentlyGone := entry.State == routing.Gone && (drainingSince > 0 || !c.settings.OnlyDrainingBinds)
+	permanentlyGone := entry.State == routing.Gone && (drainingSince > 0 || !c.settings.MayUseGoneNodes)
 	if entry.State == routing.Draining || permanentlyGone {
 		member.DrainingSince = cmp.Or(drainingSince, c.clock())
 	}
@@ -153,12 +153,12 @@
 func (c *Core) forgetGone() {
 	c.listChanged = false
 	for id, member := range c.members {
-		if member.State != routing.Gone || c.router.Knows(id) {
+		if member.State != routing.Gone || c.router.HasNode(id) {
 			continue
 		}
 		delete(c.members, id)
 		for _, watcher := range c.watchers {
-			watcher.Forgotten(member)
+			watcher.Removed(member)
 		}
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -75,8 +75,8 @@
 	lastDuration time.Duration // of the last attempt that was answered or timed out
 }
 
-// Open returns the number of requests without a final answer.
-func (c *Core) Open() (n int) {
+// OpenRequests returns the number of requests without a final answer.
+func (c *Core) OpenRequests() (n int) {
 	for _, request := range c.requests {
 		if !request.done {
 			n++
@@ -125,7 +125,7 @@
 	request.isWrite = c.routesAsWrite(request)
 	c.requests[request.id] = request
 	c.openNames[request.Name] = struct{}{}
-	request.overdueTimer = c.Wheel.At(request.deadline+c.limits.OverdueTimeout, func() { c.failOverdue(request) })
+	request.overdueTimer = c.Wheel.Schedule(request.deadline+c.limits.OverdueTimeout, func() { c.failOverdue(request) })
 }
 
 // failOverdue fails a request that has no answer by OverdueTimeout after its deadline. It guarantees that every request
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -32,8 +32,8 @@
 	Now() time.Duration
 	// Tick fires all timers that are due.
 	Tick()
-	// Alarm registers a function that is called with the time of the earliest timer whenever that time changes.
-	Alarm(alarm func(at time.Duration))
+	// SetAlarm registers a function that is called with the time of the earliest timer whenever that time changes.
+	SetAlarm(alarm func(at time.Duration))
 }
 
 // Socket receives the events of one connection. Its methods are called on the loop.
@@ -267,7 +267,7 @@
 // startTimers makes the alarm follow the earliest timer. A periodic tick every few milliseconds would be simpler, but
 // would use CPU time even while the pooler is idle.
 func (l *Loop) startTimers() {
-	l.timers.Alarm(func(at time.Duration) {
+	l.timers.SetAlarm(func(at time.Duration) {
 		l.tickDue = at
 		l.alarm.Reset(max(at-l.timers.Now(), 0))
 	})
--- a/internal/flight/backend.go
+++ b/internal/flight/backend.go
@@ -57,8 +57,8 @@
 // database that operators have excluded, nor reach another database that has the address now.
 func (backend *Backend) Changed(member *core.Member) { backend.connections.update(member) }
 
-// Forgotten does nothing: the connection was dropped when the database went.
-func (backend *Backend) Forgotten(*core.Member) {}
+// Removed does nothing: the connection was dropped when the database went.
+func (backend *Backend) Removed(*core.Member) {}
 
 // send begins an attempt of a statement.
 func (backend *Backend) send(statement *statement, coreAttempt *core.Attempt) core.Transmission {
--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -164,7 +164,7 @@
 			connection.closeAfterFlush()
 		}
 	}
-	frontend.core.Wheel.At(now+frontend.limits.IdleTimeout/idleChecksPerTimeout, frontend.closeIdle)
+	frontend.core.Wheel.Schedule(now+frontend.limits.IdleTimeout/idleChecksPerTimeout, frontend.closeIdle)
 }
 
 // openConnections returns the number of connections in the table that are not closing.
--- a/internal/frontend/bounds.go
+++ b/internal/frontend/bounds.go
@@ -40,7 +40,7 @@
 		return
 	}
 	frontend := connection.frontend
-	connection.recheck = frontend.core.Wheel.At(frontend.core.Now()+recheckTicks*frontend.limits.TimerTick, func() {
+	connection.recheck = frontend.core.Wheel.Schedule(frontend.core.Now()+recheckTicks*frontend.limits.TimerTick, func() {
 		connection.recheck = nil
 		if connection.stage.isClosing() {
 			connection.closeAfterFlush()
--- a/internal/frontend/close.go
+++ b/internal/frontend/close.go
@@ -31,7 +31,7 @@
 	_ = unix.Shutdown(connection.socket.Fd(), unix.SHUT_WR)
 	frontend := connection.frontend
 	deadline := frontend.core.Now() + frontend.limits.RejectionTimeout
-	connection.timeout = frontend.core.Wheel.At(deadline, connection.closeNow)
+	connection.timeout = frontend.core.Wheel.Schedule(deadline, connection.closeNow)
 }
 
 // closeNow closes the connection at once: Closed has been called when closeNow returns. It does nothing if the
--- a/internal/frontend/lifecycle_test.go
+++ b/internal/frontend/lifecycle_test.go
@@ -19,11 +19,11 @@
 	harness := newHarness(t, nil)
 	socket := harness.start()
 	socket.receive(append(harness.statement(), harness.statement()...))
-	require.Equal(t, 2, harness.core.Open())
+	require.Equal(t, 2, harness.core.OpenRequests())
 	socket.failWrites = true
 	harness.answer("first")
 	require.Equal(t, 1, socket.closed)
-	require.Zero(t, harness.core.Open(), "the second request is cancelled too")
+	require.Zero(t, harness.core.OpenRequests(), "the second request is cancelled too")
 	require.True(t, harness.frontend.AllClosed())
 	socket.owner.Closed(nil) // a second time
 	require.EqualValues(t, 1, harness.frontend.Counters().Closed)
@@ -148,7 +148,7 @@
 	socket := harness.start()
 	commands := append(harness.statement(), "X\x00\x00\x00\x04"...)
 	socket.receive(append(commands, harness.statement()...))
-	require.Equal(t, 1, harness.core.Open())
+	require.Equal(t, 1, harness.core.OpenRequests())
 	require.False(t, socket.hasEnded())
 	harness.answer("value")
 	require.Contains(t, string(socket.written), "value")
@@ -194,7 +194,7 @@
 			socket.outbound = 0
 			harness.pass(time.Second)
 			require.Equal(t, !leaves, requested == 1)
-			require.Equal(t, leaves, harness.core.Open() == 0)
+			require.Equal(t, leaves, harness.core.OpenRequests() == 0)
 		})
 	}
 }
@@ -219,7 +219,7 @@
 	unread.receive(statement)
 	require.Contains(t, string(unread.written), pg.CodeTooManyConnections)
 	require.True(t, unread.hasEnded())
-	require.Zero(t, harness.core.Open())
+	require.Zero(t, harness.core.OpenRequests())
 	require.False(t, harness.frontend.AllClosed())
 	harness.pass(harness.limits.RejectionTimeout + 10*time.Millisecond)
 	require.True(t, harness.frontend.AllClosed())
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -120,7 +120,7 @@
 	}
 	due := min(now+frontend.limits.ReceiveTimeout, connection.partialSince+frontend.limits.MessageTimeout)
 	connection.timeout.Stop()
-	connection.timeout = frontend.core.Wheel.At(due, connection.abortPartialMessage)
+	connection.timeout = frontend.core.Wheel.Schedule(due, connection.abortPartialMessage)
 }
 
 // abortPartialMessage is called when an incomplete message has timed out. It sends a fatal error after the responses to
--- a/internal/frontend/world_test.go
+++ b/internal/frontend/world_test.go
@@ -88,8 +88,8 @@
 // Changed implements core.Watcher.
 func (harness *harness) Changed(*core.Member) {}
 
-// Forgotten implements core.Watcher.
-func (harness *harness) Forgotten(*core.Member) {}
+// Removed implements core.Watcher.
+func (harness *harness) Removed(*core.Member) {}
 
 // Bytes implements frontend.TrafficObserver.
 func (harness *harness) Bytes(uint64, []byte) {}
--- a/internal/maintenance/agent/observe.go
+++ b/internal/maintenance/agent/observe.go
@@ -144,9 +144,9 @@
 			Zone:        o.zoneName(database.Zone),
 			Size:        1,
 			Primary:     database.Primary,
-			Warm:        !database.Cold && !warmingUp[name],
+			Warm:        !database.WarmingUp && !warmingUp[name],
 			Up:          database.Health == routing.Healthy && heardLately && !majorityUnhealthy,
-			Fresh:       database.Position > 0 && database.Behind <= o.maxLag,
+			Fresh:       database.Position > 0 && database.MaxLag <= o.maxLag,
 			Unreachable: unreachable[database.Zone],
 		}
 	}
--- a/internal/management/figures.go
+++ b/internal/management/figures.go
@@ -28,7 +28,7 @@
 		lines.add("app.downstream_requests.%s.failed=%d\n", name, answers.Failed)
 	}
 	lines.add("app.upstream_requests=%d\n", values.Written)
-	lines.add("app.pending=%d\n", values.Pending)
+	lines.add("app.pending=%d\n", values.OpenRequests)
 	lines.add("app.members=%d\n", values.Members)
 	lines.add("app.members_unavailable=%d\n", values.Unavailable)
 	lines.add("app.config_reloads=%d\n", values.Reloads)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -139,11 +139,11 @@
 		local = append(local, membership.LocalObservation{
 			Database:   database.Name,
 			State:      stateOf[database.Health],
-			WarmingUp:  database.Cold,
+			WarmingUp:  database.WarmingUp,
 			Primary:    database.Primary,
 			Position:   database.Position,
 			LastAnswer: database.LastHeard,
-			MayProbe:   database.MayAsk,
+			MayProbe:   database.MayProbe,
 		})
 	}
 	return local
@@ -189,12 +189,12 @@
 		if load := float64(requests-p.lastRequests) / seconds; isNotable(load, float64(p.self.Load)) {
 			p.self.Load = int(math.Round(load))
 		}
-		p.self.Groups = groupLoads(p.self.Groups, figures.Asks, p.groupRequests, seconds)
+		p.self.Groups = groupLoads(p.self.Groups, figures.RequestsByGroup, p.groupRequests, seconds)
 	}
 	if open := int(p.openConnections.Load()); isNotable(float64(open), float64(p.self.Connections)) {
 		p.self.Connections = open
 	}
-	p.lastMeasured, p.lastRequests, p.groupRequests = now, requests, figures.Asks
+	p.lastMeasured, p.lastRequests, p.groupRequests = now, requests, figures.RequestsByGroup
 }
 
 // groupLoads returns the load of each group to publish, in requests per second. It returns the published loads unless
@@ -236,7 +236,7 @@
 	if p.lease != nil {
 		p.lease.Stop()
 	}
-	p.lease = p.pooler.Core.Wheel.At(p.pooler.Core.Now()+hintsLease, func() {
+	p.lease = p.pooler.Core.Wheel.Schedule(p.pooler.Core.Now()+hintsLease, func() {
 		p.setLimits(membership.Hints{})
 		p.leaseLost.Store(true)
 	})
--- a/internal/pooler/counters.go
+++ b/internal/pooler/counters.go
@@ -20,16 +20,16 @@
 	p.store.Put("state/"+name, storedState{
 		At:      clock.Wall().UTC(),
 		Fronts:  p.core.Counters().Fronts,
-		Members: p.core.Members(),
-		Open:    p.core.Open(),
+		Members: p.core.MemberNames(),
+		Open:    p.core.OpenRequests(),
 	})
-	p.core.Wheel.At(p.core.Now()+p.limits.Store.SaveInterval, func() { p.storeState(name) })
+	p.core.Wheel.Schedule(p.core.Now()+p.limits.Store.SaveInterval, func() { p.storeState(name) })
 }
 
 // logCounters logs the counters of all parts that are on. The fields' names are a contract with readers of the log.
 func (p *Pooler) logCounters(message string) {
 	line := p.log.Info().Interface("core", p.core.Counters()).Interface("front", p.front.Counters()).
-		Interface("pool", p.pool.Counters()).Int64("accepts_failed", p.loop.AcceptsFailed()).Int("open", p.core.Open())
+		Interface("pool", p.pool.Counters()).Int64("accepts_failed", p.loop.AcceptsFailed()).Int("open", p.core.OpenRequests())
 	if p.quota != nil {
 		line = line.Int("takes", p.quota.Quota())
 	}
--- a/internal/pooler/shutdown.go
+++ b/internal/pooler/shutdown.go
@@ -26,7 +26,7 @@
 
 // shutDown begins the graceful shutdown, which stops the event loop at its end.
 func (p *Pooler) shutDown() {
-	p.log.Info().Int("open", p.core.Open()).Msg("stopping")
+	p.log.Info().Int("open", p.core.OpenRequests()).Msg("stopping")
 	close(p.stopping)
 	p.core.Stopping()
 	if p.peers != nil {
@@ -54,7 +54,7 @@
 		p.loop.Stop()
 		return
 	}
-	p.core.Wheel.At(now+shutdownCheckTicks*p.limits.Shutdown.TimerTick, s.check)
+	p.core.Wheel.Schedule(now+shutdownCheckTicks*p.limits.Shutdown.TimerTick, s.check)
 }
 
 // drain closes clients' connections between requests.
@@ -78,7 +78,7 @@
 // answered reports whether all accepted requests are answered.
 func (s *shutdown) answered() bool {
 	p := s.pooler
-	return s.draining && p.core.Open() == 0 && p.front.AllAnswered() && s.flightStopped()
+	return s.draining && p.core.OpenRequests() == 0 && p.front.AllAnswered() && s.flightStopped()
 }
 
 // finished reports whether the program can end before its deadline.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -122,20 +122,20 @@
 // routing returns the settings of a router.
 func (d *document) routing() (routing.Settings, error) {
 	settings := routing.Settings{
-		Routers:           d.Routers,
-		OverQuota:         d.OverQuota,
-		ListBindsAfter:    listBindsAfter,
-		MaxAttempts:       d.Allowed.MaxAttempts,
-		MaxRetryAfter:     d.Allowed.MaxRetryAfter.duration(),
-		CanCancel:         d.Allowed.Cancel,
-		CanProbe:          d.Allowed.Probes,
-		CanHedge:          d.Allowed.Hedges,
-		DrainGrace:        d.Rules.DrainGrace.duration(),
-		OnlyDrainingBinds: d.Rules.OnlyDrainingBinds,
-		SlowStartShare:    d.Rules.SlowStartShare,
-		SlowStartTime:     d.Rules.SlowStartTime.duration(),
-		OverloadMultiple:  d.Rules.OverloadMultiple,
-		OverloadWindow:    d.Rules.OverloadWindow.duration(),
+		Routers:          d.Routers,
+		OverQuota:        d.OverQuota,
+		ListBindsAfter:   listBindsAfter,
+		MaxAttempts:      d.Allowed.MaxAttempts,
+		MaxRetryAfter:    d.Allowed.MaxRetryAfter.duration(),
+		CanCancel:        d.Allowed.Cancel,
+		CanProbe:         d.Allowed.Probes,
+		CanHedge:         d.Allowed.Hedges,
+		DrainGrace:       d.Rules.DrainGrace.duration(),
+		MayUseGoneNodes:  d.Rules.OnlyDrainingBinds,
+		SlowStartShare:   d.Rules.SlowStartShare,
+		SlowStartTime:    d.Rules.SlowStartTime.duration(),
+		OverloadMultiple: d.Rules.OverloadMultiple,
+		OverloadWindow:   d.Rules.OverloadWindow.duration(),
 	}
 	if pollWithin := d.Rules.PollWithin.duration(); pollWithin > 0 {
 		settings.ListBindsAfter = min(settings.ListBindsAfter, pollWithin)
--- a/internal/simhost/decoder_test.go
+++ b/internal/simhost/decoder_test.go
@@ -85,12 +85,12 @@
 	require.Equal(t, routing.OK, done.Status)
 	require.True(t, done.Final)
 	require.Equal(t, 18500*time.Microsecond, done.Duration)
-	require.Equal(t, routing.Replica, done.Note.Role)
-	require.Equal(t, origin+0x638e>>2*time.Millisecond, done.Note.Position)
-	require.Equal(t, routing.Replica, done.Report.Role)
+	require.Equal(t, routing.Replica, done.AnswerEvidence.Role)
+	require.Equal(t, origin+0x638e>>2*time.Millisecond, done.AnswerEvidence.Position)
+	require.Equal(t, routing.Replica, done.HealthReport.Role)
 	exact := origin + 6204*time.Millisecond
-	require.LessOrEqual(t, done.Report.Position, exact)
-	require.GreaterOrEqual(t, done.Report.Position, exact-time.Millisecond, "just under it")
+	require.LessOrEqual(t, done.HealthReport.Position, exact)
+	require.GreaterOrEqual(t, done.HealthReport.Position, exact-time.Millisecond, "just under it")
 }
 
 // Each fault of a batch is an error that says where it is and what is wrong, and is no regular end.
--- a/internal/simhost/events.go
+++ b/internal/simhost/events.go
@@ -69,13 +69,13 @@
 	outcome.Status = connectionStatus(outcome.Status, outcome.Duration, configured.ConnectTimeout)
 	outcome.Final = r.uint8() != 0
 	note := r.uint32()
-	outcome.Note.Role = routing.Role(note & noteRoleMask)
+	outcome.AnswerEvidence.Role = routing.Role(note & noteRoleMask)
 	if position := note >> notePositionShift; position != 0 {
-		outcome.Note.Position = configured.Origin + time.Duration(position)*time.Millisecond
+		outcome.AnswerEvidence.Position = configured.Origin + time.Duration(position)*time.Millisecond
 	}
-	outcome.Report = r.report(configured)
-	if outcome.Note.Role > routing.Replica {
-		return event, fmt.Errorf("role %d", outcome.Note.Role)
+	outcome.HealthReport = r.report(configured)
+	if outcome.AnswerEvidence.Role > routing.Replica {
+		return event, fmt.Errorf("role %d", outcome.AnswerEvidence.Role)
 	}
 	return event, nil
 }
@@ -88,7 +88,7 @@
 	outcome.Status = r.status()
 	outcome.Duration = r.milliseconds()
 	outcome.Status = connectionStatus(outcome.Status, outcome.Duration, configured.ConnectTimeout)
-	outcome.Report = r.report(configured)
+	outcome.HealthReport = r.report(configured)
 	return event
 }
 
--- a/internal/simhost/events_test.go
+++ b/internal/simhost/events_test.go
@@ -133,7 +133,7 @@
 			report := strings.ReplaceAll(test.digits, " ", "")
 			got, err := events(t, fmt.Sprintf("16 %08x", 16+len(report)/2)+nodeDigits+"00c8"+half+report)
 			require.NoError(t, err)
-			require.Equal(t, test.want, got[0].Outcome.Report)
+			require.Equal(t, test.want, got[0].Outcome.HealthReport)
 		})
 	}
 }
--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -47,9 +47,9 @@
 // slot returns the head of the list with the timers of a tick. The list has timers of other turns too.
 func (w *Wheel) slot(tick int64) *Timer { return &w.slots[tick%int64(len(w.slots))] }
 
-// At schedules a call for a time on the same clock as Advance, rounded up to a tick. A timer in the past fires at the
+// Schedule schedules a call for a time on the same clock as Advance, rounded up to a tick. A timer in the past fires at the
 // next tick.
-func (w *Wheel) At(at time.Duration, call func()) *Timer {
+func (w *Wheel) Schedule(at time.Duration, call func()) *Timer {
 	tick := int64((at + w.interval - 1) / w.interval)
 	t := &Timer{tick: max(tick, w.last+1), call: call}
 	head := w.slot(t.tick)
@@ -61,10 +61,10 @@
 	return t
 }
 
-// Alarm sets the function that receives the time at which the next Advance is due. The function is called at once and
-// whenever that time changes: an idle program can sleep until then. The time is no later than the earliest timer.
+// SetAlarm sets the function that receives the time at which the next Advance is due. The function is called at once
+// and whenever that time changes: an idle program can sleep until then. The time is no later than the earliest timer.
 // Stopping a timer doesn't cancel its alarm.
-func (w *Wheel) Alarm(alarm func(at time.Duration)) {
+func (w *Wheel) SetAlarm(alarm func(at time.Duration)) {
 	w.alarm = alarm
 	w.setNextAlarm()
 }
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -30,7 +30,7 @@
 		wheel: New(tick, 64, begin), rng: rand.New(rand.NewPCG(seed, 1)), now: begin,
 		want: map[int]time.Duration{}, got: map[int]time.Duration{},
 	}
-	alarmed.wheel.Alarm(func(at time.Duration) { alarmed.due = at })
+	alarmed.wheel.SetAlarm(func(at time.Duration) { alarmed.due = at })
 	return alarmed
 }
 
@@ -38,7 +38,7 @@
 func (a *alarmedWheel) setTimer() {
 	index, at := len(a.timers), a.now+time.Duration(a.rng.IntN(800))*time.Millisecond
 	a.want[index] = max((at+tick-1)/tick, a.now/tick+1) * tick
-	a.timers = append(a.timers, a.wheel.At(at, func() { a.got[index] = a.now }))
+	a.timers = append(a.timers, a.wheel.Schedule(at, func() { a.got[index] = a.now }))
 }
 
 // stopTimer picks a random timer and, if it has not fired, stops it with a probability of 1/2.
@@ -112,10 +112,10 @@
 func TestOnlyEarlierTimerChangesAlarm(t *testing.T) {
 	wheel := New(tick, 64, begin)
 	var alarms []time.Duration
-	wheel.Alarm(func(at time.Duration) { alarms = append(alarms, at) })
-	wheel.At(begin+time.Second, func() {})
-	wheel.At(begin+100*time.Millisecond, func() {})
-	wheel.At(begin+200*time.Millisecond, func() {})
+	wheel.SetAlarm(func(at time.Duration) { alarms = append(alarms, at) })
+	wheel.Schedule(begin+time.Second, func() {})
+	wheel.Schedule(begin+100*time.Millisecond, func() {})
+	wheel.Schedule(begin+200*time.Millisecond, func() {})
 	require.Equal(t, []time.Duration{begin + 64*tick, begin + 100*time.Millisecond}, alarms,
 		"the end of a turn, then an earlier timer; a later timer sets no alarm")
 	wheel.Advance(begin + 100*time.Millisecond)
--- a/routing/api.go
+++ b/routing/api.go
@@ -111,9 +111,9 @@
 	// CanHedge means that two attempts of a request may be pending at the same time.
 	CanHedge   bool
 	DrainGrace time.Duration
-	// OnlyDrainingBinds means that requests may be sent to a node listed as gone, unless it was listed as draining
+	// MayUseGoneNodes means that requests may be sent to a node listed as gone, unless it was listed as draining
 	// before.
-	OnlyDrainingBinds bool `json:"DrainOnly"`
+	MayUseGoneNodes bool `json:"DrainOnly"`
 	// SlowStartShare is the least share of its full capacity that a node has right after a restart.
 	SlowStartShare float64 `json:"ColdShare"`
 	// SlowStartTime is the longest time that a node needs to warm up.
@@ -191,13 +191,13 @@
 
 // Outcome is the end of an attempt or a probe, with the evidence that the node sent about itself.
 type Outcome struct {
-	Node     NodeID
-	Attempt  int // index of the attempt among those of its request, from 0
-	Status   Status
-	Duration time.Duration
-	Final    bool     // the client has its answer or the request is over
-	Note     Evidence // from the answer to the request
-	Report   Evidence // from a health report
+	Node           NodeID
+	Attempt        int // index of the attempt among those of its request, from 0
+	Status         Status
+	Duration       time.Duration
+	Final          bool     // the client has its answer or the request is over
+	AnswerEvidence Evidence // from the answer to the request
+	HealthReport   Evidence // from a health report
 }
 
 // Evidence is what a node reports about itself. It is current in the answer to a request; in a health report it may be
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -126,7 +126,7 @@
 		r.recordOutcome(request, attempt, outcome)
 	}
 	if request.class.Read == Write {
-		commit := clockoffset.Instant{Remote: outcome.Note.Position}
+		commit := clockoffset.Instant{Remote: outcome.AnswerEvidence.Position}
 		if commit.Remote == 0 {
 			commit.Own = r.now
 		}
--- a/routing/attempts_test.go
+++ b/routing/attempts_test.go
@@ -52,7 +52,7 @@
 		harness.arrive(id, classFresh)
 		harness.step(Event{Kind: AttemptDone, Request: id, Outcome: Outcome{
 			Node: 1, Duration: 10 * ms, Final: true,
-			Note: Evidence{Role: Primary, Position: harness.now},
+			AnswerEvidence: Evidence{Role: Primary, Position: harness.now},
 		}})
 		harness.step(Event{Kind: TimerFired})
 	}
--- a/routing/control_test.go
+++ b/routing/control_test.go
@@ -54,7 +54,7 @@
 	for _, id := range order {
 		r.step(Event{Kind: AttemptDone, Request: id, Outcome: Outcome{
 			Node: sent[id], Status: OK, Final: true, Duration: 150 * ms,
-			Report: Evidence{
+			HealthReport: Evidence{
 				Role: Replica, Position: r.now, ReportsQueue: r.reportsQueue, QueueLength: queueLength,
 			},
 		}})
--- a/routing/evidence.go
+++ b/routing/evidence.go
@@ -29,8 +29,8 @@
 	if node == nil {
 		return
 	}
-	r.recordEvidence(node, outcome.Note, clockoffset.Instant{Own: r.now})
-	r.recordEvidence(node, outcome.Report, r.reportedInstant(outcome.Report.Position))
+	r.recordEvidence(node, outcome.AnswerEvidence, clockoffset.Instant{Own: r.now})
+	r.recordEvidence(node, outcome.HealthReport, r.reportedInstant(outcome.HealthReport.Position))
 }
 
 // recordOutcome updates the node's health, completed work and latency from the outcome of an attempt.
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -78,7 +78,7 @@
 				harness.arriveAs(1, Arrival{Class: classWrite, Session: 7, TimeLeft: time.Second}), Send)
 			harness.now += 10 * ms
 			require.Equal(t, NodeID(1), read(2), "while the write is in flight")
-			outcome := Outcome{Node: 1, Status: testCase.status, Final: true, Note: testCase.note}
+			outcome := Outcome{Node: 1, Status: testCase.status, Final: true, AnswerEvidence: testCase.note}
 			harness.step(Event{Kind: AttemptDone, Request: 1, Outcome: outcome})
 			node := read(3)
 			require.Equal(t, testCase.replica, node != 1, "read after the write was sent to node %d", node)
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -113,7 +113,7 @@
 
 // probeSucceeded passes a successful probe to the router, with the role and the position that the node reports.
 func (h *routerHarness) probeSucceeded(id NodeID, role Role, position time.Duration) []Action {
-	return h.step(Event{Kind: ProbeDone, Outcome: Outcome{Node: id, Report: Evidence{Role: role, Position: position}}})
+	return h.step(Event{Kind: ProbeDone, Outcome: Outcome{Node: id, HealthReport: Evidence{Role: role, Position: position}}})
 }
 
 // probeFailed passes a failed probe of the node to the router.
@@ -148,7 +148,7 @@
 // done ends an attempt. The request is over if the status is OK.
 func (h *routerHarness) done(id RequestID, attempt int, node NodeID, status Status, note Evidence) []Action {
 	return h.step(Event{Kind: AttemptDone, Request: id, Outcome: Outcome{
-		Node: node, Attempt: attempt, Status: status, Final: status == OK, Note: note,
+		Node: node, Attempt: attempt, Status: status, Final: status == OK, AnswerEvidence: note,
 	}})
 }
 
--- a/routing/nodes.go
+++ b/routing/nodes.go
@@ -157,7 +157,7 @@
 			slices.SortFunc(r.groups, func(a, b *replicaGroup) int { return cmp.Compare(a.number, b.number) })
 		}
 		node.group = group
-		if node.State != Gone || r.settings.OnlyDrainingBinds {
+		if node.State != Gone || r.settings.MayUseGoneNodes {
 			group.members = append(group.members, node)
 		}
 	}
--- a/routing/nodes_test.go
+++ b/routing/nodes_test.go
@@ -33,13 +33,13 @@
 	harness.requireActions("write three seconds after the first list", harness.arrive(7, classWrite))
 }
 
-// With OnlyDrainingBinds, requests may be sent to a node that is listed as gone, unless it was listed as draining
+// With MayUseGoneNodes, requests may be sent to a node that is listed as gone, unless it was listed as draining
 // before.
-func TestGoneNodeMayBeTriedWhereOnlyDrainingBinds(t *testing.T) {
+func TestGoneNodeMayBeTriedWhereSettingsAllowIt(t *testing.T) {
 	for name, drained := range map[string]bool{"not draining before": false, "draining before": true} {
 		t.Run(name, func(t *testing.T) {
 			settings := defaultSettings()
-			settings.OnlyDrainingBinds = true
+			settings.MayUseGoneNodes = true
 			harness := newHarness(t, settings)
 			if drained {
 				harness.list(Node{ID: 1, State: Draining}, Node{ID: 2, State: Ready}, Node{ID: 3, State: Ready})
@@ -63,8 +63,8 @@
 	for range 1000 {
 		harness.now += time.Minute
 		harness.step(Event{Kind: ListUpdated, Nodes: []Node{{ID: next, State: Gone}, {ID: next + 1, State: Ready}}})
-		require.True(t, router.Knows(next), "a node that has just become gone is removed")
-		require.True(t, router.Knows(next+1), "a new node is unknown")
+		require.True(t, router.HasNode(next), "a node that has just become gone is removed")
+		require.True(t, router.HasNode(next+1), "a new node is unknown")
 		next++
 	}
 	require.LessOrEqual(t, len(router.nodes), 3+1+11)
@@ -73,12 +73,12 @@
 	harness.list(Node{ID: next, State: Ready}) // the first three nodes are gone, and one of them has a read in flight
 	harness.now += time.Hour
 	harness.list(Node{ID: next, State: Ready})
-	require.True(t, router.Knows(busy), "the node with a request in flight is removed")
+	require.True(t, router.HasNode(busy), "the node with a request in flight is removed")
 	require.Len(t, router.nodes, 2)
 
 	harness.done(1, 0, busy, TimedOut, Evidence{})
 	harness.list(Node{ID: next, State: Ready})
-	require.False(t, router.Knows(busy), "the node is not removed after the end of its request")
+	require.False(t, router.HasNode(busy), "the node is not removed after the end of its request")
 
 	harness.list(Node{ID: next, State: Ready}, Node{ID: busy, State: Ready, Started: harness.now})
 	node := router.byID[busy]
--- a/routing/operators.go
+++ b/routing/operators.go
@@ -68,7 +68,7 @@
 	case node.drainingSince == 0:
 		return true
 	case node.State == Gone:
-		return r.settings.OnlyDrainingBinds && !node.listedDraining
+		return r.settings.MayUseGoneNodes && !node.listedDraining
 	default:
 		return asPrimary && r.now-node.drainingSince < grace
 	}
--- a/routing/probes.go
+++ b/routing/probes.go
@@ -63,7 +63,7 @@
 
 // probe sends a probe to a node if probes are possible and none is pending there.
 func (r *Router) probe(node *nodeRecord) {
-	if !r.settings.CanProbe || node.probePending || (node.State == Gone && !r.settings.OnlyDrainingBinds) {
+	if !r.settings.CanProbe || node.probePending || (node.State == Gone && !r.settings.MayUseGoneNodes) {
 		return
 	}
 	node.probePending, node.lastProbe = true, r.now
@@ -80,7 +80,7 @@
 	node.probePending = false
 	switch outcome.Status {
 	case OK:
-		r.recordEvidence(node, outcome.Report, r.reportedInstant(outcome.Report.Position))
+		r.recordEvidence(node, outcome.HealthReport, r.reportedInstant(outcome.HealthReport.Position))
 		node.lastHeard = r.now
 		r.nextTick = r.now
 		if !node.unresponsive {
--- a/routing/probes_test.go
+++ b/routing/probes_test.go
@@ -61,11 +61,11 @@
 	case Probe:
 		f.probes++
 		return []Event{{Kind: ProbeDone, Outcome: Outcome{
-			Node: action.Node, Status: f.probeStatus, Report: evidence,
+			Node: action.Node, Status: f.probeStatus, HealthReport: evidence,
 		}}}
 	case Send:
 		return []Event{{Kind: AttemptDone, Request: action.Request, Outcome: Outcome{
-			Node: action.Node, Status: OK, Duration: 10 * ms, Final: true, Note: evidence,
+			Node: action.Node, Status: OK, Duration: 10 * ms, Final: true, AnswerEvidence: evidence,
 		}}}
 	}
 	return nil
@@ -112,7 +112,7 @@
 		if action.Node == 1 {
 			evidence.Role = Primary
 		}
-		return []Event{{Kind: ProbeDone, Outcome: Outcome{Node: action.Node, Report: evidence}}}
+		return []Event{{Kind: ProbeDone, Outcome: Outcome{Node: action.Node, HealthReport: evidence}}}
 	}
 	return nil
 }
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -158,8 +158,8 @@
 	for _, id := range e.probes {
 		outcome := Outcome{Node: id, Status: TimedOut}
 		if e.rng.IntN(3) != 0 {
-			outcome.Status, outcome.Report = OK, e.evidence(id)
-			if outcome.Report.Role == Primary && outcome.Report.Position >= e.replicaAt[id] {
+			outcome.Status, outcome.HealthReport = OK, e.evidence(id)
+			if outcome.HealthReport.Role == Primary && outcome.HealthReport.Position >= e.replicaAt[id] {
 				delete(e.replicaAt, id)
 			}
 		}
@@ -198,7 +198,7 @@
 func (e *randomEnvironment) endAttempt(request *trackedRequest, index int, overdue bool) Outcome {
 	attempt := &request.attempts[index]
 	outcome := Outcome{
-		Node: attempt.node, Attempt: index, Duration: e.now - attempt.sentAt, Note: e.evidence(attempt.node),
+		Node: attempt.node, Attempt: index, Duration: e.now - attempt.sentAt, AnswerEvidence: e.evidence(attempt.node),
 		Status: Status(e.rng.IntN(int(NodeRejected) + 1)),
 	}
 	if overdue {
@@ -208,7 +208,7 @@
 	request.mayHaveRun = request.mayHaveRun || !outcome.Status.NeverRan()
 	outcome.Final = request.done || outcome.Status == OK
 	request.done = outcome.Final
-	switch outcome.Note.Role {
+	switch outcome.AnswerEvidence.Role {
 	case Primary:
 		delete(e.replicaAt, attempt.node)
 	case Replica:
--- a/routing/remotetime_test.go
+++ b/routing/remotetime_test.go
@@ -210,15 +210,15 @@
 	require.Equal(t, run(), run(Event{Kind: ClockOffset}))
 }
 
-// NodeStatus.Behind accounts for the offset between the clocks.
+// NodeStatus.MaxLag accounts for the offset between the clocks.
 func TestStatusReportsLagUnderAnOffset(t *testing.T) {
 	forEachOffset(t, func(t *testing.T, offset time.Duration) {
 		harness := newSkewedHarness(t, defaultSettings(), offset)
 		harness.probeSucceeded(2, Replica, harness.now+offset-700*ms)
 		for _, status := range harness.router.NodeStatuses(nil) {
 			if status.ID == 2 {
-				require.GreaterOrEqual(t, status.Behind, 700*ms)
-				require.LessOrEqual(t, status.Behind, 700*ms+offsetError)
+				require.GreaterOrEqual(t, status.MaxLag, 700*ms)
+				require.LessOrEqual(t, status.MaxLag, 700*ms+offsetError)
 			}
 		}
 	})
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -49,7 +49,7 @@
 			if action.Kind == Send {
 				events[0] = Event{Kind: AttemptDone, Request: id, Outcome: Outcome{
 					Node: action.Node, Final: true,
-					Duration: ms, Note: Evidence{Role: Replica, Position: harness.now},
+					Duration: ms, AnswerEvidence: Evidence{Role: Replica, Position: harness.now},
 				}}
 			}
 		}
--- a/routing/slowstart_fleet_test.go
+++ b/routing/slowstart_fleet_test.go
@@ -217,7 +217,7 @@
 	case Probe:
 		target := f.databases[action.Node]
 		f.schedule(f.now+tickInterval, router, Event{Kind: ProbeDone, Outcome: Outcome{
-			Node: action.Node, Report: f.evidence(target),
+			Node: action.Node, HealthReport: f.evidence(target),
 		}}, target)
 	case Send:
 		target := f.databases[action.Node]
@@ -307,7 +307,7 @@
 		case event.Kind == AttemptDone && due.database != f.databases[due.database.id]:
 			event.Outcome.Status, event.Outcome.Final = ConnectionBroken, false
 		case event.Kind == AttemptDone:
-			event.Outcome.Note = f.evidence(due.database)
+			event.Outcome.AnswerEvidence = f.evidence(due.database)
 			if event.Outcome.Status == OK {
 				due.database.inFlight--
 			}
--- a/routing/status.go
+++ b/routing/status.go
@@ -6,13 +6,13 @@
 type NodeStatus struct {
 	ID        NodeID
 	Health    Health
-	Cold      bool          // warming up
+	WarmingUp bool
 	Primary   bool          // by the nodes' reports, not by the list's hint
 	Position  time.Duration // the last reported one, by the nodes' clock; 0: none
 	LastHeard time.Duration // router's time of the last answer or report; 0: none
-	// Behind is the greatest replication lag that the node can have had at LastHeard. It is meaningless without a
+	// MaxLag is the greatest replication lag that the node can have had at LastHeard. It is meaningless without a
 	// Position.
-	Behind time.Duration
+	MaxLag time.Duration
 }
 
 // Health is the health of a node, by evidence.
@@ -27,8 +27,8 @@
 	NotListening // ejected: no process listens there
 )
 
-// Knows reports whether the router has a record of the node.
-func (r *Router) Knows(id NodeID) bool { return r.byID[id] != nil }
+// HasNode reports whether the router has a record of the node.
+func (r *Router) HasNode(id NodeID) bool { return r.byID[id] != nil }
 
 // NodeStatuses appends the status of each node that is not gone to out, sorted by ID.
 func (r *Router) NodeStatuses(out []NodeStatus) []NodeStatus {
@@ -46,11 +46,11 @@
 	return NodeStatus{
 		ID:        node.ID,
 		Health:    node.health(),
-		Cold:      r.capacityShare(node) < 1,
+		WarmingUp: r.capacityShare(node) < 1,
 		Primary:   node.role == Primary && r.roleTime(node) > listEvidenceAt,
 		Position:  node.position,
 		LastHeard: lastHeard,
-		Behind:    lastHeard + r.offset.Latest - node.position,
+		MaxLag:    lastHeard + r.offset.Latest - node.position,
 	}
 }
 
@@ -70,9 +70,9 @@
 	}
 }
 
-// Unavailable returns how many listed nodes receive no requests, other than those that only a primary can serve: the
+// UnavailableNodes returns how many listed nodes receive no requests, other than those that only a primary can serve: the
 // excluded, draining and ejected ones.
-func (r *Router) Unavailable() (count int) {
+func (r *Router) UnavailableNodes() (count int) {
 	for _, node := range r.nodes {
 		if node.State != Gone && (node.ejected || !r.mayReceive(node, false)) {
 			count++
@@ -81,9 +81,9 @@
 	return count
 }
 
-// Size returns the estimated size of the nodes: the number of requests that a node works on at once, as a multiple of
+// NodeSize returns the estimated size of the nodes: the number of requests that a node works on at once, as a multiple of
 // capacity.UnitConcurrency.
-func (r *Router) Size() float64 { return float64(r.size) }
+func (r *Router) NodeSize() float64 { return float64(r.size) }
 
 // HasPrimaries reports whether every group has an available primary, by the router's evidence. An excluded primary
 // counts too: no other would be found by waiting.
