--- a/cmd/capercove/command.go
+++ b/cmd/capercove/command.go
@@ -88,7 +88,7 @@
 		Args:                  positional(0, "FILE"),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			if len(arguments) > 0 {
-				if err := os.Setenv(tables.Variable, arguments[0]); err != nil {
+				if err := os.Setenv(tables.PathVariable, arguments[0]); err != nil {
 					return exitError{statusFault, err}
 				}
 			}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -49,21 +49,21 @@
 
 // The kinds of events.
 const (
-	Offered Kind = iota // a request has arrived
-	Ended               // an admitted request has ended
-	Left                // the client of a waiting or admitted request has disconnected
-	Full                // an attempt of an admitted request was rejected because the databases are overloaded
-	Retuned             // the settings have changed; queued requests stay, unless their class was removed
-	Woken               // the time of a Wake action has elapsed
+	Offered         Kind = iota // a request has arrived
+	Ended                       // an admitted request has ended
+	Disconnected                // the client of a waiting or admitted request has disconnected
+	Overloaded                  // an attempt of an admitted request was rejected because the databases are overloaded
+	SettingsChanged             // the settings have changed; queued requests stay, unless their class was removed
+	Woken                       // the time of a Wake action has elapsed
 )
 
 // Event is an input of Step. The Kind determines which other fields are set.
 type Event struct {
 	Kind     Kind
-	Request  uint64    // number of the request; unused by Retuned and Woken
+	Request  uint64    // number of the request; unused by SettingsChanged and Woken
 	Offer    Offer     // Offered: the arriving request
 	Outcome  Outcome   // Ended: the result of the request
-	Settings *Settings // Retuned: the new settings, which the caller must not change afterwards
+	Settings *Settings // SettingsChanged: the new settings, which the caller must not change afterwards
 }
 
 // Offer describes an arriving request.
@@ -157,7 +157,7 @@
 		switch e := &events[i]; e.Kind {
 		case Ended:
 			c.ended(e.Request, &e.Outcome)
-		case Full:
+		case Overloaded:
 			if at, known := c.entryIndex[e.Request]; known && c.entries[at].state == inFlight {
 				c.queues[c.entries[at].queue].limiter.overloaded()
 			}
@@ -165,11 +165,11 @@
 	}
 	for i := range events {
 		switch e := &events[i]; e.Kind {
-		case Retuned: // processed in order with the offers: earlier offers refer to the old settings
+		case SettingsChanged: // processed in order with the offers: earlier offers refer to the old settings
 			c.applySettings(*e.Settings)
 		case Offered:
 			c.offer(e.Request, &e.Offer)
-		case Left:
+		case Disconnected:
 			c.left(e.Request)
 		}
 	}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -308,7 +308,7 @@
 	changed.Tenants[0].Name = "c" // a and b are removed
 	changed.Classes = []Class{settings.Classes[2], settings.Classes[1]}
 	changed.Bounds.MaxConcurrency = 100
-	sim.events = append(sim.events, Event{Kind: Retuned, Settings: &changed})
+	sim.events = append(sim.events, Event{Kind: SettingsChanged, Settings: &changed})
 	sim.offer(0, 1, 99, time.Second, nil)
 	sim.step()
 	require.Positive(t, sim.controller.Counters().ClassGone)
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -57,17 +57,17 @@
 // Check returns the first error of the table: a tables.KeyError or the error of a rule. A valid table gives nil.
 func (c Config) Check() error {
 	if _, known := limiters[c.Limit]; !known {
-		return tables.Bad("limit", "%q is neither gradient nor aimd", c.Limit)
+		return tables.KeyErrorf("limit", "%q is neither gradient nor aimd", c.Limit)
 	}
 	if !(c.Tolerance > 1 && c.Tolerance <= maxTolerance) {
-		return tables.Bad("tolerance", "%v is not above 1 and up to %v", c.Tolerance, maxTolerance)
+		return tables.KeyErrorf("tolerance", "%v is not above 1 and up to %v", c.Tolerance, maxTolerance)
 	}
 	if !clients[c.Client] {
-		return tables.Bad("client", "%q is not key, address, connection or user", c.Client)
+		return tables.KeyErrorf("client", "%q is not key, address, connection or user", c.Client)
 	}
 	if len(c.Tenants) >= MaxTenants {
-		return tables.Bad(fmt.Sprintf("tenants[%d]", MaxTenants-1), "%d tenants are listed, at most %d are allowed",
-			len(c.Tenants), MaxTenants-1)
+		return tables.KeyErrorf(fmt.Sprintf("tenants[%d]", MaxTenants-1),
+			"%d tenants are listed, at most %d are allowed", len(c.Tenants), MaxTenants-1)
 	}
 	if err := c.checkTenants(); err != nil {
 		return err
@@ -83,14 +83,14 @@
 	for i, tenant := range c.Tenants {
 		key := fmt.Sprintf("tenants[%d]", i)
 		if tenant.Name == "" || seen[tenant.Name] {
-			return tables.Bad(key+".name", "%q is empty or not the first of its name", tenant.Name)
+			return tables.KeyErrorf(key+".name", "%q is empty or not the first of its name", tenant.Name)
 		}
 		seen[tenant.Name] = true
 		if err := tenant.check(key); err != nil {
 			return err
 		}
 		if floors += tenant.FloorShare; floors > 1 {
-			return tables.Bad(key+".floor_share", "the floors add up to %v", floors)
+			return tables.KeyErrorf(key+".floor_share", "the floors add up to %v", floors)
 		}
 	}
 	return nil
@@ -99,7 +99,7 @@
 // check validates the numbers of a tenant. The key of its table is for the error.
 func (t TenantConfig) check(key string) error {
 	if t.Weight != nil && !(*t.Weight >= minWeight && *t.Weight <= maxWeight) {
-		return tables.Bad(key+".weight", "%v is not from %v to %v", *t.Weight, minWeight, maxWeight)
+		return tables.KeyErrorf(key+".weight", "%v is not from %v to %v", *t.Weight, minWeight, maxWeight)
 	}
 	for _, bound := range []struct {
 		name           string
@@ -111,14 +111,14 @@
 		{"ceiling_share", t.CeilingShare, 1},
 	} {
 		if !(bound.value >= 0 && bound.value <= bound.maximum) {
-			return tables.Bad(key+"."+bound.name, "%v is not from 0 to %v", bound.value, bound.maximum)
+			return tables.KeyErrorf(key+"."+bound.name, "%v is not from 0 to %v", bound.value, bound.maximum)
 		}
 	}
 	if t.Ceiling > 0 && t.Ceiling < t.Floor {
-		return tables.Bad(key+".ceiling", "%v is under the floor, %v", t.Ceiling, t.Floor)
+		return tables.KeyErrorf(key+".ceiling", "%v is under the floor, %v", t.Ceiling, t.Floor)
 	}
 	if t.CeilingShare > 0 && t.CeilingShare < t.FloorShare {
-		return tables.Bad(key+".ceiling_share", "%v is under the floor, %v", t.CeilingShare, t.FloorShare)
+		return tables.KeyErrorf(key+".ceiling_share", "%v is under the floor, %v", t.CeilingShare, t.FloorShare)
 	}
 	return nil
 }
--- a/internal/admission/figures.go
+++ b/internal/admission/figures.go
@@ -46,9 +46,10 @@
 
 // TenantFigures are the figures of a tenant for operators.
 type TenantFigures struct {
-	Name                      string
-	Queued, Admitted, Refused int64 // requests that wait now; requests admitted and rejected so far
-	Inside                    int   // requests in flight
+	Name             string
+	Queued, Admitted int64 // requests that wait now; requests admitted so far
+	Rejected         int64 `json:"Refused"` // requests rejected so far
+	InFlight         int   `json:"Inside"`  // requests in flight
 }
 
 // Tenants returns the figures of all tenants, ordered by their numbers of requests, the largest first.
@@ -56,25 +57,26 @@
 	all := make([]TenantFigures, len(c.tenants))
 	for i, t := range c.tenants {
 		name := c.settings.Tenants[i].Name
-		all[i] = TenantFigures{Name: name, Queued: t.queued, Admitted: t.admitted, Refused: t.rejected}
+		all[i] = TenantFigures{Name: name, Queued: t.queued, Admitted: t.admitted, Rejected: t.rejected}
 		for _, q := range c.queues {
 			if sub := q.subqueues[i]; sub != nil {
-				all[i].Inside += sub.inFlight
+				all[i].InFlight += sub.inFlight
 			}
 		}
 	}
 	slices.SortStableFunc(all, func(a, b TenantFigures) int {
-		return int(b.Admitted + b.Refused + b.Queued - a.Admitted - a.Refused - a.Queued)
+		return int(b.Admitted + b.Rejected + b.Queued - a.Admitted - a.Rejected - a.Queued)
 	})
 	return all
 }
 
 // QueueFigures are the figures of a queue for operators.
 type QueueFigures struct {
-	Group          int
-	Primary        bool
-	Limit          float64 // concurrency limit
-	Inside, Queued int     // requests in flight, and waiting
+	Group    int
+	Primary  bool
+	Limit    float64 // concurrency limit
+	InFlight int     `json:"Inside"` // requests in flight
+	Queued   int     // requests that wait
 }
 
 // Queues returns the figures of all queues, ordered by group. The primary's queue is the first of a group.
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -112,7 +112,7 @@
 func (s *simulation) disconnect(request *simRequest) {
 	if request.state == waiting {
 		s.end(request, disconnected)
-		s.events = append(s.events, Event{Kind: Left, Request: request.id})
+		s.events = append(s.events, Event{Kind: Disconnected, Request: request.id})
 	}
 }
 
@@ -123,7 +123,7 @@
 	s.events = nil
 	left := map[uint64]bool{}
 	for _, event := range events {
-		left[event.Request] = left[event.Request] || event.Kind == Left
+		left[event.Request] = left[event.Request] || event.Kind == Disconnected
 	}
 	for _, action := range s.controller.Step(s.now, events, nil) {
 		if left[action.Request] { // rejected in the Step whose batch also has the client's disconnect
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -50,7 +50,7 @@
 	pool := connection.pool
 	return pool.core.Now()-connection.lastUsed < pool.limits.IdleTimeout &&
 		connection.isToCurrentAddress() &&
-		eventloop.IsQuiet(connection.socket)
+		eventloop.HasNothingToRead(connection.socket)
 }
 
 // isToCurrentAddress reports whether the connection was dialed to the database's current address.
@@ -113,7 +113,7 @@
 // sendAttempt writes the statement of an attempt with the time left until its deadline. It notifies the core if the
 // whole statement has been handed to the kernel.
 func (connection *connection) sendAttempt(job *job, now time.Duration) {
-	connection.write(job.query.AppendFor(nil, job.attempt.Deadline-now))
+	connection.write(job.query.AppendWithWait(nil, job.attempt.Deadline-now))
 	if connection.state == stateAwaitingAnswer && connection.socket.OutboundBuffered() == 0 {
 		connection.pool.core.Written(job.attempt)
 	}
@@ -135,7 +135,8 @@
 	case connection.state == stateClosed:
 	case database.member.State == routing.Gone || !connection.isToCurrentAddress():
 		connection.close()
-	case !eventloop.IsQuiet(connection.socket): // extra bytes after an answer must not be taken for the next answer
+	case !eventloop.HasNothingToRead(connection.socket):
+		// extra bytes after an answer must not be taken for the next answer
 		pool.counters.UnexpectedInput++
 		connection.close()
 	case len(database.waiting) > 0:
--- a/internal/backend/outcome.go
+++ b/internal/backend/outcome.go
@@ -92,7 +92,7 @@
 		evidence.Role = routing.Replica
 	}
 	if reply.Stats != "" {
-		load := reportEvidence(pg.ParseReport(reply.Stats))
+		load := reportEvidence(pg.ParseLoadReport(reply.Stats))
 		evidence.ReportsQueue, evidence.QueueLength = load.ReportsQueue, load.QueueLength
 	}
 	return evidence
--- a/internal/backend/outcome_test.go
+++ b/internal/backend/outcome_test.go
@@ -65,7 +65,7 @@
 			Position: time.Second, Role: routing.Primary, ReportsQueue: true, QueueLength: 3,
 		},
 	} {
-		require.Equal(t, expected, reportEvidence(pg.ParseReport(report)), report)
+		require.Equal(t, expected, reportEvidence(pg.ParseLoadReport(report)), report)
 	}
 }
 
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -35,7 +35,7 @@
 func (pool *Pool) finishProbe(job *job, status routing.Status, reply *pg.Reply) {
 	var report routing.Evidence
 	if reply != nil && status == routing.OK {
-		report = reportEvidence(pg.ParseReport(string(reply.Value)))
+		report = reportEvidence(pg.ParseLoadReport(string(reply.Value)))
 	}
 	pool.core.Probed(job.database.member, status, pool.core.Now()-job.startedAt, report)
 }
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -25,7 +25,7 @@
 		return
 	}
 	reply, done, err := connection.link.Feed(data)
-	piece := connection.link.Piece()
+	piece := connection.link.TakeStreamedBytes()
 	if connection.state == stateAwaitingAnswer {
 		isWritten := connection.notifyWritten()
 		hasAnswer := done || piece != nil
@@ -168,7 +168,7 @@
 	if job == nil {
 		return
 	}
-	if reply := connection.link.Partial(); reply.Complete && hasValue(&reply) {
+	if reply := connection.link.PartialReply(); reply.Complete && hasValue(&reply) {
 		pool.finish(job, routing.OK, &reply) // the whole answer has arrived; only ReadyForQuery is missing
 		return
 	}
--- a/internal/capacity/work.go
+++ b/internal/capacity/work.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// Of returns the work of a request of a class, as a multiple of the mean request's. It is 1 for an unknown class and
-// while no request is counted.
-func (w *Work) Of(class int) float64 {
+// RelativeWork returns the work of a request of a class, as a multiple of the mean request's. It is 1 for an unknown
+// class and while no request is counted.
+func (w *Work) RelativeWork(class int) float64 {
 	if class >= len(w.classes) {
 		return 1
 	}
--- a/internal/clockoffset/clockoffset.go
+++ b/internal/clockoffset/clockoffset.go
@@ -105,8 +105,8 @@
 // Bounds returns the present estimate.
 func (e *Estimator) Bounds() Bounds { return e.bounds }
 
-// Dissent returns how many of the last samples contradict an offset of zero.
-func (e *Estimator) Dissent() int { return e.contradicting }
+// Contradictions returns how many of the last samples contradict an offset of zero.
+func (e *Estimator) Contradictions() int { return e.contradicting }
 
 // Add adds a sample, and reports whether it has changed the bounds. A sample without a position, or received before it
 // was sent, is ignored.
--- a/internal/clockoffset/clockoffset_test.go
+++ b/internal/clockoffset/clockoffset_test.go
@@ -31,7 +31,7 @@
 		for n := range 3000 {
 			require.False(t, estimator.Add(fleet.sample()), "sample %d", n)
 			require.Zero(t, estimator.Bounds())
-			require.Zero(t, estimator.Dissent())
+			require.Zero(t, estimator.Contradictions())
 		}
 	})
 }
@@ -237,7 +237,7 @@
 	}
 }
 
-// The number of samples is bounded, and Dissent counts those in the windows that contradict an offset of zero.
+// The number of samples is bounded, and Contradictions counts those in the windows that contradict an offset of zero.
 func TestWindowsAreBounded(t *testing.T) {
 	fleet, estimator := newFleet(1, time.Hour), &Estimator{}
 	fleet.corrupt = 0.5
@@ -252,16 +252,16 @@
 				}
 			}
 		}
-		require.Equal(t, contradicting, estimator.Dissent())
+		require.Equal(t, contradicting, estimator.Contradictions())
 	}
 }
 
 // An Instant on the own clock is converted by the offset. Which of two Instants is later depends on the offset.
 func TestInstantIsConvertedByTheOffset(t *testing.T) {
-	require.Zero(t, Instant{}.By(time.Hour))
-	require.Equal(t, 5*ms, Instant{Remote: 5 * ms}.By(time.Hour))
-	require.Equal(t, time.Hour+5*ms, Instant{Own: 5 * ms}.By(time.Hour))
+	require.Zero(t, Instant{}.OnDatabaseClock(time.Hour))
+	require.Equal(t, 5*ms, Instant{Remote: 5 * ms}.OnDatabaseClock(time.Hour))
+	require.Equal(t, time.Hour+5*ms, Instant{Own: 5 * ms}.OnDatabaseClock(time.Hour))
 	both := Instant{Own: 5 * ms}.Later(Instant{Remote: 8 * ms})
-	require.Equal(t, 8*ms, both.By(ms))
-	require.Equal(t, 9*ms, both.By(4*ms))
+	require.Equal(t, 8*ms, both.OnDatabaseClock(ms))
+	require.Equal(t, 9*ms, both.OnDatabaseClock(4*ms))
 }
--- a/internal/clockoffset/instant.go
+++ b/internal/clockoffset/instant.go
@@ -7,8 +7,8 @@
 // of the offset changes. The zero value is before all others.
 type Instant struct{ Own, Remote time.Duration }
 
-// By returns the instant as a time on the databases' clocks, which are ahead of the own clock by offset.
-func (i Instant) By(offset time.Duration) time.Duration {
+// OnDatabaseClock returns the instant as a time on the databases' clocks, which are ahead of the own clock by offset.
+func (i Instant) OnDatabaseClock(offset time.Duration) time.Duration {
 	if i.Own == 0 {
 		return i.Remote
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -26,7 +26,7 @@
 	Machine    limits.Machine   // resources that the platform grants
 	Known      discovery.List   // endpoints known before the discovery service answers
 	Settings   routing.Settings // of the routing decisions
-	Facts      settings.Site    // settings of the site besides those of routing
+	Site       settings.Site    // settings of the site besides those of routing
 
 	shape any // the decoded file without the known endpoints; Reload compares its keys
 }
@@ -35,7 +35,7 @@
 func (c Config) Public() map[string]any {
 	return map[string]any{
 		"name": c.Name, "listen": c.Listen, "discovery": c.Discovery, "limits": c.Machine,
-		"classes": c.Facts.Classes, "settings": c.Settings,
+		"classes": c.Site.Classes, "settings": c.Settings,
 	}
 }
 
@@ -50,7 +50,7 @@
 	reloaded, err := load(true)
 	if err == nil {
 		if key := missing(c.shape, reloaded.shape); key != "" {
-			err = tables.Bad(key, "missing")
+			err = tables.KeyErrorf(key, "missing")
 		}
 	}
 	return reloaded, err
@@ -137,7 +137,7 @@
 		err = json.Unmarshal(text, &file.shape)
 	}
 	if err != nil {
-		return file, tables.Bad(fileVariable, "%s: %w", path, err)
+		return file, tables.KeyErrorf(fileVariable, "%s: %w", path, err)
 	}
 	delete(file.shape, "known") // package discovery checks its entries
 	return file, nil
@@ -190,10 +190,10 @@
 			if value.isOptional {
 				continue
 			}
-			return tables.Bad(value.key, "neither %s nor the file's %q is set", value.variable, value.key)
+			return tables.KeyErrorf(value.key, "neither %s nor the file's %q is set", value.variable, value.key)
 		}
 		if value.isAddress {
-			if err := tables.Address(source, *value.target); err != nil {
+			if err := tables.CheckAddress(source, *value.target); err != nil {
 				return err
 			}
 		}
@@ -208,7 +208,7 @@
 		return nil
 	}
 	if c.ListenFD, err = strconv.Atoi(descriptor); err != nil || c.ListenFD < firstInheritedFD {
-		return tables.Bad(listenFDVariable, "%q is no inherited descriptor", descriptor)
+		return tables.KeyErrorf(listenFDVariable, "%q is no inherited descriptor", descriptor)
 	}
 	c.Machine.Shared = true
 	return nil
@@ -220,10 +220,10 @@
 		return tables.KeyError{Key: "seed", Cause: err}
 	}
 	if c.Machine.MemoryMB < minMemoryMB {
-		return tables.Bad("limits.memory_mb", "%d is under %d", c.Machine.MemoryMB, minMemoryMB)
+		return tables.KeyErrorf("limits.memory_mb", "%d is under %d", c.Machine.MemoryMB, minMemoryMB)
 	}
 	if c.Machine.Sockets < minSockets {
-		return tables.Bad("limits.sockets", "%d is under %d", c.Machine.Sockets, minSockets)
+		return tables.KeyErrorf("limits.sockets", "%d is under %d", c.Machine.Sockets, minSockets)
 	}
 	return nil
 }
@@ -231,9 +231,9 @@
 // readSettings reads the settings and the endpoints that are known at the start.
 func (c *Config) readSettings(file platformFile) (err error) {
 	if len(file.Settings) == 0 {
-		return tables.Bad("settings", "missing")
+		return tables.KeyErrorf("settings", "missing")
 	}
-	if c.Settings, c.Facts, err = settings.ParseForPooler(file.Settings); err != nil {
+	if c.Settings, c.Site, err = settings.ParseForPooler(file.Settings); err != nil {
 		return tables.KeyError{Key: "settings", Cause: err}
 	}
 	if len(file.Known) == 0 || string(file.Known) == "null" {
--- a/internal/config/tables/error.go
+++ b/internal/config/tables/error.go
@@ -41,7 +41,7 @@
 // Unwrap returns the cause.
 func (e KeyError) Unwrap() error { return e.Cause }
 
-// Bad returns the KeyError of a key. Its cause is formatted as by fmt.Errorf.
-func Bad(key, format string, arguments ...any) error {
+// KeyErrorf returns the KeyError of a key. Its cause is formatted as by fmt.Errorf.
+func KeyErrorf(key, format string, arguments ...any) error {
 	return KeyError{Key: key, Cause: fmt.Errorf(format, arguments...)}
 }
--- a/internal/config/tables/error_test.go
+++ b/internal/config/tables/error_test.go
@@ -19,7 +19,7 @@
 // Check implements tables.Table.
 func (l *limitTable) Check() error {
 	if l.Limit < 0 {
-		return tables.Bad("limit", "%d: %w", l.Limit, errOdd)
+		return tables.KeyErrorf("limit", "%d: %w", l.Limit, errOdd)
 	}
 	return nil
 }
--- a/internal/config/tables/tables.go
+++ b/internal/config/tables/tables.go
@@ -19,8 +19,8 @@
 
 // Location of the operators' file, which is read at the start and at SIGHUP.
 const (
-	Variable    = "CAPERCOVE_CONFIG"      // environment variable with the path of the file
-	DefaultPath = "deploy/capercove.toml" // path if the variable is not set
+	PathVariable = "CAPERCOVE_CONFIG"      // environment variable with the path of the file
+	DefaultPath  = "deploy/capercove.toml" // path if the variable is not set
 )
 
 // retired maps variables that once named separate files to the tables of the operators' file that replaced these files.
@@ -45,7 +45,7 @@
 			return fmt.Errorf("%s is no longer read: its settings belong in table [%s] of %s", old, table, DefaultPath)
 		}
 	}
-	path := os.Getenv(Variable)
+	path := os.Getenv(PathVariable)
 	named := path != ""
 	if !named {
 		path = DefaultPath
@@ -54,7 +54,7 @@
 	if errors.Is(err, fs.ErrNotExist) && !named {
 		text = nil
 	} else if err != nil {
-		return KeyError{Key: Variable, Cause: err}
+		return KeyError{Key: PathVariable, Cause: err}
 	}
 	return Parse(path, text, into)
 }
@@ -68,7 +68,7 @@
 func Parse(path string, text []byte, into any) error {
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		return Located(path, err)
+		return ToKeyError(path, err)
 	}
 	structure := reflect.ValueOf(into).Elem()
 	for i := range structure.NumField() {
@@ -96,8 +96,8 @@
 	return keyError
 }
 
-// Located converts a TOML decoder's error to a KeyError of a file, with the line and the key that the error reports.
-func Located(path string, err error) error {
+// ToKeyError converts a TOML decoder's error to a KeyError of a file, with the line and the key that the error reports.
+func ToKeyError(path string, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
 		first := &unknown.Errors[0]
@@ -149,9 +149,9 @@
 	return strings.Join(parts, "."), line
 }
 
-// Address returns a KeyError unless the address under a key is host:port or empty. The caller checks whether one is
-// required.
-func Address(key, address string) error {
+// CheckAddress returns a KeyError unless the address under a key is host:port or empty. The caller checks whether one
+// is required.
+func CheckAddress(key, address string) error {
 	if address == "" {
 		return nil
 	}
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -45,7 +45,7 @@
 	}
 	c.admission.config = config
 	settings := c.admissionSettings(config, c.admission.limits)
-	c.pushAdmission(admission.Event{Kind: admission.Retuned, Settings: &settings})
+	c.pushAdmission(admission.Event{Kind: admission.SettingsChanged, Settings: &settings})
 }
 
 // admissionSettings combines the operators' settings with the router's classes and this process's bounds.
@@ -96,7 +96,7 @@
 	event := admission.Event{Request: uint64(request.id)}
 	switch request.admission {
 	case queuedForAdmission:
-		event.Kind = admission.Left
+		event.Kind = admission.Disconnected
 		c.pushAdmission(event)
 	case admitted:
 		event.Kind = admission.Ended
@@ -119,7 +119,7 @@
 		request.lastDuration = took
 	}
 	if status == routing.NodeOverloaded {
-		c.pushAdmission(admission.Event{Kind: admission.Full, Request: uint64(request.id)})
+		c.pushAdmission(admission.Event{Kind: admission.Overloaded, Request: uint64(request.id)})
 	}
 	request.mayHaveRun = request.mayHaveRun || !status.NeverRan()
 }
@@ -133,7 +133,7 @@
 	}
 	justAdmitted := c.clock()-request.admittedAt <= c.admission.limits.ShedWindow
 	if justAdmitted {
-		c.pushAdmission(admission.Event{Kind: admission.Full, Request: uint64(request.id)})
+		c.pushAdmission(admission.Event{Kind: admission.Overloaded, Request: uint64(request.id)})
 	}
 }
 
--- a/internal/core/clockoffset.go
+++ b/internal/core/clockoffset.go
@@ -39,7 +39,7 @@
 // the sample before they push the outcome that it came with: the router evaluates the outcome with the new estimate.
 func (c *Core) addClockSample(sample clockoffset.Sample) {
 	changed := c.offset.Add(sample)
-	c.counters.ClockDissent = c.offset.Dissent()
+	c.counters.ClockDissent = c.offset.Contradictions()
 	if !changed {
 		return
 	}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -200,7 +200,7 @@
 // shedOldest rejects the pending requests beyond MaxPending, the oldest first. None of them was sent to a database.
 func (c *Core) shedOldest() {
 	for {
-		id, over := c.pending.Over(c.limits.MaxPending)
+		id, over := c.pending.RemoveOldestOver(c.limits.MaxPending)
 		if !over {
 			return
 		}
--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -24,7 +24,7 @@
 	l.accepting.Add(1)
 	go func() {
 		defer l.accepting.Done()
-		err := netretry.Within(l.limits.StartTimeout, l.backoff, netretry.IsMomentary, l.listen)
+		err := netretry.Retry(l.limits.StartTimeout, l.backoff, netretry.IsTransient, l.listen)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -93,7 +93,7 @@
 	file := os.NewFile(uintptr(descriptor), clientFileName)
 	defer func() { _ = file.Close() }() // the loop has its own duplicate, or the connection is dropped
 	enroll := func() error { return l.enrollFile(file) }
-	if err := netretry.Within(l.limits.AcceptRetryTimeout, l.backoff, netretry.Always, enroll); err != nil {
+	if err := netretry.Retry(l.limits.AcceptRetryTimeout, l.backoff, netretry.Always, enroll); err != nil {
 		l.log.Error().Err(err).Msg("accept: client connection dropped")
 	}
 }
@@ -105,7 +105,7 @@
 	if err != nil {
 		return 0, err
 	}
-	err = netretry.Within(l.limits.AcceptRetryTimeout, l.backoff, netretry.IsShortage, func() error {
+	err = netretry.Retry(l.limits.AcceptRetryTimeout, l.backoff, netretry.IsShortage, func() error {
 		var duplicateErr error
 		controlErr := raw.Control(func(original uintptr) {
 			descriptor, duplicateErr = unix.FcntlInt(original, unix.F_DUPFD_CLOEXEC, lowestDescriptor)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -116,10 +116,10 @@
 func (l *Loop) Run(start func()) (err error) {
 	l.alarm = time.AfterFunc(noAlarm, l.queueTick)
 	defer l.alarm.Stop()
-	if err := netretry.Within(l.limits.StartTimeout, l.backoff, netretry.Always, l.startEngine); err != nil {
+	if err := netretry.Retry(l.limits.StartTimeout, l.backoff, netretry.Always, l.startEngine); err != nil {
 		return err
 	}
-	if err := netretry.Within(l.limits.StartTimeout, l.backoff, netretry.Always, l.findLoop); err != nil {
+	if err := netretry.Retry(l.limits.StartTimeout, l.backoff, netretry.Always, l.findLoop); err != nil {
 		return err
 	}
 	l.Do(start)
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -23,9 +23,11 @@
 // recvfromFunc is the signature of unix.Recvfrom.
 type recvfromFunc func(descriptor int, buffer []byte, flags int) (n int, from unix.Sockaddr, err error)
 
-// IsQuiet reports whether a connection is open with nothing to read: the peer has not closed it, and every byte that it
-// sent has been read.
-func IsQuiet(connection gnet.Conn) bool { return hasNothingToRead(connection.Fd(), unix.Recvfrom) }
+// HasNothingToRead reports whether a connection is open with nothing to read: the peer has not closed it, and every
+// byte that it sent has been read.
+func HasNothingToRead(connection gnet.Conn) bool {
+	return hasNothingToRead(connection.Fd(), unix.Recvfrom)
+}
 
 // hasNothingToRead reports whether a peek finds a connection open with nothing to read. An interrupted peek is
 // repeated, since it shows neither bytes nor a close. Taken for either, it would cause a healthy connection to a
@@ -43,9 +45,9 @@
 // hangUpEvents are the poll events of a connection that the peer has closed or reset.
 const hangUpEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 
-// HasHungUp reports whether the peer has closed or reset a connection, even if earlier bytes of the peer are still
+// IsClosedByPeer reports whether the peer has closed or reset a connection, even if earlier bytes of the peer are still
 // unread. It returns false if the peek or the poll is interrupted; the loop then learns of the close a little later.
-func HasHungUp(connection gnet.Conn) bool {
+func IsClosedByPeer(connection gnet.Conn) bool {
 	var peeked [1]byte
 	n, _, err := unix.Recvfrom(connection.Fd(), peeked[:], peekFlags)
 	switch {
--- a/internal/flight/config.go
+++ b/internal/flight/config.go
@@ -26,14 +26,14 @@
 		return nil
 	}
 	if config.ServerPort < 1 || config.ServerPort > maxPort {
-		return tables.Bad("server_port", "%d is no port", config.ServerPort)
+		return tables.KeyErrorf("server_port", "%d is no port", config.ServerPort)
 	}
 	for name, address := range config.Servers {
-		if err := tables.Address("servers."+name, address); err != nil {
+		if err := tables.CheckAddress("servers."+name, address); err != nil {
 			return err
 		}
 	}
-	return tables.Address("listen", config.Listen)
+	return tables.CheckAddress("listen", config.Listen)
 }
 
 // address returns the address at which a database of the endpoint list speaks Flight SQL.
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -44,7 +44,7 @@
 // isIdle reports whether the client is owed no response and has sent nothing that is not handled yet.
 func (connection *clientConnection) isIdle() bool {
 	return len(connection.responses) == 0 && connection.session.Buffered() == 0 &&
-		connection.socket.OutboundBuffered() == 0 && eventloop.IsQuiet(connection.socket)
+		connection.socket.OutboundBuffered() == 0 && eventloop.HasNothingToRead(connection.socket)
 }
 
 // isBetweenRequests reports whether the connection has finished its startup and is idle.
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -49,7 +49,7 @@
 	connection.serve()
 	switch {
 	case connection.stage.isClosing():
-	case connection.socket.OutboundBuffered() > 0 || !eventloop.IsQuiet(connection.socket):
+	case connection.socket.OutboundBuffered() > 0 || !eventloop.HasNothingToRead(connection.socket):
 		// Unread requests are rejected when they are read, and flush then closes the connection.
 		connection.allowDrain()
 		connection.recheckLater()
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -101,7 +101,7 @@
 // HasLeft implements core.DepartureDetector. It reports whether the client has closed its connection, even if the event
 // loop has not read the close yet.
 func (response *clientResponse) HasLeft() bool {
-	return response.connection.stage == stageClosed || eventloop.HasHungUp(response.connection.socket)
+	return response.connection.stage == stageClosed || eventloop.IsClosedByPeer(response.connection.socket)
 }
 
 // complete sets the final state of the response and the rest of its bytes. If the response is next in order, it is
--- a/internal/frontend/statement.go
+++ b/internal/frontend/statement.go
@@ -25,7 +25,7 @@
 		return
 	}
 	connection.allowDrain()
-	if pg.ConcernsConnectionOnly(command.Query) {
+	if pg.ChangesConnectionStateOnly(command.Query) {
 		response.bytes = pg.AppendReady(pg.AppendComplete(nil, command.Query))
 		return
 	}
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -103,7 +103,7 @@
 	if in.rules != nil {
 		input.Caller.Front = input.Front
 		input.Caller.Class = input.Class
-		request.Tenant = in.rules.Of(&input.Caller)
+		request.Tenant = in.rules.TenantOf(&input.Caller)
 		request.Caller = in.callerNumber(input, request)
 	}
 	return request, nil
--- a/internal/intake/reader.go
+++ b/internal/intake/reader.go
@@ -20,7 +20,7 @@
 type statementReader struct {
 	config       statement.Config
 	analyser     *statement.Analyser
-	fingerprints *statement.Fingerprints
+	fingerprints *statement.FingerprintCache
 	log          zerolog.Logger
 	logInterval  time.Duration // least time between two log lines
 	lastLogged   time.Duration // on the core's clock
@@ -49,13 +49,13 @@
 	config statement.Config, bounds limits.Statements, seed uint64, log zerolog.Logger,
 ) {
 	in.core.EnableStatementRouting(config.Enforced())
-	if !config.On() {
+	if !config.Enabled() {
 		in.reader = nil
 		return
 	}
 	if in.reader == nil {
 		in.reader = &statementReader{
-			fingerprints: statement.NewFingerprints(bounds.CacheBytes, seed),
+			fingerprints: statement.NewFingerprintCache(bounds.CacheBytes, seed),
 			log:          log,
 			logInterval:  bounds.LogInterval,
 			counters:     StatementCounters{Kinds: map[string]int64{}},
@@ -126,7 +126,7 @@
 
 // analyse analyses a statement and counts it, in total and with its fingerprint.
 func (r *statementReader) analyse(sql string) (statement.Info, *statement.Fingerprint) {
-	info := r.analyser.Read(sql)
+	info := r.analyser.Analyse(sql)
 	fingerprint := r.fingerprints.Get(r.analyser.Fingerprint(), &info)
 	fingerprint.Calls++
 	r.counters.Read++
@@ -140,7 +140,7 @@
 // endsInLabel reports whether the comment at labelOffset ends the statement. A label elsewhere may be part of a value
 // that users of the client have supplied.
 func endsInLabel(info *statement.Info, labelOffset int) bool {
-	return info.Tail && info.Comment.Start == labelOffset
+	return info.CommentAtEnd && info.Comment.Start == labelOffset
 }
 
 // recordDisagreement counts a label that disagrees with its statement, and logs it unless another was logged within
--- a/internal/maintenance/agent/config.go
+++ b/internal/maintenance/agent/config.go
@@ -44,7 +44,7 @@
 		return nil
 	}
 	for i, api := range c.Record {
-		if err := tables.Address(fmt.Sprintf("record[%d]", i), api); err != nil {
+		if err := tables.CheckAddress(fmt.Sprintf("record[%d]", i), api); err != nil {
 			return err
 		}
 	}
@@ -61,15 +61,15 @@
 		{"hook_calls", c.HookCalls, 1, 100},
 	} {
 		if v.value < v.least || v.value > v.atMost {
-			return tables.Bad(v.key, "%d is not from %d to %d", v.value, v.least, v.atMost)
+			return tables.KeyErrorf(v.key, "%d is not from %d to %d", v.value, v.least, v.atMost)
 		}
 	}
 	if c.HookURL != "" {
 		if len(c.Hook) > 0 {
-			return tables.Bad("hook_url", "there is a hook, too")
+			return tables.KeyErrorf("hook_url", "there is a hook, too")
 		}
 		if u, err := url.Parse(c.HookURL); err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-			return tables.Bad("hook_url", "%q is no address of a web service", c.HookURL)
+			return tables.KeyErrorf("hook_url", "%q is no address of a web service", c.HookURL)
 		}
 	}
 	return nil
--- a/internal/maintenance/agent/operator.go
+++ b/internal/maintenance/agent/operator.go
@@ -263,7 +263,7 @@
 	}
 	decoder := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
 	if err := decoder.Decode(&spec); err != nil {
-		return spec, tables.Located(path, err)
+		return spec, tables.ToKeyError(path, err)
 	}
 	return spec, nil
 }
--- a/internal/management/figures.go
+++ b/internal/management/figures.go
@@ -62,8 +62,8 @@
 	}
 	for _, tenant := range values.Tenants {
 		f.add("app.door.tenants.%s.queued=%d\n", tenant.Name, tenant.Queued)
-		f.add("app.door.tenants.%s.inside=%d\n", tenant.Name, tenant.Inside)
+		f.add("app.door.tenants.%s.inside=%d\n", tenant.Name, tenant.InFlight)
 		f.add("app.door.tenants.%s.admitted=%d\n", tenant.Name, tenant.Admitted)
-		f.add("app.door.tenants.%s.refused=%d\n", tenant.Name, tenant.Refused)
+		f.add("app.door.tenants.%s.refused=%d\n", tenant.Name, tenant.Rejected)
 	}
 }
--- a/internal/membership/advisor.go
+++ b/internal/membership/advisor.go
@@ -38,7 +38,7 @@
 
 // Hints are an advisor's recommendations for one period. The zero value changes nothing.
 type Hints struct {
-	Routers         int            // poolers among which to divide capacity; 0: the configured number
+	Poolers         int            // poolers among which to divide capacity; 0: the configured number
 	Probe           []string       // databases to probe now
 	IdleConnections map[string]int // limit of this pooler's idle connections, by database; nil: no limit
 }
@@ -70,8 +70,8 @@
 	return &Advisor{name: name, uses: uses, bounds: bounds, configured: configured, suspicions: map[string]*suspicion{}}
 }
 
-// Configure sets the configured number of poolers and discards the counts observed so far.
-func (a *Advisor) Configure(configured int) {
+// SetConfiguredPoolers sets the configured number of poolers and discards the counts observed so far.
+func (a *Advisor) SetConfiguredPoolers(configured int) {
 	a.configured, a.countInUse, a.lowerCount = configured, 0, 0
 }
 
@@ -89,10 +89,10 @@
 				known++
 			}
 		}
-		hints.Routers = a.countPoolers(now, len(live), max(known, a.configured))
+		hints.Poolers = a.countPoolers(now, len(live), max(known, a.configured))
 	}
 	if a.uses.Connections > 0 {
-		poolers := max(len(live), cmp.Or(hints.Routers, a.configured), 1)
+		poolers := max(len(live), cmp.Or(hints.Poolers, a.configured), 1)
 		hints.IdleConnections = a.idleQuotas(poolers, live, local)
 	}
 	if a.uses.Suspicion {
--- a/internal/membership/advisor_test.go
+++ b/internal/membership/advisor_test.go
@@ -56,18 +56,18 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			advisor, view := newAdvisor(test.settings), viewOf(test.live, test.ends...)
-			require.Equal(t, test.atOnce, advisor.Step(now, view, nil).Routers)
+			require.Equal(t, test.atOnce, advisor.Step(now, view, nil).Poolers)
 			advisor.Step(now+9*time.Second, view, nil)
-			require.Equal(t, test.stable, advisor.Step(now+10*time.Second, view, nil).Routers)
+			require.Equal(t, test.stable, advisor.Step(now+10*time.Second, view, nil).Poolers)
 		})
 	}
 	advisor, four, five := newAdvisor(5), viewOf(4, failed("n4")...), viewOf(5)
 	advisor.Step(now, four, nil)
 	advisor.Step(now+9*time.Second, five, nil)
-	require.Equal(t, 5, advisor.Step(now+10*time.Second, four, nil).Routers, "the lower count was not stable")
+	require.Equal(t, 5, advisor.Step(now+10*time.Second, four, nil).Poolers, "the lower count was not stable")
 	off := NewAdvisor("n0", Uses{}, DefaultAdvisorBounds(), 5)
-	require.Zero(t, off.Step(now, four, nil).Routers, "the use is off")
-	require.Zero(t, advisor.Step(now, NewView(DefaultBounds()), nil).Routers, "an empty view")
+	require.Zero(t, off.Step(now, four, nil).Poolers, "the use is off")
+	require.Zero(t, advisor.Step(now, NewView(DefaultBounds()), nil).Poolers, "an empty view")
 }
 
 // visibility returns for each pooler, by index, whether the given pooler sees it as live in a step.
@@ -83,7 +83,7 @@
 		routers := 0
 		for step := range steps {
 			view := viewWith(names, i, sees(i, step))
-			routers = advisor.Step(now+time.Duration(step)*interval, view, nil).Routers
+			routers = advisor.Step(now+time.Duration(step)*interval, view, nil).Poolers
 			require.Positive(t, routers)
 		}
 		sum += 1 / float64(routers)
--- a/internal/membership/gossip/config.go
+++ b/internal/membership/gossip/config.go
@@ -30,31 +30,31 @@
 		return nil
 	}
 	if c.Cluster == "" {
-		return tables.Bad("cluster", "empty: poolers of other installations would be let in")
+		return tables.KeyErrorf("cluster", "empty: poolers of other installations would be let in")
 	}
 	for key, text := range map[string]string{"cluster": c.Cluster, "zone": c.Zone} {
 		if len(text) > maxNameBytes {
-			return tables.Bad(key, "%d bytes, %d at most", len(text), maxNameBytes)
+			return tables.KeyErrorf(key, "%d bytes, %d at most", len(text), maxNameBytes)
 		}
 	}
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
-		return tables.Bad("listen", "%v", err)
+		return tables.KeyErrorf("listen", "%v", err)
 	}
 	if _, err := netip.ParseAddrPort(c.Advertise); c.Advertise != "" && err != nil {
-		return tables.Bad("advertise", "%v", err)
+		return tables.KeyErrorf("advertise", "%v", err)
 	}
 	if c.Slower != 0 && !(c.Slower >= minSlower && c.Slower <= maxSlower) {
-		return tables.Bad("slower", "%v is not from %v to %v", c.Slower, minSlower, maxSlower)
+		return tables.KeyErrorf("slower", "%v is not from %v to %v", c.Slower, minSlower, maxSlower)
 	}
 	if c.Connections < 0 {
-		return tables.Bad("connections", "%d is under 0", c.Connections)
+		return tables.KeyErrorf("connections", "%d is under 0", c.Connections)
 	}
 	if len(c.Seeds) > maxSeeds {
-		return tables.Bad("seeds", "%d of them, %d at most", len(c.Seeds), maxSeeds)
+		return tables.KeyErrorf("seeds", "%d of them, %d at most", len(c.Seeds), maxSeeds)
 	}
 	for i, seed := range c.Seeds {
 		if _, _, err := net.SplitHostPort(seed); err != nil {
-			return tables.Bad(fmt.Sprintf("seeds[%d]", i), "%v", err)
+			return tables.KeyErrorf(fmt.Sprintf("seeds[%d]", i), "%v", err)
 		}
 	}
 	return nil
--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -74,7 +74,7 @@
 	g.contacts.mu.Lock()
 	defer g.contacts.mu.Unlock()
 	now, view := g.clock(), g.disseminator.View
-	facts, oldest := view.FactAge()
+	facts, oldest := view.FactStats()
 	state := State{
 		Name:         g.name,
 		Waits:        g.waitReason,
@@ -91,7 +91,7 @@
 		state.OldestMS = max(0, (now - oldest).Milliseconds())
 	}
 	published := map[string]json.RawMessage{}
-	for _, fact := range view.FactsUnder(membership.Key{}) {
+	for _, fact := range view.FactsWithKey(membership.Key{}) {
 		if json.Valid(fact.Value) { // another pooler may publish anything
 			published[fact.Owner] = fact.Value
 		}
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -347,7 +347,7 @@
 		return ""
 	}
 	isEqual := func(a, b Fact) bool { return a.hash() == b.hash() }
-	if !slices.EqualFunc(member.view.FactsUnder(Key{}), first.FactsUnder(Key{}), isEqual) {
+	if !slices.EqualFunc(member.view.FactsWithKey(Key{}), first.FactsWithKey(Key{}), isEqual) {
 		return "facts differ between views"
 	}
 	if incarnation != other.publisher.incarnation {
--- a/internal/membership/publisher_test.go
+++ b/internal/membership/publisher_test.go
@@ -26,7 +26,7 @@
 	delete(values, Key{KindDatabase, "a"})
 	view.Merge(at, publisher.Publish(at, values))
 	view.Expire(at + bounds.Retention)
-	require.Empty(t, view.FactsUnder(Key{KindDatabase, "a"}))
+	require.Empty(t, view.FactsWithKey(Key{KindDatabase, "a"}))
 
 	require.False(t, publisher.Refute(at, Delta{Ends: []End{{"n", 2, at, false}, {"m", 9, at, false}}}))
 	end := Delta{Ends: []End{{"n", 3, at, false}}}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -229,9 +229,9 @@
 	return ends
 }
 
-// FactAge returns the number of facts, and the time at which the oldest of them was published (since the Unix epoch; 0
-// without facts).
-func (v *View) FactAge() (facts int, oldest time.Duration) {
+// FactStats returns the number of facts, and the time at which the oldest of them was published (since the Unix epoch;
+// 0 without facts).
+func (v *View) FactStats() (facts int, oldest time.Duration) {
 	for _, owner := range v.owners {
 		for _, fact := range owner.facts {
 			if facts++; oldest == 0 || fact.At < oldest {
@@ -261,8 +261,8 @@
 	return sequence
 }
 
-// FactsUnder returns the facts of live poolers with a key, sorted by owner.
-func (v *View) FactsUnder(key Key) []Fact {
+// FactsWithKey returns the facts of live poolers with a key, sorted by owner.
+func (v *View) FactsWithKey(key Key) []Fact {
 	var facts []Fact
 	for _, name := range v.Live() {
 		if fact, known := v.owners[name].facts[key]; known {
--- a/internal/model/pooler.go
+++ b/internal/model/pooler.go
@@ -70,7 +70,7 @@
 	pooler.Core.Attach(pooler, pooler)
 	fleet.Poolers = append(fleet.Poolers, pooler)
 	fleet.after(0, func() {
-		if file.Statements.On() {
+		if file.Statements.Enabled() {
 			pooler.intake.ConfigureStatements(file.Statements, bounds.Statements, seed, zerolog.Nop())
 		}
 		pooler.Core.LoadKnownMembers(pooler.members())
--- a/internal/netretry/errors.go
+++ b/internal/netretry/errors.go
@@ -32,8 +32,8 @@
 // IsUnreachable reports whether a call failed because no packet can be sent to the peer's address.
 func IsUnreachable(err error) bool { return isOneOf(err, unreachables) }
 
-// IsMomentary reports whether an error is transient: the same call may succeed a moment later without intervention.
-func IsMomentary(err error) bool { return IsShortage(err) || IsUnreachable(err) }
+// IsTransient reports whether an error is transient: the same call may succeed a moment later without intervention.
+func IsTransient(err error) bool { return IsShortage(err) || IsUnreachable(err) }
 
 // Always returns true. It is the condition of Within for calls that are retried after any error.
 func Always(error) bool { return true }
--- a/internal/netretry/netretry_test.go
+++ b/internal/netretry/netretry_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// Within retries a call until its error is not transient or the limit has passed.
+// Retry retries a call until its error is not transient or the limit has passed.
 func TestWithinRetriesTransientErrors(t *testing.T) {
 	shortage, lasting := acceptError(syscall.EMFILE), errors.New("other")
 	for name, test := range map[string]struct {
@@ -117,7 +117,7 @@
 	} {
 		calls := 0
 		shortest := netretry.Backoff{First: time.Nanosecond, Max: time.Nanosecond}
-		err := netretry.Within(test.limit, shortest, netretry.IsMomentary, func() error {
+		err := netretry.Retry(test.limit, shortest, netretry.IsTransient, func() error {
 			if calls++; test.errs == nil {
 				return shortage
 			}
@@ -142,5 +142,5 @@
 		require.Equal(t, want, [2]bool{netretry.IsShortage(err), netretry.IsUnreachable(err)}, errno.Error())
 	}
 	require.True(t, netretry.IsShortage(netretry.ErrShortage))
-	require.False(t, netretry.IsMomentary(nil))
+	require.False(t, netretry.IsTransient(nil))
 }
--- a/internal/netretry/retry.go
+++ b/internal/netretry/retry.go
@@ -31,9 +31,9 @@
 	return min(wait, b.Max)
 }
 
-// Within makes a call at least once. It retries the call until it succeeds, fails with an error for which retryable
+// Retry makes a call at least once. It retries the call until it succeeds, fails with an error for which retryable
 // returns false, or the limit has passed. It returns the error of the last attempt.
-func Within(limit time.Duration, backoff Backoff, retryable func(error) bool, call func() error) error {
+func Retry(limit time.Duration, backoff Backoff, retryable func(error) bool, call func() error) error {
 	expired := time.NewTimer(limit)
 	defer expired.Stop()
 	for failures := 1; ; failures++ {
--- a/internal/pcap/config.go
+++ b/internal/pcap/config.go
@@ -27,11 +27,11 @@
 func (c Config) Check() error {
 	switch {
 	case c.Port < 1 || c.Port > maxPort:
-		return tables.Bad("port", "%d is no port", c.Port)
+		return tables.KeyErrorf("port", "%d is no port", c.Port)
 	case !(c.Speed > 0): // NaN, too
-		return tables.Bad("speed", "%v is not above 0", c.Speed)
+		return tables.KeyErrorf("speed", "%v is not above 0", c.Speed)
 	case c.Read != "" && c.Read == c.Write:
-		return tables.Bad("write", "names the file that is read")
+		return tables.KeyErrorf("write", "names the file that is read")
 	}
 	return nil
 }
--- a/internal/pcap/flow.go
+++ b/internal/pcap/flow.go
@@ -89,7 +89,7 @@
 // begin starts reading. The first byte tells whether the startup message is part of the file: it begins with a zero.
 func (f *flow) begin(first byte) {
 	if first != 0 {
-		f.session.Resume()
+		f.session.SkipStartup()
 	}
 	f.state = flowReading
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -48,7 +48,7 @@
 type Pooler struct {
 	Core        *core.Core
 	Do          func(func())         // runs a function on the event loop
-	Keep        func(map[string]int) // limits the idle connections by database; nil: no limit
+	LimitIdle   func(map[string]int) // limits the idle connections by database; nil: no limit
 	Connections func() int           // returns the number of open connections
 	Log         zerolog.Logger
 }
@@ -90,15 +90,15 @@
 	return peers
 }
 
-// Configured applies new settings from the next period on: their digest, and the number of poolers in them.
-func (p *Peers) Configured(digest string, routers int) {
+// Reconfigure applies new settings from the next period on: their digest, and the number of poolers in them.
+func (p *Peers) Reconfigure(digest string, routers int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.self.Settings, p.newRouters = digest, routers
 }
 
-// Stopping publishes from the next period on that the pooler is shutting down.
-func (p *Peers) Stopping() {
+// AnnounceStop publishes from the next period on that the pooler is shutting down.
+func (p *Peers) AnnounceStop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.self.Stopping = true
@@ -112,7 +112,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.newRouters > 0 {
-		p.advisor.Configure(p.newRouters)
+		p.advisor.SetConfiguredPoolers(p.newRouters)
 		p.newRouters = 0
 	}
 	hints := p.advisor.Step(now, view, local)
@@ -124,7 +124,7 @@
 	}
 	p.logHints(hints)
 	p.hints = hints
-	p.self.Counted = hints.Routers
+	p.self.Counted = hints.Poolers
 	if now-p.lastMeasured >= measureInterval {
 		p.measure(now, figures)
 	}
@@ -160,7 +160,7 @@
 // mustApply reports whether hints must be applied now: they have changed, or the lease is lost or must be renewed. The
 // caller holds mu.
 func (p *Peers) mustApply(now time.Duration, hints membership.Hints) bool {
-	changed := hints.Routers != p.hints.Routers || !equalLimits(hints.IdleConnections, p.hints.IdleConnections)
+	changed := hints.Poolers != p.hints.Poolers || !equalLimits(hints.IdleConnections, p.hints.IdleConnections)
 	return changed || len(hints.Probe) > 0 || p.leaseLost.Load() || now-p.lastRenewed >= renewInterval
 }
 
@@ -169,8 +169,8 @@
 
 // logHints logs a changed number of poolers and the hinted probes. The caller holds mu.
 func (p *Peers) logHints(hints membership.Hints) {
-	if hints.Routers != p.hints.Routers {
-		p.pooler.Log.Info().Int("poolers", hints.Routers).Int("before", p.hints.Routers).
+	if hints.Poolers != p.hints.Poolers {
+		p.pooler.Log.Info().Int("poolers", hints.Poolers).Int("before", p.hints.Poolers).
 			Msg("membership: pooler count changed")
 	}
 	for _, database := range hints.Probe {
@@ -244,8 +244,8 @@
 }
 
 func (p *Peers) setLimits(hints membership.Hints) {
-	p.pooler.Core.SetRouters(hints.Routers)
-	p.pooler.Keep(hints.IdleConnections)
+	p.pooler.Core.SetRouters(hints.Poolers)
+	p.pooler.LimitIdle(hints.IdleConnections)
 }
 
 // Status shows operators how the pooler uses the view.
@@ -261,7 +261,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Status{
-		Counted: p.hints.Routers,
+		Counted: p.hints.Poolers,
 		Doubted: append([]string{}, p.suspected...),
 		Asked:   p.probes,
 		Lost:    p.leaseLost.Load(),
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -78,7 +78,7 @@
 	fixture.peers = peers.New("n0", uses, peers.Self{Listen: "here", Settings: "a"}, 3, peers.Pooler{
 		Core: fixture.core, Log: zerolog.Nop(),
 		Do:          func(call func()) { call() },
-		Keep:        func(idle map[string]int) { fixture.idle = idle },
+		LimitIdle:   func(idle map[string]int) { fixture.idle = idle },
 		Connections: func() int { return 7 },
 	})
 	return fixture
@@ -203,8 +203,8 @@
 	require.Equal(t, membership.Healthy, observation.State, "withdrawn")
 	requirePublishedSelf(t, published, peers.Self{Listen: "here", Settings: "a", Connections: 7})
 
-	fixture.peers.Configured("b", 5)
-	fixture.peers.Stopping()
+	fixture.peers.Reconfigure("b", 5)
+	fixture.peers.AnnounceStop()
 	requirePublishedSelf(t, fixture.passPeriods(11*time.Second),
 		peers.Self{Listen: "here", Settings: "b", Connections: 7, Stopping: true})
 }
--- a/internal/pending/pending.go
+++ b/internal/pending/pending.go
@@ -46,9 +46,9 @@
 // Len returns the number of waiting elements.
 func (q *Queue[T]) Len() int { return len(q.waiting) }
 
-// Over removes and returns the element that has waited longest, if more than limit elements wait. The oldest is the
-// nearest to its deadline; newer ones are more likely to be answered in time.
-func (q *Queue[T]) Over(limit int) (oldest T, over bool) {
+// RemoveOldestOver removes and returns the element that has waited longest, if more than limit elements wait. The
+// oldest is the nearest to its deadline; newer ones are more likely to be answered in time.
+func (q *Queue[T]) RemoveOldestOver(limit int) (oldest T, over bool) {
 	if len(q.waiting) <= limit {
 		return oldest, false
 	}
--- a/internal/pending/pending_test.go
+++ b/internal/pending/pending_test.go
@@ -8,7 +8,7 @@
 	"capercove/internal/pending"
 )
 
-// Over returns the oldest elements beyond the limit, without those that have left.
+// RemoveOldestOver returns the oldest elements beyond the limit, without those that have left.
 func TestOverReturnsTheOldestWaitingElements(t *testing.T) {
 	var queue pending.Queue[int]
 	for i := range 10 {
@@ -18,7 +18,7 @@
 	queue.Leave(2)
 	queue.Leave(99)
 	var over []int
-	for oldest, more := queue.Over(5); more; oldest, more = queue.Over(5) {
+	for oldest, more := queue.RemoveOldestOver(5); more; oldest, more = queue.RemoveOldestOver(5) {
 		over = append(over, oldest)
 	}
 	require.Equal(t, []int{1, 3, 4}, over)
@@ -26,10 +26,10 @@
 	for i := range 10 {
 		queue.Leave(i)
 	}
-	_, more := queue.Over(0)
+	_, more := queue.RemoveOldestOver(0)
 	require.False(t, more)
 	queue.Enter(11)
-	oldest, more := queue.Over(0)
+	oldest, more := queue.RemoveOldestOver(0)
 	require.True(t, more)
 	require.Equal(t, 11, oldest)
 }
--- a/internal/pg/backend.go
+++ b/internal/pg/backend.go
@@ -106,7 +106,7 @@
 }
 
 // AppendComplete appends the CommandComplete message of a statement that is answered without a database. See
-// ConcernsConnectionOnly.
+// ChangesConnectionStateOnly.
 func AppendComplete(dst []byte, sql string) []byte { return appendCommandComplete(dst, verb(sql)) }
 
 // appendCommandComplete appends a CommandComplete with a command tag.
--- a/internal/pg/link.go
+++ b/internal/pg/link.go
@@ -20,23 +20,23 @@
 	return &Link{input: framer{limit: maxMessage}, streamAbove: min(streamAbove, maxMessage), maxValue: maxValue}
 }
 
-// Piece returns the bytes of a streamed row that have arrived since the last call, nil if there are none. The first
-// piece begins with the messages that precede the row in the reply. The caller owns the bytes.
-func (l *Link) Piece() []byte {
+// TakeStreamedBytes returns the bytes of a streamed row that have arrived since the last call, nil if there are none.
+// The first piece begins with the messages that precede the row in the reply. The caller owns the bytes.
+func (l *Link) TakeStreamedBytes() []byte {
 	piece := l.piece
 	l.piece = nil
 	return piece
 }
 
-// Resume skips the startup phase, for a connection that has completed it already.
-func (l *Link) Resume() {
+// SkipStartup skips the startup phase, for a connection that has completed it already.
+func (l *Link) SkipStartup() {
 	if l.state == linkStarting {
 		l.state = linkIdle
 	}
 }
 
-// Partial returns the part of the current reply that has arrived, for a connection that has ended.
-func (l *Link) Partial() Reply { return l.reply }
+// PartialReply returns the part of the current reply that has arrived, for a connection that has ended.
+func (l *Link) PartialReply() Reply { return l.reply }
 
 // progress is the result of one step of reading.
 type progress uint8
--- a/internal/pg/link_test.go
+++ b/internal/pg/link_test.go
@@ -35,7 +35,7 @@
 func newTestLink(started bool) *Link {
 	link := NewLink(linkLimit, linkWhole, linkLongest)
 	if started {
-		link.Resume()
+		link.SkipStartup()
 	}
 	return link
 }
@@ -148,8 +148,8 @@
 			require.True(t, done)
 			require.Equal(t, test.want, reply)
 			require.Equal(t, linkIdle, link.state, link.state.String())
-			require.Equal(t, Reply{}, link.Partial())
-			require.Nil(t, link.Piece())
+			require.Equal(t, Reply{}, link.PartialReply())
+			require.Nil(t, link.TakeStreamedBytes())
 		})
 	}
 }
@@ -305,7 +305,7 @@
 	}
 }
 
-// Partial returns the part of an incomplete reply that has arrived.
+// PartialReply returns the part of an incomplete reply that has arrived.
 func TestPartialReturnsIncompleteReply(t *testing.T) {
 	link := newTestLink(true)
 	_, done, err := link.Feed([]byte(described + row("ab") + completed))
@@ -313,7 +313,7 @@
 	require.False(t, done)
 	require.Equal(t, Reply{
 		Rows: []byte(described + row("ab") + completed), Complete: true, Value: []byte("ab"),
-	}, link.Partial())
+	}, link.PartialReply())
 }
 
 // A long row is streamed as it arrives. The first piece begins with the messages before the row, and no piece contains
@@ -356,7 +356,7 @@
 		input = input[len(piece):]
 		reply, done, err := link.Feed([]byte(piece))
 		require.NoError(t, err)
-		streamed += string(link.Piece())
+		streamed += string(link.TakeStreamedBytes())
 		require.Equal(t, input == "", done)
 		if done {
 			return reply, streamed
@@ -375,15 +375,15 @@
 	}
 	feed(described + long[:10]) // the row's header is not complete
 	require.Equal(t, linkDescribed, link.state, link.state.String())
-	require.Nil(t, link.Piece())
+	require.Nil(t, link.TakeStreamedBytes())
 	feed(long[10:20])
 	require.Equal(t, linkStreaming, link.state, link.state.String())
-	require.Equal(t, described+long[:20], string(link.Piece()))
-	require.Equal(t, Reply{Streamed: true}, link.Partial())
+	require.Equal(t, described+long[:20], string(link.TakeStreamedBytes()))
+	require.Equal(t, Reply{Streamed: true}, link.PartialReply())
 	feed(long[20:] + completed)
 	require.Equal(t, linkComplete, link.state, link.state.String())
-	require.Equal(t, long[20:], string(link.Piece()))
-	require.Nil(t, link.Piece())
+	require.Equal(t, long[20:], string(link.TakeStreamedBytes()))
+	require.Nil(t, link.TakeStreamedBytes())
 }
 
 // Each state accepts exactly the messages that the protocol allows in it.
--- a/internal/pg/messages_test.go
+++ b/internal/pg/messages_test.go
@@ -66,9 +66,9 @@
 			AppendStartup(nil, "u", "d"),
 			"0000001b 00030000 7573657200 7500 646174616261736500 6400 00",
 		},
-		"query with a wait": {query.AppendFor(nil, 1999*time.Microsecond), "51 0000002d" +
+		"query with a wait": {query.AppendWithWait(nil, 1999*time.Microsecond), "51 0000002d" +
 			hex.EncodeToString([]byte("SELECT 1 /* id=a,c=read,d=1,cluster=3 */")) + "00"},
-		"query without time left": {query.AppendFor(nil, -time.Second), "51 0000002d" +
+		"query without time left": {query.AppendWithWait(nil, -time.Second), "51 0000002d" +
 			hex.EncodeToString([]byte("SELECT 1 /* id=a,c=read,d=1,cluster=3 */")) + "00"},
 		"after other bytes": {AppendQuery([]byte("ab"), "c"), "6162 51 00000006 6300"},
 	}
--- a/internal/pg/query.go
+++ b/internal/pg/query.go
@@ -156,8 +156,8 @@
 	return max(hash.Sum64(), 1)    // 0 means no key
 }
 
-// AppendFor appends a Query message of the statement whose field d is replaced by the wait, at least 1 ms.
-func (q *Query) AppendFor(dst []byte, wait time.Duration) []byte {
+// AppendWithWait appends a Query message of the statement whose field d is replaced by the wait, at least 1 ms.
+func (q *Query) AppendWithWait(dst []byte, wait time.Duration) []byte {
 	milliseconds := max(1, int64(wait/time.Millisecond))
 	return AppendQuery(dst, q.Head, strconv.FormatInt(milliseconds, 10), q.Tail)
 }
--- a/internal/pg/query_test.go
+++ b/internal/pg/query_test.go
@@ -98,7 +98,7 @@
 	},
 }
 
-// ParseQuery reads the label in the comment at the end of a statement, and AppendFor replaces its wait.
+// ParseQuery reads the label in the comment at the end of a statement, and AppendWithWait replaces its wait.
 func TestParseQueryReadsLabel(t *testing.T) {
 	for name, test := range labelledQueries {
 		t.Run(name, func(t *testing.T) {
@@ -106,7 +106,7 @@
 			require.NoError(t, err)
 			require.Equal(t, test.want, query)
 			require.Equal(t, packet('Q', test.want.Head+"7"+test.want.Tail+"\x00"),
-				string(query.AppendFor(nil, 7*time.Millisecond)))
+				string(query.AppendWithWait(nil, 7*time.Millisecond)))
 		})
 	}
 }
@@ -189,13 +189,13 @@
 	}
 	for sql, want := range cases {
 		t.Run(sql, func(t *testing.T) {
-			require.Equal(t, want.connectionOnly, ConcernsConnectionOnly(sql))
+			require.Equal(t, want.connectionOnly, ChangesConnectionStateOnly(sql))
 			require.Equal(t, packet('C', want.tag+"\x00"), string(AppendComplete(nil, sql)))
 		})
 	}
 }
 
-// ParseReport returns the fields of a load report whose values are numbers and omits the others.
+// ParseLoadReport returns the fields of a load report whose values are numbers and omits the others.
 func TestParseReportOmitsNonNumbers(t *testing.T) {
 	cases := map[string]map[string]float64{
 		"x0=1767225600.123,x1=1,util=0.61": {"x0": 1767225600.123, "x1": 1, "util": 0.61},
@@ -207,7 +207,7 @@
 	}
 	for text, want := range cases {
 		t.Run(text, func(t *testing.T) {
-			require.Equal(t, want, ParseReport(text))
+			require.Equal(t, want, ParseLoadReport(text))
 		})
 	}
 }
--- a/internal/pg/report.go
+++ b/internal/pg/report.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// ParseReport parses a load report such as "x0=1767225600.123,x1=1,util=0.61" and returns its values by field name.
+// ParseLoadReport parses a load report such as "x0=1767225600.123,x1=1,util=0.61" and returns its values by field name.
 // Fields whose value is not a number are omitted.
-func ParseReport(text string) map[string]float64 {
+func ParseLoadReport(text string) map[string]float64 {
 	report := map[string]float64{}
 	for _, field := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/internal/pg/session.go
+++ b/internal/pg/session.go
@@ -40,8 +40,8 @@
 // NewSession returns a session that accepts messages of up to maxMessage bytes.
 func NewSession(maxMessage int) *Session { return &Session{input: framer{limit: maxMessage}} }
 
-// Resume skips the startup phase, for a stream that does not contain the startup message.
-func (s *Session) Resume() { s.state.start() }
+// SkipStartup skips the startup phase, for a stream that does not contain the startup message.
+func (s *Session) SkipStartup() { s.state.start() }
 
 // Started reports whether the startup message was accepted. It stays true after the session is closed.
 func (s *Session) Started() bool { return s.state.started() }
--- a/internal/pg/session_test.go
+++ b/internal/pg/session_test.go
@@ -220,7 +220,7 @@
 	for name, test := range sessionMessages {
 		t.Run(name, func(t *testing.T) {
 			session := NewSession(sessionLimit)
-			session.Resume()
+			session.SkipStartup()
 			session.Feed([]byte(test.input))
 			require.Equal(t, test.want, commands(session))
 			require.Equal(t, test.state, session.state, session.state.String())
--- a/internal/pg/statement.go
+++ b/internal/pg/statement.go
@@ -5,9 +5,9 @@
 // whitespace is the set of characters that may separate words of a statement.
 const whitespace = " \t\r\n"
 
-// ConcernsConnectionOnly reports whether a statement only changes the state of its connection. Such a statement is
+// ChangesConnectionStateOnly reports whether a statement only changes the state of its connection. Such a statement is
 // answered without a database.
-func ConcernsConnectionOnly(sql string) bool {
+func ChangesConnectionStateOnly(sql string) bool {
 	switch verb(sql) {
 	case "SET", "RESET", "DISCARD":
 		return true
--- a/internal/pooler/config.go
+++ b/internal/pooler/config.go
@@ -103,13 +103,13 @@
 		longest = max(longest, class.Deadline)
 	}
 	return limits.For(machine, limits.Timeouts{
-		Connect: c.Facts.ConnectTimeout, Keepalive: c.Facts.Keepalive, LongestDeadline: longest,
+		Connect: c.Site.ConnectTimeout, Keepalive: c.Site.Keepalive, LongestDeadline: longest,
 	})
 }
 
 // coreSettings returns the core's part of the configuration.
 func coreSettings(c config.Config) core.Settings {
-	return core.Settings{Settings: c.Settings, Names: c.Facts.Classes}
+	return core.Settings{Settings: c.Settings, Names: c.Site.Classes}
 }
 
 // members returns an endpoint list in the core's form. Zones are numbered as in the list of zones.
--- a/internal/pooler/listen.go
+++ b/internal/pooler/listen.go
@@ -17,7 +17,7 @@
 // process is about to release, are retried for a bounded time.
 func (p *Pooler) listen(address string, open func(string) (net.Listener, error)) (listener net.Listener, err error) {
 	bounds := p.limits.Listen
-	err = netretry.Within(bounds.Timeout, netretry.NewBackoff(bounds.Retry), netretry.IsMomentary, func() (err error) {
+	err = netretry.Retry(bounds.Timeout, netretry.NewBackoff(bounds.Retry), netretry.IsTransient, func() (err error) {
 		listener, err = open(address)
 		return err
 	})
--- a/internal/pooler/maintenance.go
+++ b/internal/pooler/maintenance.go
@@ -33,7 +33,7 @@
 		Fleet:       p.membership.State,
 		Incarnation: p.membership.Incarnation,
 		Joined:      p.membership.Joined,
-		Zones:       p.config.Facts.Zones,
+		Zones:       p.config.Site.Zones,
 		Fresh:       fresh,
 		Clock:       p.core.Now,
 		Log:         p.log,
--- a/internal/pooler/membership.go
+++ b/internal/pooler/membership.go
@@ -28,7 +28,7 @@
 	p.peers = peers.New(p.config.Name, settings.Uses, self, p.config.Settings.Routers, peers.Pooler{
 		Core:        p.core,
 		Do:          p.loop.Do,
-		Keep:        p.pool.LimitIdle,
+		LimitIdle:   p.pool.LimitIdle,
 		Connections: func() int { return p.front.ConnectionCount() + p.pool.Connections() },
 		Log:         p.log,
 	})
--- a/internal/pooler/parts.go
+++ b/internal/pooler/parts.go
@@ -44,14 +44,14 @@
 // startServing starts, on the event loop, what has to be in place before the first request is sent. Signals that were
 // received before are handled from its end on: a reload changes the configuration that the parts are started with.
 func (p *Pooler) startServing(received signals) {
-	if p.operatorsFile.Statements.On() {
+	if p.operatorsFile.Statements.Enabled() {
 		p.intake.ConfigureStatements(p.operatorsFile.Statements, p.limits.Statements, p.config.Seed, p.log)
 	}
 	if p.operatorsFile.Maintenance.Enabled { // nothing is sent before it is known which machines are out
 		p.core.Block(p.operatorsFile.Maintenance.InitialBlocks(p.core.Now()))
 		p.startMaintenance()
 	}
-	p.core.LoadKnownMembers(members(p.config.Known, p.config.Facts.Zones))
+	p.core.LoadKnownMembers(members(p.config.Known, p.config.Site.Zones))
 	p.exclusions.Refresh()
 	p.loop.Do(p.core.Start) // queued behind the exclusions: they hold before anything is sent
 	go p.exclusions.Watch(p.lifetime, p.limits.Exclusion.RefreshInterval)
@@ -121,7 +121,7 @@
 
 // startDiscovery starts the watch of the endpoint list. It calls nobody before the core subscribes.
 func (p *Pooler) startDiscovery() error {
-	zones := p.config.Facts.Zones
+	zones := p.config.Site.Zones
 	updated := func(list discovery.List) {
 		p.loop.Do(func() {
 			if list.Complete {
--- a/internal/pooler/reload.go
+++ b/internal/pooler/reload.go
@@ -24,7 +24,7 @@
 	}
 	p.log.Info().Str("discovery", loaded.Discovery).Msg("reload: done")
 	if p.peers != nil {
-		p.peers.Configured(digest(loaded), loaded.Settings.Routers)
+		p.peers.Reconfigure(digest(loaded), loaded.Settings.Routers)
 	}
 	p.config = loaded
 	admissionOn := p.operatorsFile.Admission.Enabled
@@ -63,7 +63,7 @@
 		"listen":         loaded.Listen != p.config.Listen,
 		"limits":         loaded.Machine != p.config.Machine,
 		"management":     loaded.Management != p.config.Management,
-		"settings.zones": !slices.Equal(loaded.Facts.Zones, p.config.Facts.Zones),
+		"settings.zones": !slices.Equal(loaded.Site.Zones, p.config.Site.Zones),
 		"flight":         !reflect.DeepEqual(operators.Flight, p.operatorsFile.Flight),
 		"store":          !reflect.DeepEqual(operators.Store, p.operatorsFile.Store),
 		"fleet":          !reflect.DeepEqual(operators.Membership, p.operatorsFile.Membership),
--- a/internal/pooler/shutdown.go
+++ b/internal/pooler/shutdown.go
@@ -30,7 +30,7 @@
 	close(p.stopping)
 	p.core.Stopping()
 	if p.peers != nil {
-		p.peers.Stopping()
+		p.peers.AnnounceStop()
 	}
 	begun, bounds := p.core.Now(), p.limits.Shutdown
 	s := &shutdown{pooler: p, drainAt: begun + bounds.DrainDelay, deadline: begun + bounds.Timeout}
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -54,7 +54,7 @@
 		{"server.idle_ms", server.IdleMS, 10, 1e9},
 	} {
 		if !(number.value >= number.least && number.value <= number.most) { // in this form NaN is wrong, too
-			return tables.Bad(number.key, "%v is not from %v to %v", number.value, number.least, number.most)
+			return tables.KeyErrorf(number.key, "%v is not from %v to %v", number.value, number.least, number.most)
 		}
 	}
 	return nil
@@ -74,7 +74,7 @@
 		{"list.late_ms", scenario.List.LateMS},
 	} {
 		if !interval.value.valid() {
-			return tables.Bad(interval.key, "%v is no range", interval.value)
+			return tables.KeyErrorf(interval.key, "%v is no range", interval.value)
 		}
 	}
 	return nil
@@ -85,23 +85,23 @@
 	case StatementsOff, StatementsObserve, StatementsEnforce:
 		return nil
 	default:
-		return tables.Bad("statements", "%q is none of off, observe, enforce", scenario.Statements)
+		return tables.KeyErrorf("statements", "%q is none of off, observe, enforce", scenario.Statements)
 	}
 }
 
 func (scenario *Scenario) checkFamilies() error {
 	if len(scenario.Families) == 0 {
-		return tables.Bad("families", "there are none")
+		return tables.KeyErrorf("families", "there are none")
 	}
 	groups := map[int]bool{}
 	for i, family := range scenario.Families {
 		key := fmt.Sprintf("families[%d]", i)
 		if groups[family.Group] {
-			return tables.Bad(key+".group", "%d is another family's", family.Group)
+			return tables.KeyErrorf(key+".group", "%d is another family's", family.Group)
 		}
 		groups[family.Group] = true
 		if family.Members < 1 || family.Members > maxMembers {
-			return tables.Bad(key+".members", "%d is not from 1 to %d", family.Members, maxMembers)
+			return tables.KeyErrorf(key+".members", "%d is not from 1 to %d", family.Members, maxMembers)
 		}
 	}
 	return nil
@@ -112,7 +112,7 @@
 	for i, class := range scenario.Classes {
 		key := fmt.Sprintf("classes[%d]", i)
 		if class.Name == "" || names[class.Name] {
-			return tables.Bad(key+".name", "%q is empty or not the first of its name", class.Name)
+			return tables.KeyErrorf(key+".name", "%q is empty or not the first of its name", class.Name)
 		}
 		if err := class.check(key); err != nil {
 			return err
@@ -127,16 +127,16 @@
 	switch class.Kind {
 	case ReadAny, ReadBounded, Write:
 	default:
-		return tables.Bad(key+".kind", "%q is none of any, bounded, write", class.Kind)
+		return tables.KeyErrorf(key+".kind", "%q is none of any, bounded, write", class.Kind)
 	}
 	switch {
 	case !class.WorkMS.valid():
-		return tables.Bad(key+".work_ms", "%v is no range", class.WorkMS)
+		return tables.KeyErrorf(key+".work_ms", "%v is no range", class.WorkMS)
 	case !(class.AimMS > 0 && class.DeadlineMS >= class.AimMS):
-		return tables.Bad(key+".deadline_ms", "%v is under the aim, %v, or that is not above 0",
+		return tables.KeyErrorf(key+".deadline_ms", "%v is under the aim, %v, or that is not above 0",
 			class.DeadlineMS, class.AimMS)
 	case class.Kind == ReadBounded && !(class.MaxAgeMS > 0):
-		return tables.Bad(key+".max_age_ms", "%v is not above 0", class.MaxAgeMS)
+		return tables.KeyErrorf(key+".max_age_ms", "%v is not above 0", class.MaxAgeMS)
 	}
 	return nil
 }
@@ -146,13 +146,13 @@
 		key := fmt.Sprintf("loads[%d]", i)
 		switch {
 		case scenario.Class(load.Class) == nil:
-			return tables.Bad(key+".class", "no class is named %q", load.Class)
+			return tables.KeyErrorf(key+".class", "no class is named %q", load.Class)
 		case !(load.Rate > 0 && load.Rate <= maxRate):
-			return tables.Bad(key+".rate", "%v is not above 0 and up to %v", load.Rate, maxRate)
+			return tables.KeyErrorf(key+".rate", "%v is not above 0 and up to %v", load.Rate, maxRate)
 		case load.From < 0 || load.To != 0 && load.To <= load.From:
-			return tables.Bad(key+".to", "%v is not behind %v", load.To, load.From)
+			return tables.KeyErrorf(key+".to", "%v is not behind %v", load.To, load.From)
 		case load.Mislabel < 0 || load.Mislabel > 1:
-			return tables.Bad(key+".mislabel", "%v is no share", load.Mislabel)
+			return tables.KeyErrorf(key+".mislabel", "%v is no share", load.Mislabel)
 		}
 	}
 	return nil
@@ -164,10 +164,10 @@
 		key := fmt.Sprintf("faults[%d]", i)
 		target, known := targetKinds[fault.Kind]
 		if !known {
-			return tables.Bad(key+".kind", "%q is no fault", fault.Kind)
+			return tables.KeyErrorf(key+".kind", "%q is no fault", fault.Kind)
 		}
 		if fault.At < 0 || fault.For < 0 {
-			return tables.Bad(key+".at", "%v for %v lies before the beginning", fault.At, fault.For)
+			return tables.KeyErrorf(key+".at", "%v for %v lies before the beginning", fault.At, fault.For)
 		}
 		if err := scenario.checkTarget(key, fault, target); err != nil {
 			return err
@@ -184,18 +184,18 @@
 	switch kind {
 	case targetDatabase:
 		if !scenario.hasDatabase(fault.Target) {
-			return tables.Bad(key+".target", "%q is no %v", fault.Target, kind)
+			return tables.KeyErrorf(key+".target", "%q is no %v", fault.Target, kind)
 		}
 	case targetPooler:
 		if !scenario.hasPooler(fault.Target) {
-			return tables.Bad(key+".target", "%q is no %v", fault.Target, kind)
+			return tables.KeyErrorf(key+".target", "%q is no %v", fault.Target, kind)
 		}
 	case targetLink:
 		if !scenario.Fleet.Enabled {
-			return tables.Bad(key+".kind", "%q: the poolers do not talk, fleet.enabled is false", fault.Kind)
+			return tables.KeyErrorf(key+".kind", "%q: the poolers do not talk, fleet.enabled is false", fault.Kind)
 		}
 		if scenario.Links(fault.Target) == nil {
-			return tables.Bad(key+".target", "%q is neither a pooler nor two, as in \"pooler-0 pooler-1\""+
+			return tables.KeyErrorf(key+".target", "%q is neither a pooler nor two, as in \"pooler-0 pooler-1\""+
 				" or \"pooler-0 > pooler-1\"", fault.Target)
 		}
 	case targetZone, targetDiscovery:
@@ -208,11 +208,11 @@
 	switch fault.Kind {
 	case FaultLoss:
 		if !(fault.Factor > 0 && fault.Factor <= 1) {
-			return tables.Bad(key+".factor", "%v is no share above 0", fault.Factor)
+			return tables.KeyErrorf(key+".factor", "%v is no share above 0", fault.Factor)
 		}
 	case FaultSlow, FaultLag:
 		if !(fault.Factor > 0) {
-			return tables.Bad(key+".factor", "%v is not above 0", fault.Factor)
+			return tables.KeyErrorf(key+".factor", "%v is not above 0", fault.Factor)
 		}
 	}
 	return nil
@@ -228,7 +228,7 @@
 	} {
 		for _, class := range slices.Sorted(maps.Keys(expected.shares)) {
 			if scenario.Class(class) == nil {
-				return tables.Bad(expected.key+"."+class, "no class has this name")
+				return tables.KeyErrorf(expected.key+"."+class, "no class has this name")
 			}
 		}
 	}
--- a/internal/scenario/file.go
+++ b/internal/scenario/file.go
@@ -76,7 +76,7 @@
 		return nil, header{}, err
 	}
 	if err := toml.Unmarshal(text, &head); err != nil {
-		return nil, header{}, tables.Located(path, err)
+		return nil, header{}, tables.ToKeyError(path, err)
 	}
 	return text, head, nil
 }
@@ -100,7 +100,7 @@
 	}
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := decoder.Decode(scenario); err != nil {
-		return tables.Located(path, err)
+		return tables.ToKeyError(path, err)
 	}
 	return nil
 }
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -51,9 +51,10 @@
 	}
 }
 
-// Need returns the position that a read of the session must see. While a write of the session is pending, that is now,
-// on the router's clock. For a session without a recorded commit, it covers the commits that Forget has dropped.
-func (w *Writes) Need(session uint64, now time.Duration) clockoffset.Instant {
+// RequiredPosition returns the position that a read of the session must see. While a write of the session is pending,
+// that is now, on the router's clock. For a session without a recorded commit, it covers the commits that Forget has
+// dropped.
+func (w *Writes) RequiredPosition(session uint64, now time.Duration) clockoffset.Instant {
 	if w.pendingWrites[session] > 0 {
 		return clockoffset.Instant{Own: now}
 	}
@@ -67,7 +68,7 @@
 // clock may be ahead of it.
 func (w *Writes) Forget(before, offset time.Duration) {
 	for session, commit := range w.lastCommits {
-		if commit.By(offset) < before+offset {
+		if commit.OnDatabaseClock(offset) < before+offset {
 			w.forgottenCommit = w.forgottenCommit.Later(commit)
 			delete(w.lastCommits, session)
 		}
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -22,18 +22,18 @@
 // write is pending. A write that never ran is not recorded.
 func TestNeedIsLastCommitOrPresentWhileWritesArePending(t *testing.T) {
 	sessions := session.New()
-	require.Zero(t, sessions.Need(7, 100*second))
+	require.Zero(t, sessions.RequiredPosition(7, 100*second))
 	sessions.Sent(7)
 	sessions.Sent(7)
-	require.Equal(t, now(100*second), sessions.Need(7, 100*second))
-	require.Zero(t, sessions.Need(8, 100*second), "another session")
+	require.Equal(t, now(100*second), sessions.RequiredPosition(7, 100*second))
+	require.Zero(t, sessions.RequiredPosition(8, 100*second), "another session")
 	sessions.Ended(7, true, at(99*second))
-	require.Equal(t, now(101*second), sessions.Need(7, 101*second), "one write is still pending")
+	require.Equal(t, now(101*second), sessions.RequiredPosition(7, 101*second), "one write is still pending")
 	sessions.Ended(7, true, at(98*second))
-	require.Equal(t, at(99*second), sessions.Need(7, 102*second))
+	require.Equal(t, at(99*second), sessions.RequiredPosition(7, 102*second))
 	sessions.Sent(7)
 	sessions.Ended(7, false, at(103*second))
-	require.Equal(t, at(99*second), sessions.Need(7, 104*second))
+	require.Equal(t, at(99*second), sessions.RequiredPosition(7, 104*second))
 }
 
 // After Forget, sessions without a recorded commit, and requests without a session, must see the dropped commits.
@@ -44,10 +44,10 @@
 		sessions.Ended(uint64(id), true, at(position))
 	}
 	sessions.Forget(10*second, 0)
-	require.Equal(t, at(2*second), sessions.Need(1, 100*second))
-	require.Equal(t, at(50*second), sessions.Need(2, 100*second))
-	require.Equal(t, at(2*second), sessions.Need(9, 100*second))
-	require.Equal(t, at(2*second), sessions.Need(0, 100*second))
+	require.Equal(t, at(2*second), sessions.RequiredPosition(1, 100*second))
+	require.Equal(t, at(50*second), sessions.RequiredPosition(2, 100*second))
+	require.Equal(t, at(2*second), sessions.RequiredPosition(9, 100*second))
+	require.Equal(t, at(2*second), sessions.RequiredPosition(0, 100*second))
 }
 
 // A commit on the databases' clock does not depend on the offset; one that is known only on the router's clock is
@@ -61,10 +61,10 @@
 	sessions.Ended(2, true, at(ahead+50*second))
 	sessions.Sent(3)
 	sessions.Ended(3, true, at(ahead+99*second))
-	require.Equal(t, ahead+50*second, sessions.Need(1, 100*second).By(ahead))
+	require.Equal(t, ahead+50*second, sessions.RequiredPosition(1, 100*second).OnDatabaseClock(ahead))
 	sessions.Forget(60*second, ahead)
-	require.Equal(t, ahead+99*second, sessions.Need(3, 100*second).By(ahead), "not forgotten")
+	require.Equal(t, ahead+99*second, sessions.RequiredPosition(3, 100*second).OnDatabaseClock(ahead), "not forgotten")
 	for _, forgotten := range []uint64{1, 2, 9} {
-		require.Equal(t, ahead+50*second, sessions.Need(forgotten, 100*second).By(ahead))
+		require.Equal(t, ahead+50*second, sessions.RequiredPosition(forgotten, 100*second).OnDatabaseClock(ahead))
 	}
 }
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -66,13 +66,13 @@
 
 // rules hold the times and bounds of the endpoint list, of slow start and of overload.
 type rules struct {
-	PollWithin        milliseconds `json:"askWithinMs"`
-	SlowStartShare    float64      `json:"coldFrom"`
-	SlowStartTime     milliseconds `json:"coldMs"`
-	DrainGrace        milliseconds `json:"drainGraceMs"`
-	OverloadMultiple  float64      `json:"tipMultiple"`
-	OverloadWindow    milliseconds `json:"fallMs"`
-	OnlyDrainingBinds bool         `json:"drainBindsAlone"`
+	PollWithin       milliseconds `json:"askWithinMs"`
+	SlowStartShare   float64      `json:"coldFrom"`
+	SlowStartTime    milliseconds `json:"coldMs"`
+	DrainGrace       milliseconds `json:"drainGraceMs"`
+	OverloadMultiple float64      `json:"tipMultiple"`
+	OverloadWindow   milliseconds `json:"fallMs"`
+	MayUseGoneNodes  bool         `json:"drainBindsAlone"`
 }
 
 // milliseconds is a duration in the JSON text. It may have a fraction.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -131,7 +131,7 @@
 		CanProbe:         d.Allowed.Probes,
 		CanHedge:         d.Allowed.Hedges,
 		DrainGrace:       d.Rules.DrainGrace.duration(),
-		MayUseGoneNodes:  d.Rules.OnlyDrainingBinds,
+		MayUseGoneNodes:  d.Rules.MayUseGoneNodes,
 		SlowStartShare:   d.Rules.SlowStartShare,
 		SlowStartTime:    d.Rules.SlowStartTime.duration(),
 		OverloadMultiple: d.Rules.OverloadMultiple,
--- a/internal/standin/connection.go
+++ b/internal/standin/connection.go
@@ -135,7 +135,7 @@
 		}
 	case command.Query == probeQuery:
 		c.send(probeReply(c.server.member.Probe()))
-	case pg.ConcernsConnectionOnly(command.Query):
+	case pg.ChangesConnectionStateOnly(command.Query):
 		c.send(pg.AppendReady(pg.AppendComplete(nil, command.Query)))
 	default:
 		c.execute(command.Query)
--- a/internal/statement/bench_test.go
+++ b/internal/statement/bench_test.go
@@ -34,11 +34,11 @@
 	for _, size := range textSizes {
 		for name, sql := range texts(size) {
 			b.Run(fmt.Sprintf("%s/%d", name, size), func(b *testing.B) {
-				analyser, cache := New(&Rules{}), NewFingerprints(1<<20, 1)
+				analyser, cache := New(&Rules{}), NewFingerprintCache(1<<20, 1)
 				b.SetBytes(int64(len(sql)))
 				b.ReportAllocs()
 				for range b.N {
-					info := analyser.Read(sql)
+					info := analyser.Analyse(sql)
 					cache.Get(analyser.Fingerprint(), &info)
 				}
 			})
@@ -69,7 +69,7 @@
 	for _, size := range textSizes {
 		all := texts(size)
 		for _, name := range []string{"one value", "many tokens"} {
-			analyser, cache := New(&Rules{}), NewFingerprints(1<<20, 1)
+			analyser, cache := New(&Rules{}), NewFingerprintCache(1<<20, 1)
 			rounds := 20_000
 			if size > 10_000 {
 				rounds = 2000
@@ -77,7 +77,7 @@
 			times := make([]time.Duration, rounds)
 			for i := range times {
 				start := time.Now()
-				info := analyser.Read(all[name])
+				info := analyser.Analyse(all[name])
 				cache.Get(analyser.Fingerprint(), &info)
 				times[i] = time.Since(start)
 			}
--- a/internal/statement/cache.go
+++ b/internal/statement/cache.go
@@ -46,12 +46,12 @@
 	maxHits          = 15  // bound of a hit count; each hit defers an eviction from the main queue once
 )
 
-// Fingerprints is a cache of fingerprints whose size is bounded in bytes. It uses S3-FIFO (Yang, Qiu, Zhang, Yue,
+// FingerprintCache is a cache of fingerprints whose size is bounded in bytes. It uses S3-FIFO (Yang, Qiu, Zhang, Yue,
 // Vinayak 2023): new fingerprints enter a small queue, and only those that are used again enter the main queue.
 // Therefore a flood of fingerprints that are used once passes through the small queue only. The cache must count bytes
 // and be deterministic. The available libraries count entries, or seed themselves and run goroutines. It is not safe
 // for concurrent use.
-type Fingerprints struct {
+type FingerprintCache struct {
 	byHash   map[xxh3.Uint128]*Fingerprint
 	queues   [mainQueue + 1]fingerprintQueue
 	ghosts   []uint32 // high bits of the hashes of fingerprints evicted from the small queue; indexed by the low bits
@@ -68,11 +68,11 @@
 	bytes       int
 }
 
-// NewFingerprints returns a cache with a maximum size in bytes. Clients that do not know the seed cannot choose texts
-// whose hashes collide.
-func NewFingerprints(bytes int, seed uint64) *Fingerprints {
+// NewFingerprintCache returns a cache with a maximum size in bytes. Clients that do not know the seed cannot choose
+// texts whose hashes collide.
+func NewFingerprintCache(bytes int, seed uint64) *FingerprintCache {
 	n := max(1, int(ghostShare*float64(bytes))/4)
-	return &Fingerprints{
+	return &FingerprintCache{
 		byHash:   map[xxh3.Uint128]*Fingerprint{},
 		ghosts:   make([]uint32, n),
 		maxBytes: bytes - 4*n,
@@ -81,16 +81,16 @@
 }
 
 // Bytes returns the size of the cache in bytes.
-func (c *Fingerprints) Bytes() int {
+func (c *FingerprintCache) Bytes() int {
 	return c.queues[smallQueue].bytes + c.queues[mainQueue].bytes + 4*len(c.ghosts)
 }
 
 // Len returns the number of cached fingerprints.
-func (c *Fingerprints) Len() int { return len(c.byHash) }
+func (c *FingerprintCache) Len() int { return len(c.byHash) }
 
 // Get returns the cached state of a fingerprint, which it adds to the cache if necessary. The info is the analysis of a
 // text with this fingerprint. The cache owns the result and may evict it at the next call of Get.
-func (c *Fingerprints) Get(text []byte, info *Info) *Fingerprint {
+func (c *FingerprintCache) Get(text []byte, info *Info) *Fingerprint {
 	hash := xxh3.Hash128Seed(text, c.seed)
 	if fingerprint := c.byHash[hash]; fingerprint != nil {
 		c.Hits++
@@ -125,7 +125,7 @@
 }
 
 // ghost returns the slot of a hash in ghosts. Hashes that share a slot overwrite each other.
-func (c *Fingerprints) ghost(hash xxh3.Uint128) *uint32 {
+func (c *FingerprintCache) ghost(hash xxh3.Uint128) *uint32 {
 	return &c.ghosts[hash.Lo%uint64(len(c.ghosts))]
 }
 
@@ -136,10 +136,10 @@
 }
 
 // Contains reports whether a fingerprint is still cached.
-func (c *Fingerprints) Contains(f *Fingerprint) bool { return f.queue != notCached }
+func (c *FingerprintCache) Contains(f *Fingerprint) bool { return f.queue != notCached }
 
 // push appends a fingerprint to a queue.
-func (c *Fingerprints) push(f *Fingerprint, to queueID) {
+func (c *FingerprintCache) push(f *Fingerprint, to queueID) {
 	q := &c.queues[to]
 	f.queue, f.prev, f.next = to, q.last, nil
 	if q.last == nil {
@@ -152,7 +152,7 @@
 }
 
 // pop removes and returns the first fingerprint of a queue that is not empty.
-func (c *Fingerprints) pop(from queueID) *Fingerprint {
+func (c *FingerprintCache) pop(from queueID) *Fingerprint {
 	q := &c.queues[from]
 	f := q.first
 	if q.first = f.next; q.first == nil {
@@ -166,7 +166,7 @@
 }
 
 // evictsSmall reports whether the next eviction is from the small queue.
-func (c *Fingerprints) evictsSmall() bool {
+func (c *FingerprintCache) evictsSmall() bool {
 	if c.queues[smallQueue].first == nil {
 		return false
 	}
@@ -175,7 +175,7 @@
 }
 
 // evict removes one fingerprint from the cache.
-func (c *Fingerprints) evict() {
+func (c *FingerprintCache) evict() {
 	for c.evictsSmall() {
 		f := c.pop(smallQueue)
 		if f.hits > 0 {
@@ -199,7 +199,7 @@
 }
 
 // remove removes a fingerprint that pop has taken from its queue.
-func (c *Fingerprints) remove(f *Fingerprint) {
+func (c *FingerprintCache) remove(f *Fingerprint) {
 	delete(c.byHash, f.hash)
 	f.queue = notCached
 	c.Evicted++
@@ -217,7 +217,7 @@
 
 // Top returns copies of the first fingerprints in an order, at most limit. It omits those with zero calls, time or
 // disagreements, whichever the order compares.
-func (c *Fingerprints) Top(order Order, limit int) (top []Fingerprint) {
+func (c *FingerprintCache) Top(order Order, limit int) (top []Fingerprint) {
 	value := func(f *Fingerprint) float64 {
 		switch order {
 		case ByTime:
--- a/internal/statement/cache_test.go
+++ b/internal/statement/cache_test.go
@@ -24,9 +24,9 @@
 // fingerprints, each once or, for a tenth of them, twice.
 func runFlood(others int) (result floodResult) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	cache, analyser := NewFingerprints(floodBytes, 7), New(noRules)
+	cache, analyser := NewFingerprintCache(floodBytes, 7), New(noRules)
 	lookUp := func(sql string) (hit bool) {
-		info := analyser.Read(sql)
+		info := analyser.Analyse(sql)
 		before := cache.Hits
 		cache.Get(analyser.Fingerprint(), &info)
 		return cache.Hits > before
@@ -95,17 +95,17 @@
 
 // A hit does not allocate, and returns the fingerprint that the first lookup added. Many other fingerprints evict it.
 func TestHitReturnsCachedFingerprintWithoutAllocation(t *testing.T) {
-	cache, analyser := NewFingerprints(64<<10, 7), New(noRules)
-	info := analyser.Read("SELECT nextval('a') WHERE b = 1")
+	cache, analyser := NewFingerprintCache(64<<10, 7), New(noRules)
+	info := analyser.Analyse("SELECT nextval('a') WHERE b = 1")
 	first := cache.Get(analyser.Fingerprint(), &info)
 	require.Equal(t, ByFunction, first.Why)
 	require.True(t, cache.Contains(first))
 	require.Zero(t, testing.AllocsPerRun(100, func() {
-		info := analyser.Read("SELECT nextval('b') WHERE b = 2")
+		info := analyser.Analyse("SELECT nextval('b') WHERE b = 2")
 		require.Same(t, first, cache.Get(analyser.Fingerprint(), &info))
 	}))
 	for i := range 10_000 {
-		info := analyser.Read(fmt.Sprintf("SELECT a%d", i))
+		info := analyser.Analyse(fmt.Sprintf("SELECT a%d", i))
 		for range 3 {
 			cache.Get(analyser.Fingerprint(), &info).Calls++
 		}
--- a/internal/statement/config.go
+++ b/internal/statement/config.go
@@ -28,20 +28,20 @@
 	} {
 		if !wordSet(setting.words)[setting.value] {
 			words := strings.ReplaceAll(setting.words, " ", ", ")
-			return tables.Bad(setting.key, "%q is none of %s", setting.value, words)
+			return tables.KeyErrorf(setting.key, "%q is none of %s", setting.value, words)
 		}
 	}
 	for key, list := range map[string][]string{"writers": c.Writers, "readers": c.Readers, "relations": c.Relations} {
 		for _, name := range list {
 			if !validName(name) {
-				return tables.Bad(key, "%q is neither name nor schema.name", name)
+				return tables.KeyErrorf(key, "%q is neither name nor schema.name", name)
 			}
 		}
 	}
 	for _, name := range c.Readers {
 		for _, writer := range c.Writers {
 			if name == writer {
-				return tables.Bad("readers", "%q is among the writers too", name)
+				return tables.KeyErrorf("readers", "%q is among the writers too", name)
 			}
 		}
 	}
@@ -59,8 +59,8 @@
 	return !strings.ContainsAny(name, " ()\"'")
 }
 
-// On reports whether statements are analysed.
-func (c Config) On() bool { return c.Mode == "observe" || c.Mode == "enforce" }
+// Enabled reports whether statements are analysed.
+func (c Config) Enabled() bool { return c.Mode == "observe" || c.Mode == "enforce" }
 
 // Enforced reports whether statements are routed by their analysis.
 func (c Config) Enforced() bool { return c.Mode == "enforce" }
--- a/internal/statement/fuzz_test.go
+++ b/internal/statement/fuzz_test.go
@@ -27,8 +27,8 @@
 	}
 	analyser, second := New(noRules), New(noRules)
 	f.Fuzz(func(t *testing.T, sql string) {
-		info := analyser.Read(sql)
-		require.Equal(t, info, second.Read(sql), "the results of two analyses of %q differ", sql)
+		info := analyser.Analyse(sql)
+		require.Equal(t, info, second.Analyse(sql), "the results of two analyses of %q differ", sql)
 		require.Equal(t, string(analyser.Fingerprint()), string(second.Fingerprint()), "%q", sql)
 		require.LessOrEqual(t, len(analyser.Fingerprint()), 2*len(sql)+16, "fingerprint of %q", sql)
 		spans := append([]Span{info.Where, info.Comment}, info.Relations[:min(MaxNames, info.RelationCount)]...)
@@ -41,7 +41,7 @@
 			require.True(t, info.MayWrite, "%q is unreadable, but not a possible write", sql)
 		}
 		for _, write := range followingWrites {
-			require.True(t, second.Read(sql+write).MayWrite, "%q hides %q", sql, write)
+			require.True(t, second.Analyse(sql+write).MayWrite, "%q hides %q", sql, write)
 		}
 	})
 }
--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -66,13 +66,13 @@
 
 // Info is the result of analysing a text. It contains no pointers: its spans are offsets in the text.
 type Info struct {
-	Kind     Kind
-	MayWrite bool
-	Why      Why
-	Where    Span // the part of the text that is the reason Why
-	Several  bool // the text contains several statements
-	Comment  Span // the last block comment that is not part of a string or of another comment
-	Tail     bool // only white space and semicolons follow the comment
+	Kind         Kind
+	MayWrite     bool
+	Why          Why
+	Where        Span // the part of the text that is the reason Why
+	Several      bool // the text contains several statements
+	Comment      Span // the last block comment that is not part of a string or of another comment
+	CommentAtEnd bool // only white space and semicolons follow the comment
 
 	Relations, Functions         [MaxNames]Span
 	RelationCount, FunctionCount int // including those beyond MaxNames
@@ -97,8 +97,8 @@
 // New returns an analyser that uses the given rules. The caller must not change them afterwards.
 func New(rules *Rules) *Analyser { return &Analyser{rules: rules} }
 
-// Read analyses a text, which may contain several statements.
-func (a *Analyser) Read(sql string) Info {
+// Analyse analyses a text, which may contain several statements.
+func (a *Analyser) Analyse(sql string) Info {
 	a.fingerprint, a.info = a.fingerprint[:0], Info{}
 	info := &a.info
 	a.scan = scanner{lexer: lexer{sql: sql}, analyser: a, info: info, atStart: true}
@@ -129,7 +129,7 @@
 	}
 	if c := scan.comment; c.end > 0 {
 		info.Comment = Span{c.start, c.end}
-		info.Tail = blank(sql[c.end:])
+		info.CommentAtEnd = blank(sql[c.end:])
 	}
 	// Drop the references to the text.
 	scan.sql, scan.info, scan.verb, scan.prevWord, scan.wordBeforeName, scan.pendingWrite = "", nil, "", "", "", ""
--- a/internal/statement/statement_test.go
+++ b/internal/statement/statement_test.go
@@ -67,7 +67,7 @@
 // Plain reads are recognised, even if their values, names and comments contain words of writes.
 func TestRecognisesPlainReads(t *testing.T) {
 	for _, sql := range plainReads {
-		info := New(noRules).Read(sql)
+		info := New(noRules).Analyse(sql)
 		require.False(t, info.MayWrite, "%s: %v: %s", sql, info.Why, sql[info.Where.Start:info.Where.End])
 	}
 }
@@ -162,7 +162,7 @@
 	for why, statements := range possibleWrites {
 		t.Run(why.String(), func(t *testing.T) {
 			for _, sql := range statements {
-				info := New(noRules).Read(sql)
+				info := New(noRules).Analyse(sql)
 				require.True(t, info.MayWrite, sql)
 				require.Equal(t, why, info.Why, "%s: %s", sql, info.Why)
 			}
@@ -196,18 +196,18 @@
 		"SELECT counted FROM a":                      OnlyReads,
 	} {
 		t.Run(sql, func(t *testing.T) {
-			require.Equal(t, why, New(rules).Read(sql).Why)
+			require.Equal(t, why, New(rules).Analyse(sql).Why)
 		})
 	}
 	trusting := &Rules{TrustUnknown: true}
-	require.False(t, New(trusting).Read("SELECT mine(1)").MayWrite)
-	require.True(t, New(trusting).Read("SELECT setval('a', 1)").MayWrite)
+	require.False(t, New(trusting).Analyse("SELECT mine(1)").MayWrite)
+	require.True(t, New(trusting).Analyse("SELECT setval('a', 1)").MayWrite)
 }
 
 // The relations, the functions and the last block comment of a statement are found.
 func TestFindsNamesAndLastComment(t *testing.T) {
 	sql := "SELECT lower(a), app.f(b) FROM app.t, u JOIN \"V\" ON true /* first */ /* id=1 */ ;"
-	info := New(noRules).Read(sql)
+	info := New(noRules).Analyse(sql)
 	text := func(span Span) string { return sql[span.Start:span.End] }
 	require.Equal(t, 3, info.RelationCount)
 	relations := []string{text(info.Relations[0]), text(info.Relations[1]), text(info.Relations[2])}
@@ -215,9 +215,10 @@
 	require.Equal(t, 2, info.FunctionCount)
 	require.Equal(t, "app.f", text(info.Functions[1]))
 	require.Equal(t, "/* id=1 */", text(info.Comment))
-	require.True(t, info.Tail)
+	require.True(t, info.CommentAtEnd)
 	nested := "SELECT 1 /* a /* id=2 */ */"
-	require.Equal(t, strings.Index(nested, "/*"), New(noRules).Read(nested).Comment.Start, "start of the outer comment")
+	comment := New(noRules).Analyse(nested).Comment
+	require.Equal(t, strings.Index(nested, "/*"), comment.Start, "start of the outer comment")
 }
 
 // Text that only looks like a comment at the end of the statement is not reported as one.
@@ -229,7 +230,7 @@
 		"before the statement's end": "SELECT /* id=1 */ 1",
 	} {
 		t.Run(name, func(t *testing.T) {
-			require.False(t, New(noRules).Read(sql).Tail)
+			require.False(t, New(noRules).Analyse(sql).CommentAtEnd)
 		})
 	}
 }
@@ -239,7 +240,7 @@
 func TestFingerprintIgnoresOnlyValuesAndListLengths(t *testing.T) {
 	analyzer := New(noRules)
 	fingerprint := func(sql string) string {
-		analyzer.Read(sql)
+		analyzer.Analyse(sql)
 		return string(analyzer.Fingerprint())
 	}
 	require.Equal(t, "select a, lower(b) from t where c in(?) and d = ?",
@@ -257,8 +258,8 @@
 	analyzer := New(noRules)
 	long := "SELECT '" + strings.Repeat("x", 256<<10) + "'"
 	deep := deeplyNested(999)
-	require.False(t, analyzer.Read(long).MayWrite)
-	require.False(t, analyzer.Read(deep).MayWrite)
+	require.False(t, analyzer.Analyse(long).MayWrite)
+	require.False(t, analyzer.Analyse(deep).MayWrite)
 	for name, sql := range map[string]string{
 		"string":                    long,
 		"parentheses":               deep,
@@ -269,8 +270,8 @@
 		"continued strings":         strings.Repeat("'a'\n", 1<<16),
 	} {
 		t.Run(name, func(t *testing.T) {
-			analyzer.Read(sql)
-			require.LessOrEqual(t, testing.AllocsPerRun(3, func() { analyzer.Read(sql) }), 0.0)
+			analyzer.Analyse(sql)
+			require.LessOrEqual(t, testing.AllocsPerRun(3, func() { analyzer.Analyse(sql) }), 0.0)
 		})
 	}
 }
--- a/internal/store/config.go
+++ b/internal/store/config.go
@@ -44,27 +44,27 @@
 		return nil
 	}
 	err := errors.Join(
-		tables.Address("listen", c.Listen),
-		tables.Address("bind", c.Bind),
-		tables.Address("api", c.API),
-		tables.Address("api_bind", c.APIBind),
+		tables.CheckAddress("listen", c.Listen),
+		tables.CheckAddress("bind", c.Bind),
+		tables.CheckAddress("api", c.API),
+		tables.CheckAddress("api_bind", c.APIBind),
 	)
 	if err != nil {
 		return err
 	}
 	// Raft requires that a member's term and vote survive restarts.
 	if len(c.Peers) > 0 && c.Dir == "" {
-		return tables.Bad("dir", "is empty, and there are peers")
+		return tables.KeyErrorf("dir", "is empty, and there are peers")
 	}
 	if c.Join && len(c.Peers) == 0 {
-		return tables.Bad("join", "there are no peers to join")
+		return tables.KeyErrorf("join", "there are no peers to join")
 	}
 	for i, peer := range c.Peers {
 		key := fmt.Sprintf("peers[%d]", i)
 		if peer.Name == "" || peer.Listen == "" || peer.API == "" {
-			return tables.Bad(key, "lacks name, listen or api")
+			return tables.KeyErrorf(key, "lacks name, listen or api")
 		}
-		err := errors.Join(tables.Address(key+".listen", peer.Listen), tables.Address(key+".api", peer.API))
+		err := errors.Join(tables.CheckAddress(key+".listen", peer.Listen), tables.CheckAddress(key+".api", peer.API))
 		if err != nil {
 			return err
 		}
@@ -82,5 +82,5 @@
 	if len(c.Peers) == 0 {
 		return nil
 	}
-	return tables.Bad("store.peers", "%s is not listed with its own listen and api", name)
+	return tables.KeyErrorf("store.peers", "%s is not listed with its own listen and api", name)
 }
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -18,8 +18,8 @@
 // Member is a member of the raft cluster.
 type Member struct {
 	Peer
-	// Votes reports whether the member is a voter. A new member becomes a voter when it has caught up.
-	Votes bool `json:"votes"`
+	// Voter reports whether the member is a voter. A new member becomes a voter when it has caught up.
+	Voter bool `json:"votes"`
 	// Leads reports whether the member is the leader, as far as the answering pooler knows.
 	Leads bool `json:"leads,omitempty"`
 }
@@ -52,7 +52,7 @@
 	for _, server := range future.Configuration().Servers {
 		all = append(all, Member{
 			Peer:  Peer{Name: string(server.ID), Listen: string(server.Address), API: r.apiAddress(server.ID)},
-			Votes: server.Suffrage == raft.Voter,
+			Voter: server.Suffrage == raft.Voter,
 			Leads: server.ID == leader,
 		})
 	}
@@ -67,7 +67,8 @@
 	if peer.Name == "" {
 		return errors.New("name: empty")
 	}
-	if err := errors.Join(tables.Address("listen", peer.Listen), tables.Address("api", peer.API)); err != nil {
+	err := errors.Join(tables.CheckAddress("listen", peer.Listen), tables.CheckAddress("api", peer.API))
+	if err != nil {
 		return err
 	}
 	r.memberChanges.Lock()
@@ -77,7 +78,7 @@
 		return err
 	}
 	for _, member := range all {
-		if member.Name == peer.Name && member.Votes {
+		if member.Name == peer.Name && member.Voter {
 			return fmt.Errorf("%s is a member already", peer.Name)
 		}
 	}
@@ -148,7 +149,7 @@
 	}
 	voters, known := 0, false
 	for _, member := range all {
-		if member.Votes && member.Name != name {
+		if member.Voter && member.Name != name {
 			voters++
 		}
 		known = known || member.Name == name
--- a/internal/store/members_test.go
+++ b/internal/store/members_test.go
@@ -27,7 +27,7 @@
 	}
 	var names []string
 	for _, member := range members {
-		if member.Votes {
+		if member.Voter {
 			names = append(names, member.Name)
 		}
 	}
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -73,7 +73,7 @@
 func parse(key string, source Rule, tenants map[string]int) (rule, error) {
 	tenant, known := tenants[source.Tenant]
 	if !known {
-		return rule{}, tables.Bad(key+".tenant", "no tenant is named %q", source.Tenant)
+		return rule{}, tables.KeyErrorf(key+".tenant", "no tenant is named %q", source.Tenant)
 	}
 	parsed := rule{Rule: source, tenant: tenant}
 	var err error
@@ -84,13 +84,13 @@
 		return rule{}, err
 	}
 	if !fronts[source.Front] {
-		return rule{}, tables.Bad(key+".front", "%q is not postgres, flight or pcap", source.Front)
+		return rule{}, tables.KeyErrorf(key+".front", "%q is not postgres, flight or pcap", source.Front)
 	}
 	if parsed.addresses, err = parseAddresses(source.Address); err != nil {
-		return rule{}, tables.Bad(key+".address", "%v", err)
+		return rule{}, tables.KeyErrorf(key+".address", "%v", err)
 	}
 	if (Rule{Tenant: source.Tenant}) == source {
-		return rule{}, tables.Bad(key, "has no condition")
+		return rule{}, tables.KeyErrorf(key, "has no condition")
 	}
 	return parsed, nil
 }
@@ -99,7 +99,7 @@
 func parseNamedPattern(key, text string) (namedPattern, error) {
 	name, pattern, ok := strings.Cut(text, "=")
 	if text != "" && !ok {
-		return namedPattern{}, tables.Bad(key, "%q is not name=value", text)
+		return namedPattern{}, tables.KeyErrorf(key, "%q is not name=value", text)
 	}
 	return namedPattern{name, pattern}, nil
 }
@@ -115,8 +115,8 @@
 	return netip.ParsePrefix(text)
 }
 
-// Of returns the number of a caller's tenant: that of the first rule that matches, or 0 if none does.
-func (r *Rules) Of(caller *Caller) int {
+// TenantOf returns the number of a caller's tenant: that of the first rule that matches, or 0 if none does.
+func (r *Rules) TenantOf(caller *Caller) int {
 	for i := range r.rules {
 		if r.rules[i].matches(caller) {
 			return r.rules[i].tenant
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			rules, err := tenant.New(names, []tenant.Rule{test.rule})
 			require.NoError(t, err)
-			require.Equal(t, test.want, rules.Of(&test.caller))
+			require.Equal(t, test.want, rules.TenantOf(&test.caller))
 		})
 	}
 }
@@ -69,7 +69,7 @@
 		{Tenant: "reports", User: "r"}, {Tenant: "shop", Class: "read"}, {Tenant: "reports", Class: "read"},
 	})
 	require.NoError(t, err)
-	require.Equal(t, 1, rules.Of(&tenant.Caller{User: "u", Class: "read"}))
+	require.Equal(t, 1, rules.TenantOf(&tenant.Caller{User: "u", Class: "read"}))
 }
 
 func TestErrorNamesTheInvalidKey(t *testing.T) {
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -135,7 +135,7 @@
 func (c *Client) next() (pg.Reply, error) {
 	link := pg.NewLink(maxReplyBytes, maxReplyBytes, maxReplyBytes)
 	if c.started { // for the link, the reply to the startup ends with the first ReadyForQuery
-		link.Resume()
+		link.SkipStartup()
 	}
 	buffer := make([]byte, readBufferSize)
 	for {
--- a/routing/evidence.go
+++ b/routing/evidence.go
@@ -15,7 +15,7 @@
 		}
 		node.positionReportedAt = r.now
 	}
-	if evidence.Role != RoleUnknown && at.By(r.offset.Earliest) >= r.roleTime(node) {
+	if evidence.Role != RoleUnknown && at.OnDatabaseClock(r.offset.Earliest) >= r.roleTime(node) {
 		node.role, node.roleAt = evidence.Role, at
 	}
 	if evidence.ReportsQueue && r.capacityShare(node) == 1 {
@@ -39,7 +39,7 @@
 	r.recordHealth(node, outcome.Status)
 	if outcome.Status == OK {
 		node.halfOpen = false
-		work := r.work.Of(request.Class)
+		work := r.work.RelativeWork(request.Class)
 		node.completed += work
 		node.slowStart.Answered(r.now, work)
 		node.latestAnsweredSend = max(node.latestAnsweredSend, attempt.sentAt)
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -16,7 +16,7 @@
 	case BoundedRead:
 		return r.latestNow()-position <= request.class.MaxAge
 	default:
-		return position >= request.minPosition.By(r.offset.Latest)
+		return position >= request.minPosition.OnDatabaseClock(r.offset.Latest)
 	}
 }
 
--- a/routing/remotetime.go
+++ b/routing/remotetime.go
@@ -23,7 +23,9 @@
 func (r *Router) earliestNow() time.Duration { return r.now + r.offset.Earliest }
 
 // roleTime returns the time of the evidence for a node's role, by the nodes' clock.
-func (r *Router) roleTime(node *nodeRecord) time.Duration { return node.roleAt.By(r.offset.Earliest) }
+func (r *Router) roleTime(node *nodeRecord) time.Duration {
+	return node.roleAt.OnDatabaseClock(r.offset.Earliest)
+}
 
 // plausible reports whether a time of the nodes' clock is not in the future, apart from the tolerance.
 func (r *Router) plausible(remote time.Duration) bool {
--- a/routing/requests.go
+++ b/routing/requests.go
@@ -89,7 +89,7 @@
 	case SessionRead:
 		request.minPosition.Remote = request.LastWrite
 		if r.settings.KeepSessions {
-			request.minPosition = request.minPosition.Later(r.writes.Need(request.Session, r.now))
+			request.minPosition = request.minPosition.Later(r.writes.RequiredPosition(request.Session, r.now))
 		}
 	}
 }
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -70,7 +70,7 @@
 	if sends >= 1 {
 		return true
 	}
-	if work > r.work.Of(request.Class) && r.hasWarmAlternative(node) {
+	if work > r.work.RelativeWork(request.Class) && r.hasWarmAlternative(node) {
 		return false
 	}
 	return r.slowStartDraw(node) < sends
@@ -91,7 +91,7 @@
 // average out: it counts for more than the mean. Requests that only the primary can serve have no alternative and count
 // for the mean.
 func (r *Router) slowStartWork(request *openRequest) float64 {
-	work := r.work.Of(request.Class)
+	work := r.work.RelativeWork(request.Class)
 	if request.class.Read == Write || request.class.Read == FreshRead {
 		return work
 	}
