--- a/internal/contract/mixed/members_test.go
+++ b/internal/contract/mixed/members_test.go
@@ -103,7 +103,7 @@
 
 		replaceProgram(fleet.Beds["n0"], order.second)
 		end := fleet.Beds["n0"].Upgrade()
-		require.NotEmpty(t, fleet.State("n0").Waits, "the process before still takes part")
+		require.NotEmpty(t, fleet.State("n0").WaitReason, "the process before still takes part")
 		fleet.Serve("two processes", "n0")
 		require.NoError(t, end())
 		fleet.WaitConverged("n0 upgraded", fleet.Names...)
@@ -130,7 +130,7 @@
 		return observation.Pooler == observer && observation.State.Bad()
 	}
 	return slices.ContainsFunc(fleet.State(at).Databases, func(observed gossip.Database) bool {
-		return observed.Name == database && slices.ContainsFunc(observed.Words, bad)
+		return observed.Name == database && slices.ContainsFunc(observed.Observations, bad)
 	})
 }
 
--- a/internal/exclusion/exclusion.go
+++ b/internal/exclusion/exclusion.go
@@ -239,9 +239,9 @@
 	return len(f.pending)
 }
 
-// Settled reports whether this process may end without losing a change: each change is on disk or handed over to the
+// SafeToExit reports whether this process may end without losing a change: each change is on disk or handed over to the
 // other processes.
-func (f *File) Settled() bool {
+func (f *File) SafeToExit() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.pending) == 0 || f.handedOver
--- a/internal/exclusion/exclusion_test.go
+++ b/internal/exclusion/exclusion_test.go
@@ -36,13 +36,13 @@
 			require.False(t, saver.excluded("db-0"))
 			require.Equal(t, 2, saver.Unsaved())
 			if test.handedOver {
-				host.eventually(saver.Settled, "the changes are handed over")
+				host.eventually(saver.SafeToExit, "the changes are handed over")
 				next := host.start()
 				require.True(t, next.excluded("db-1"))
 				require.False(t, next.excluded("db-0"))
 				host.eventually(func() bool { return len(host.files("*.new")) == 0 }, "no incomplete file remains")
 			} else {
-				require.Never(t, saver.Settled, 10*refreshInterval, refreshInterval)
+				require.Never(t, saver.SafeToExit, 10*refreshInterval, refreshInterval)
 			}
 			saver.failOn("", nil)
 			host.eventually(func() bool { return saver.Unsaved() == 0 }, "the changes are on disk")
--- a/internal/fdshare/fdshare_test.go
+++ b/internal/fdshare/fdshare_test.go
@@ -194,7 +194,7 @@
 	t.Helper()
 	const inUse = 20
 	require.Eventually(t, func() bool {
-		err := member.Settle(shuttingDown, func() int { return inUse }, func(int) {})
+		err := member.UpdateQuota(shuttingDown, func() int { return inUse }, func(int) {})
 		if !errors.Is(err, fdshare.ErrBusy) {
 			require.NoError(t, err)
 		}
@@ -224,7 +224,7 @@
 		return err
 	}
 	for {
-		err := member.Settle(false, func() int { return 100 }, func(int) {})
+		err := member.UpdateQuota(false, func() int { return 100 }, func(int) {})
 		if err == nil {
 			_, _ = fmt.Println("settled") // startOther reads the line
 			select {}
--- a/internal/fdshare/member.go
+++ b/internal/fdshare/member.go
@@ -27,8 +27,8 @@
 	lockSuffix   = "lock" // of the file whose lock serializes the steps of all processes
 )
 
-// Member is the membership of this process among the processes of its pooler. Quota is safe for concurrent use; Settle
-// is not.
+// Member is the membership of this process among the processes of its pooler. Quota is safe for concurrent use;
+// UpdateQuota is not.
 type Member struct {
 	prefix  string // of the paths of all files of the pooler
 	suffix  string // of the path of the own claim's file
@@ -142,17 +142,17 @@
 	return file, nil
 }
 
-// Quota returns how many descriptors the process may have open. Before the first Settle it is the reserve.
+// Quota returns how many descriptors the process may have open. Before the first UpdateQuota it is the reserve.
 func (member *Member) Quota() int { return int(member.quota.Load()) }
 
-// Settle makes one step: it reads the claims of the other processes, computes the quota of this process and writes its
-// claim. countOpen returns the number of open descriptors. setLimit limits how many more may be opened; it is called
-// before a smaller quota is written, and after a larger quota is written.
+// UpdateQuota makes one step: it reads the claims of the other processes, computes the quota of this process and writes
+// its claim. countOpen returns the number of open descriptors. setLimit limits how many more may be opened; it is
+// called before a smaller quota is written, and after a larger quota is written.
 //
-// Settle returns ErrBusy and leaves the quota as it is while another process holds the lock. After other errors, such
-// as a failure to write the claim, the quota is the previous one, or the new one if that is smaller; the claims that
-// other processes read still cover it. The first Settle calls setLimit even if it fails.
-func (member *Member) Settle(shuttingDown bool, countOpen func() int, setLimit func(available int)) error {
+// UpdateQuota returns ErrBusy and leaves the quota as it is while another process holds the lock. After other errors,
+// such as a failure to write the claim, the quota is the previous one, or the new one if that is smaller; the claims
+// that other processes read still cover it. The first UpdateQuota calls setLimit even if it fails.
+func (member *Member) UpdateQuota(shuttingDown bool, countOpen func() int, setLimit func(available int)) error {
 	err := member.step(shuttingDown, countOpen, setLimit)
 	if err != nil && !member.limited { // the process has no limit yet
 		setLimit(member.Quota() - countOpen())
@@ -161,7 +161,7 @@
 	return err
 }
 
-// step is Settle without the limit that a failed first call sets.
+// step is UpdateQuota without the limit that a failed first call sets.
 func (member *Member) step(shuttingDown bool, countOpen func() int, setLimit func(available int)) error {
 	lock, err := member.lock()
 	if err != nil {
@@ -198,7 +198,7 @@
 	return err
 }
 
-// ErrBusy is returned by Settle while another process makes its step.
+// ErrBusy is returned by UpdateQuota while another process makes its step.
 var ErrBusy = errors.New("another process is settling its quota")
 
 // ensureOwnFile creates the own claim's file again if it has been removed, for example by a program that cleans up
--- a/internal/fdshare/member_test.go
+++ b/internal/fdshare/member_test.go
@@ -25,11 +25,11 @@
 type process struct {
 	*Member
 	inUse int // open descriptors
-	limit int // of open descriptors, as last set by Settle
+	limit int // of open descriptors, as last set by UpdateQuota
 }
 
 func (p *process) settle(shuttingDown bool) error {
-	return p.Settle(shuttingDown, func() int { return p.inUse },
+	return p.UpdateQuota(shuttingDown, func() int { return p.inUse },
 		func(available int) { p.limit = p.inUse + max(0, available) })
 }
 
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -33,16 +33,16 @@
 type Pooler struct {
 	Name        string
 	Core        *core.Core
-	Do          func(func()) // schedules a function on the event loop, without waiting for it
+	RunOnLoop   func(func()) // schedules a function on the event loop, without waiting for it
 	Store       store.Store  // nil: this pooler stores no replica of the record
 	Client      *store.Client
-	Fleet       func() gossip.State // membership's view
+	Membership  func() gossip.State // membership's view
 	Incarnation func() uint64
 	// Joined reports whether this process has joined membership under its name. During an upgrade, the new process
 	// starts while the old process of the same name still serves.
 	Joined func() bool
 	Zones  []string             // names of the zones, by number
-	Fresh  time.Duration        // replication lag that the strictest class tolerates
+	MaxLag time.Duration        // replication lag that the strictest class tolerates
 	Clock  func() time.Duration // monotonic
 	Log    zerolog.Logger
 }
--- a/internal/maintenance/agent/blocks.go
+++ b/internal/maintenance/agent/blocks.go
@@ -73,7 +73,7 @@
 func (a *Agent) updateBlocks(ctx context.Context) (status maintenance.PoolerStatus, known bool) {
 	decided := a.decideBlocks(a.pooler.Core.Figures().Databases)
 	counted := make(chan map[routing.NodeID]int, 1)
-	a.pooler.Do(func() {
+	a.pooler.RunOnLoop(func() {
 		a.pooler.Core.Block(decided.blocks)
 		for _, name := range decided.probe {
 			a.pooler.Core.ProbeByName(name)
--- a/internal/maintenance/agent/config.go
+++ b/internal/maintenance/agent/config.go
@@ -11,8 +11,8 @@
 // Config is the table [works] of the operators' file.
 type Config struct {
 	Enabled bool `toml:"enabled"`
-	// Record holds the API addresses of the poolers that store the record; empty: those of [store].
-	Record []string `toml:"record"`
+	// RecordAddresses holds the API addresses of the poolers that store the record; empty: those of [store].
+	RecordAddresses []string `toml:"record"`
 	// LeaseMS is the length of a lease: for how long after a read of the record a pooler may send to a plan's machines.
 	LeaseMS int `toml:"lease_ms"`
 	// SkewMS is the maximum difference that two clocks develop during a lease.
@@ -43,7 +43,7 @@
 	if !c.Enabled {
 		return nil
 	}
-	for i, api := range c.Record {
+	for i, api := range c.RecordAddresses {
 		if err := tables.CheckAddress(fmt.Sprintf("record[%d]", i), api); err != nil {
 			return err
 		}
--- a/internal/maintenance/agent/leader.go
+++ b/internal/maintenance/agent/leader.go
@@ -15,7 +15,7 @@
 	var leader *maintenance.Leader
 	var self maintenance.Instance
 	for ; ctx.Err() == nil; sleep(ctx, leaderInterval) {
-		if !a.pooler.Store.Leads() {
+		if !a.pooler.Store.IsLeader() {
 			leader = nil
 			continue
 		}
@@ -39,7 +39,7 @@
 ) bool {
 	observation := a.observe(record.Plan.Spec.Capacity)
 	proposal := leader.Propose(a.pooler.Clock(), wallClock(), record, observation)
-	a.probe(proposal.Probe)
+	a.probe(proposal.DatabasesToProbe)
 	if proposal.Resign {
 		a.resign()
 		return false
@@ -53,7 +53,7 @@
 // resign transfers the leadership of the record to another pooler, because this one is taken out of service next.
 func (a *Agent) resign() {
 	a.pooler.Log.Info().Msg("maintenance: handing over leadership, this pooler is next")
-	if err := a.pooler.Store.HandOver(); err != nil {
+	if err := a.pooler.Store.TransferLeadership(); err != nil {
 		a.pooler.Log.Warn().Err(err).Msg("maintenance: leadership not handed over")
 	}
 }
@@ -66,13 +66,13 @@
 // policy returns the configuration by which this instance carries out maintenance.
 func (a *Agent) policy(self maintenance.Instance) maintenance.Policy {
 	return maintenance.Policy{
-		Self:      self,
-		Hook:      len(a.config.Hook) > 0 || a.config.HookURL != "",
-		HandsOver: len(a.config.HandOver) > 0,
-		Calls:     a.config.HookCalls,
-		Lease:     milliseconds(a.config.LeaseMS),
-		Skew:      milliseconds(a.config.SkewMS),
-		Settle:    milliseconds(a.config.SettleMS),
+		Self:          self,
+		Hook:          len(a.config.Hook) > 0 || a.config.HookURL != "",
+		HookHandsOver: len(a.config.HandOver) > 0,
+		MaxHookCalls:  a.config.HookCalls,
+		Lease:         milliseconds(a.config.LeaseMS),
+		Skew:          milliseconds(a.config.SkewMS),
+		SettleTime:    milliseconds(a.config.SettleMS),
 	}
 }
 
--- a/internal/maintenance/agent/observe.go
+++ b/internal/maintenance/agent/observe.go
@@ -29,8 +29,8 @@
 	in := inputs{
 		now:      a.pooler.Clock(),
 		figures:  a.pooler.Core.Figures(),
-		members:  a.pooler.Fleet(),
-		leads:    a.pooler.Store != nil && a.pooler.Store.Leads(),
+		members:  a.pooler.Membership(),
+		leads:    a.pooler.Store != nil && a.pooler.Store.IsLeader(),
 		capacity: capacity,
 	}
 	a.mu.Lock()
@@ -43,7 +43,7 @@
 	if len(databases) == 0 {
 		return
 	}
-	a.pooler.Do(func() {
+	a.pooler.RunOnLoop(func() {
 		for _, name := range databases {
 			a.pooler.Core.ProbeByName(name)
 		}
@@ -60,7 +60,7 @@
 
 // newObserver returns the observer of a pooler that has no peaks yet.
 func newObserver(config Config, pooler Pooler) observer {
-	maxLag := pooler.Fresh
+	maxLag := pooler.MaxLag
 	if config.FreshMS > 0 {
 		maxLag = milliseconds(config.FreshMS)
 	}
@@ -84,8 +84,8 @@
 			Load:     map[int]float64{},
 		},
 		Incarnations: map[string]uint64{},
-		Left:         map[string]uint64{},
-		Heard:        map[string]time.Duration{},
+		Departed:     map[string]uint64{},
+		LastEvidence: map[string]time.Duration{},
 	}
 	rates := observePoolers(in, &observation)
 	o.expectLoad(in.now, rates, in.capacity, observation.Load)
@@ -98,7 +98,7 @@
 	rates = map[int]float64{}
 	for _, member := range in.members.Poolers {
 		if member.State == memberLeft {
-			observation.Left[member.Name] = member.Incarnation
+			observation.Departed[member.Name] = member.Incarnation
 			continue
 		}
 		observation.Incarnations[member.Name] = member.Incarnation
@@ -116,7 +116,7 @@
 		}
 		observation.Live = append(observation.Live, member.Name)
 		var report peers.Self
-		if json.Unmarshal(member.Says, &report) != nil {
+		if json.Unmarshal(member.Published, &report) != nil {
 			continue
 		}
 		machine.Zone = report.Zone
@@ -135,7 +135,7 @@
 	livePoolers := len(observation.Live)
 	for _, database := range in.figures.Databases {
 		name := database.Name
-		observation.Heard[name] = database.LastHeard
+		observation.LastEvidence[name] = database.LastHeard
 		heardLately := in.now-database.LastHeard < maxEvidenceAge
 		majorityUnhealthy := 2*unhealthy[name] >= max(2, livePoolers)
 		observation.Machines[name] = &maintenance.Machine{
@@ -157,7 +157,7 @@
 func reportedStates(members gossip.State) (unhealthy map[string]int, warmingUp map[string]bool) {
 	unhealthy, warmingUp = map[string]int{}, map[string]bool{}
 	for _, database := range members.Databases {
-		for _, reported := range database.Words {
+		for _, reported := range database.Observations {
 			if reported.State.Bad() {
 				unhealthy[database.Name]++
 			}
--- a/internal/maintenance/agent/operator.go
+++ b/internal/maintenance/agent/operator.go
@@ -74,7 +74,7 @@
 	parsed = invocation{command: args[0], asJSON: *asJSON, watch: *watch}
 	rest := flags.Args()
 	takesFile := parsed.command == commandPlan || parsed.command == commandStart
-	if takesFile || maintenance.Command(parsed.command).OfMachine() {
+	if takesFile || maintenance.Command(parsed.command).TakesName() {
 		if len(rest) == 0 {
 			return parsed, false
 		}
--- a/internal/maintenance/agent/overview.go
+++ b/internal/maintenance/agent/overview.go
@@ -40,8 +40,8 @@
 	defer a.mu.Unlock()
 	overview := a.overview
 	overview.Name = a.pooler.Name
-	overview.Leads = a.pooler.Store != nil && a.pooler.Store.Leads()
-	overview.Record = a.pooler.Client.At()
+	overview.Leads = a.pooler.Store != nil && a.pooler.Store.IsLeader()
+	overview.Record = a.pooler.Client.Addresses()
 	overview.Revision = a.revision
 	overview.LeaseLeftMS = (a.follower.LeaseEnd() - now).Milliseconds()
 	overview.DecodeError = a.decodeError
@@ -55,7 +55,7 @@
 // probeSilent probes the databases whose evidence will soon be too old.
 func (a *Agent) probeSilent(observation maintenance.Observation, now time.Duration) {
 	var silent []string
-	for name, heardAt := range observation.Heard {
+	for name, heardAt := range observation.LastEvidence {
 		if now-heardAt > maxEvidenceAge/3 {
 			silent = append(silent, name)
 		}
--- a/internal/maintenance/agent/print.go
+++ b/internal/maintenance/agent/print.go
@@ -31,7 +31,7 @@
 		if step.HandOver != "" {
 			note = "after " + step.HandOver + " has taken over"
 		}
-		return fmt.Sprintf("%d\t%s\tleaves %.2f\t%s", i+1, step.Machine, step.Leaves, note)
+		return fmt.Sprintf("%d\t%s\tleaves %.2f\t%s", i+1, step.Machine, step.SpareCapacity, note)
 	})
 }
 
@@ -54,8 +54,8 @@
 		fmt.Fprintf(out, "as %s has it, %s\n", s.Pooler.Name, s.Why)
 	}
 	fmt.Fprintf(out, "plan %s: %s", s.Plan.ID, s.Plan.State)
-	if s.Plan.Why != "" {
-		fmt.Fprintf(out, " (%s)", s.Plan.Why)
+	if s.Plan.Reason != "" {
+		fmt.Fprintf(out, " (%s)", s.Plan.Reason)
 	}
 	out.WriteString("\n")
 	printTable(out, len(s.Steps), func(i int) string { return s.stepRow(s.Steps[i]) })
--- a/internal/maintenance/commands.go
+++ b/internal/maintenance/commands.go
@@ -57,8 +57,8 @@
 	ForgetPooler Command = "forget" // removes a pooler that is gone for good and never announced that it leaves
 )
 
-// OfMachine reports whether the command takes the name of a machine or, for ForgetPooler, of a pooler.
-func (c Command) OfMachine() bool {
+// TakesName reports whether the command takes the name of a machine or, for ForgetPooler, of a pooler.
+func (c Command) TakesName() bool {
 	return slices.Contains([]Command{SkipMachine, BeginWork, EndWork, ForgetPooler}, c)
 }
 
@@ -70,7 +70,7 @@
 		return forgetPooler(wall, record, name, operator)
 	case !record.Plan.Active():
 		return Proposal{}, errors.New("there is no plan")
-	case command.OfMachine():
+	case command.TakesName():
 		return changeStep(wall, record, command, name, operator)
 	default:
 		return changePlan(wall, record, command, operator)
@@ -92,11 +92,11 @@
 	plan := record.Plan
 	switch {
 	case command == Pause && plan.State == Running:
-		plan.State, plan.Why = Paused, "by "+operator
+		plan.State, plan.Reason = Paused, "by "+operator
 	case command == Resume && plan.State == Paused:
-		plan.State, plan.Why = Running, ""
+		plan.State, plan.Reason = Running, ""
 	case command == AbortPlan && plan.State != Aborting:
-		plan.State, plan.Why = Aborting, "by "+operator
+		plan.State, plan.Reason = Aborting, "by "+operator
 	default:
 		return proposal, fmt.Errorf("the plan is %s", plan.State)
 	}
@@ -115,7 +115,7 @@
 	}
 	step := record.step(name)
 	before := step.State
-	progress := &progress{step: step, now: wall, rules: Rules{Calls: math.MaxInt}}
+	progress := &progress{step: step, now: wall, rules: Rules{MaxHookCalls: math.MaxInt}}
 	done := false
 	switch command {
 	case SkipMachine:
--- a/internal/maintenance/dryrun.go
+++ b/internal/maintenance/dryrun.go
@@ -8,9 +8,9 @@
 
 // DryRunStep is one step of a dry run.
 type DryRunStep struct {
-	Machine  string
-	HandOver string  // for a primary: the replica that takes over first
-	Leaves   float64 // spare capacity of its group while the machine is out, in the unit of the load
+	Machine       string
+	HandOver      string  // for a primary: the replica that takes over first
+	SpareCapacity float64 // spare capacity of its group while the machine is out, in the unit of the load
 }
 
 // DryRun simulates the plan as if each step succeeds, one machine at a time, and returns the order. If the plan cannot
@@ -26,11 +26,11 @@
 		case decision.HandOver != PlannedHandOver{}:
 			from, to := now.Machines[decision.HandOver.From], now.Machines[decision.HandOver.To]
 			from.Primary, from.Fresh, to.Primary = false, true, true
-			order = append(order, DryRunStep{Machine: from.Name, HandOver: to.Name, Leaves: p.spare(from)})
+			order = append(order, DryRunStep{Machine: from.Name, HandOver: to.Name, SpareCapacity: p.spare(from)})
 			states[from.Name] = Done // a primary is the last machine of its group
 		case decision.Take != "":
 			machine := now.Machines[decision.Take]
-			order = append(order, DryRunStep{Machine: machine.Name, Leaves: p.spare(machine)})
+			order = append(order, DryRunStep{Machine: machine.Name, SpareCapacity: p.spare(machine)})
 			states[machine.Name] = Done
 		default:
 			return order, notPossible(spec, decision.Reasons)
--- a/internal/maintenance/fixture_test.go
+++ b/internal/maintenance/fixture_test.go
@@ -80,12 +80,12 @@
 // testPolicy returns the policy of a pooler whose hook is called once at most.
 func testPolicy(name string, incarnation uint64) Policy {
 	return Policy{
-		Self:   Instance{Name: name, Incarnation: incarnation},
-		Hook:   true,
-		Calls:  1,
-		Lease:  2 * sec,
-		Skew:   sec,
-		Settle: 2 * sec,
+		Self:         Instance{Name: name, Incarnation: incarnation},
+		Hook:         true,
+		MaxHookCalls: 1,
+		Lease:        2 * sec,
+		Skew:         sec,
+		SettleTime:   2 * sec,
 	}
 }
 
@@ -94,11 +94,11 @@
 	view := Observation{
 		Snapshot:     Snapshot{Machines: groupOf(1, "a", databases), Load: map[int]float64{}},
 		Incarnations: maps.Clone(poolers),
-		Heard:        map[string]time.Duration{},
+		LastEvidence: map[string]time.Duration{},
 		Live:         slices.Sorted(maps.Keys(poolers)),
 	}
 	for name := range view.Machines {
-		view.Heard[name] = now
+		view.LastEvidence[name] = now
 	}
 	for name, incarnation := range poolers {
 		view.Machines[name] = &Machine{
--- a/internal/maintenance/hookresult.go
+++ b/internal/maintenance/hookresult.go
@@ -54,7 +54,7 @@
 		return
 	}
 	self, before := h.policy.Self, step.State
-	progress := &progress{step: step, now: h.now, rules: Rules{Calls: h.policy.Calls}}
+	progress := &progress{step: step, now: h.now, rules: Rules{MaxHookCalls: h.policy.MaxHookCalls}}
 	retryable := h.failed != "" && before == InMaintenance
 	switch {
 	case retryable && progress.apply(Event{Kind: HookStarted, Instance: self}):
@@ -72,7 +72,7 @@
 // pausePlan pauses the plan: no further machine is taken while the outcome of the work is unknown.
 func (h *hookResult) pausePlan(reason string) {
 	if h.plan.State == Running {
-		h.plan.State, h.plan.Why = Paused, reason
+		h.plan.State, h.plan.Reason = Paused, reason
 		h.proposal.Plan = &h.plan
 	}
 	h.addHistory(reason)
--- a/internal/maintenance/leader.go
+++ b/internal/maintenance/leader.go
@@ -14,10 +14,10 @@
 	Incarnations map[string]uint64
 	// Live lists the live poolers among Incarnations.
 	Live []string
-	// Left holds the incarnation of each pooler that announced that it leaves.
-	Left map[string]uint64
-	// Heard holds when each database last gave evidence of its state, on this pooler's clock.
-	Heard map[string]time.Duration
+	// Departed holds the incarnation of each pooler that announced that it leaves.
+	Departed map[string]uint64
+	// LastEvidence holds when each database last gave evidence of its state, on this pooler's clock.
+	LastEvidence map[string]time.Duration
 }
 
 // live reports whether an instance of a pooler is observed as running.
@@ -27,17 +27,17 @@
 
 // Policy is the configuration by which an installation carries out maintenance.
 type Policy struct {
-	Self      Instance
-	Hook      bool          // a hook does the work; otherwise a person reports its beginning and end
-	HandsOver bool          // a hook performs hand-overs; otherwise a person does
-	Calls     int           // maximum number of calls for one piece of work, if the hook fails or its caller is gone
-	Lease     time.Duration // minimum; poolers report their leases, and the longest one binds
-	Skew      time.Duration // maximum difference that two clocks develop during a lease
-	Settle    time.Duration // for how long a recovering machine has to be seen healthy
+	Self          Instance
+	Hook          bool          // a hook does the work; otherwise a person reports its beginning and end
+	HookHandsOver bool          // a hook performs hand-overs; otherwise a person does
+	MaxHookCalls  int           // maximum number of calls for one piece of work, if the hook or its caller fails
+	Lease         time.Duration // minimum; poolers report their leases, and the longest one binds
+	Skew          time.Duration // maximum difference that two clocks develop during a lease
+	SettleTime    time.Duration // for how long a recovering machine has to be seen healthy
 }
 
 // maxCalls returns how often a hook may be called for one piece of work.
-func (p Policy) maxCalls() int { return max(1, p.Calls) }
+func (p Policy) maxCalls() int { return max(1, p.MaxHookCalls) }
 
 // Call is one call of a hook. All calls for the same work have the same number.
 type Call struct {
@@ -165,7 +165,7 @@
 		Lease:             lease,
 		Skew:              l.policy.Skew,
 		IgnoreUnreachable: record.Plan.Spec.IgnoreUnreachable,
-		Calls:             l.policy.Calls,
+		MaxHookCalls:      l.policy.MaxHookCalls,
 	}
 }
 
@@ -194,5 +194,5 @@
 	if machine.Kind == Pooler {
 		return machine.Incarnation > step.Incarnation
 	}
-	return o.Heard[machine.Name] > after
+	return o.LastEvidence[machine.Name] > after
 }
--- a/internal/maintenance/leader_test.go
+++ b/internal/maintenance/leader_test.go
@@ -42,13 +42,13 @@
 // A hook that fails is called again under the same number up to the limit. Then the plan is paused.
 func TestFailedHookIsCalledAgainAndThenPausesThePlan(t *testing.T) {
 	policy := testPolicy("p", 1)
-	policy.Calls = 2
+	policy.MaxHookCalls = 2
 	test := newLeaderTest(t, policy, PlanSpec{Machines: []string{"a1", "a2"}, Fresh: 1})
 	test.proposeUntil("a1", InMaintenance)
 	require.Equal(t, test.calls[:1], test.finishHook(test.calls[0], "no disk").Calls)
 	require.Empty(t, test.finishHook(test.calls[0], "no disk").Calls)
 	require.Equal(t, Paused, test.plan().State)
-	require.Equal(t, "the work on a1 failed: no disk", test.plan().Why)
+	require.Equal(t, "the work on a1 failed: no disk", test.plan().Reason)
 	test.proposeUntil("a1", Done)
 	test.proposeTimes(5)
 	require.Equal(t, Waiting, test.state("a2"), "no further machine is taken")
@@ -66,7 +66,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			policy := testPolicy("p", 1)
-			policy.Calls = allowed
+			policy.MaxHookCalls = allowed
 			test := newLeaderTest(t, policy, PlanSpec{Machines: []string{"a1"}, Fresh: 1})
 			test.proposeUntil("a1", InMaintenance)
 			policy.Self = Instance{Name: "q", Incarnation: 1}
@@ -89,7 +89,7 @@
 // A primary hands over by a hook before it is taken. The leader waits until it observes the new primary.
 func TestPrimaryHandsOverFirst(t *testing.T) {
 	policy := testPolicy("p", 1)
-	policy.HandsOver = true
+	policy.HookHandsOver = true
 	test := newLeaderTest(t, policy, PlanSpec{Machines: []string{"a0"}, Fresh: 1})
 	test.proposeUntilCall()
 	require.Equal(t, Call{Machine: "a0", To: "a1", Number: 1}, test.calls[0])
@@ -107,7 +107,7 @@
 // A hand-over that fails pauses the plan.
 func TestFailedHandOverPausesThePlan(t *testing.T) {
 	policy := testPolicy("p", 1)
-	policy.HandsOver = true
+	policy.HookHandsOver = true
 	test := newLeaderTest(t, policy, PlanSpec{Machines: []string{"a0"}, Fresh: 1})
 	test.proposeUntilCall()
 	test.finishHook(test.calls[0], "it will not")
@@ -144,7 +144,7 @@
 	test := newLeaderTest(t, policy, spec) // the test's clock starts at 1000 s
 	test.now += 30 * sec
 	test.propose()
-	require.Equal(t, "the time for it is over", test.plan().Why)
+	require.Equal(t, "the time for it is over", test.plan().Reason)
 }
 
 // A pooler that leads the record resigns before it is taken out. Its step is done once it has restarted.
@@ -176,7 +176,7 @@
 				test.propose()
 			}
 			test.propose()
-			require.Equal(t, "the time for it is over", test.plan().Why)
+			require.Equal(t, "the time for it is over", test.plan().Reason)
 		})
 	}
 }
@@ -211,7 +211,7 @@
 	const left, restarted = 1_800_000_000_000, 1_800_000_000_000 - 3_600_000 // ms
 	test := newLeaderTest(t, testPolicy("p", 1), PlanSpec{Machines: []string{"a1"}, Fresh: 1})
 	test.poolers = map[string]uint64{"p": 1}
-	test.change = func(view *Observation) { view.Left = map[string]uint64{"q": left} }
+	test.change = func(view *Observation) { view.Departed = map[string]uint64{"q": left} }
 	test.record.writeStatus(t, "q", PoolerStatus{Incarnation: restarted})
 	for range 20 {
 		require.Empty(t, test.propose().DeleteStatuses)
@@ -232,7 +232,7 @@
 	test.record.writeStatus(t, "z", PoolerStatus{Incarnation: 7, LeaseMS: 9000})
 	test.proposeTimes(30)
 	require.Equal(t, Draining, test.state("a1"))
-	test.change = func(view *Observation) { view.Left = map[string]uint64{"z": 7} }
+	test.change = func(view *Observation) { view.Departed = map[string]uint64{"z": 7} }
 	test.proposeUntil("a1", InMaintenance)
 	require.NotContains(t, test.record.read(t).Statuses, "z")
 }
--- a/internal/maintenance/model_test.go
+++ b/internal/maintenance/model_test.go
@@ -143,7 +143,7 @@
 	"the hook is called twice": {
 		scenario: abortScenario,
 		apply: func(step Step, event Event, now time.Duration, poolers Poolers, rules Rules) (Step, error) {
-			rules.Calls = 2
+			rules.MaxHookCalls = 2
 			return step.Apply(event, now, poolers, rules)
 		},
 	},
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -42,7 +42,7 @@
 	order, err := DryRun(PlanSpec{Machines: []string{"a0", "a1", "a2"}, Fresh: 1}, snapshot)
 	require.NoError(t, err)
 	require.Equal(t, []string{"a1", "a2"}, namesOf(order)[:2])
-	require.Equal(t, DryRunStep{Machine: "a0", HandOver: "a1", Leaves: 1}, order[2])
+	require.Equal(t, DryRunStep{Machine: "a0", HandOver: "a1", SpareCapacity: 1}, order[2])
 	require.True(t, snapshot.Machines["a0"].Primary, "a dry run changes nothing")
 }
 
--- a/internal/maintenance/proposal.go
+++ b/internal/maintenance/proposal.go
@@ -10,14 +10,14 @@
 // Proposal is a change of the record, which applies only if the record has not changed since it was read, and the
 // actions to take after the change is agreed on.
 type Proposal struct {
-	Plan           *Plan           // new value; nil: unchanged
-	Steps          map[string]Step // changed steps, by machine
-	DeleteSteps    []string        // machines whose steps of an earlier plan are deleted
-	DeleteStatuses []string        // poolers whose statuses are deleted: they left, or operators removed them
-	History        []HistoryEntry  // new entries
-	Calls          []Call          // hooks to call
-	Resign         bool            // this pooler is next: another pooler has to lead the record
-	Probe          []string        // databases without recent evidence, to be probed
+	Plan             *Plan           // new value; nil: unchanged
+	Steps            map[string]Step // changed steps, by machine
+	DeleteSteps      []string        // machines whose steps of an earlier plan are deleted
+	DeleteStatuses   []string        // poolers whose statuses are deleted: they left, or operators removed them
+	History          []HistoryEntry  // new entries
+	Calls            []Call          // hooks to call
+	Resign           bool            // this pooler is next: another pooler has to lead the record
+	DatabasesToProbe []string        // databases without recent evidence, to be probed
 }
 
 // Change returns the change of the record: the revisions that keys must still have, the values to set and the keys to
--- a/internal/maintenance/record.go
+++ b/internal/maintenance/record.go
@@ -30,7 +30,7 @@
 	ID       string    `json:"id"`   // of the request that started it
 	Spec     PlanSpec  `json:"wish"` // with the machines in the order of the dry run
 	State    PlanState `json:"state"`
-	Why      string    `json:"why,omitempty"` // the reason of the state
+	Reason   string    `json:"why,omitempty"` // the reason of the state
 	Number   uint64    `json:"number"`        // last fencing number of an attempt or hand-over, across all plans
 	HandOver *HandOver `json:"hand_over,omitempty"`
 }
--- a/internal/maintenance/round.go
+++ b/internal/maintenance/round.go
@@ -27,7 +27,7 @@
 func (r *round) forgetDeparted() {
 	for _, name := range slices.Sorted(maps.Keys(r.record.Statuses)) {
 		_, known := r.observation.Incarnations[name]
-		if !known && sameInstanceLeft(r.record.Statuses[name].Incarnation, r.observation.Left[name]) {
+		if !known && sameInstanceLeft(r.record.Statuses[name].Incarnation, r.observation.Departed[name]) {
 			r.proposal.DeleteStatuses = append(r.proposal.DeleteStatuses, name)
 		}
 	}
@@ -85,7 +85,7 @@
 		caller := progress.step.HookCaller
 		return "", caller != Instance{} && !r.observation.live(caller) && r.callHook(progress)
 	case Recovering:
-		settled := track.healthySince > 0 && r.now-track.healthySince >= r.policy.Settle
+		settled := track.healthySince > 0 && r.now-track.healthySince >= r.policy.SettleTime
 		return "", settled && progress.apply(Event{Kind: Ready})
 	default:
 		return "", false
@@ -153,7 +153,7 @@
 
 // mayCallHandOver reports whether the hook may be called for the hand-over now.
 func (r *round) mayCallHandOver(handOver *HandOver) bool {
-	if !r.policy.HandsOver || r.plan.State != Running || handOver.HookCalls >= r.policy.maxCalls() {
+	if !r.policy.HookHandsOver || r.plan.State != Running || handOver.HookCalls >= r.policy.maxCalls() {
 		return false
 	}
 	return handOver.HookCaller == Instance{} || !r.observation.live(handOver.HookCaller)
@@ -167,12 +167,12 @@
 	decision := Decide(r.plan.Spec, r.states, r.observation.Snapshot)
 	switch {
 	case decision.Complete || rolledBack:
-		r.plan.State, r.plan.Why, r.plan.HandOver = Finished, "", nil
+		r.plan.State, r.plan.Reason, r.plan.HandOver = Finished, "", nil
 		r.addHistory("", 0, "the plan is over")
 	case r.plan.State != Running:
 	case r.leader.windowOver(r.now, r.plan):
-		r.plan.State, r.plan.Why = Paused, "the time for it is over"
-		r.addHistory("", 0, "%s: %s", r.plan.State, r.plan.Why)
+		r.plan.State, r.plan.Reason = Paused, "the time for it is over"
+		r.addHistory("", 0, "%s: %s", r.plan.State, r.plan.Reason)
 	case decision.PutBack != "":
 		r.putBack(decision.PutBack)
 	case r.plan.HandOver != nil:
@@ -226,9 +226,9 @@
 
 // proposeProbes proposes to probe the databases whose evidence is old, except blocked ones.
 func (r *round) proposeProbes() {
-	for _, name := range slices.Sorted(maps.Keys(r.observation.Heard)) {
-		if r.now-r.observation.Heard[name] > evidenceAge && !r.states[name].Blocked() {
-			r.proposal.Probe = append(r.proposal.Probe, name)
+	for _, name := range slices.Sorted(maps.Keys(r.observation.LastEvidence)) {
+		if r.now-r.observation.LastEvidence[name] > evidenceAge && !r.states[name].Blocked() {
+			r.proposal.DatabasesToProbe = append(r.proposal.DatabasesToProbe, name)
 		}
 	}
 }
--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -53,12 +53,12 @@
 	// IgnoreUnreachable lets a step continue without a pooler that does not report, once its lease must have expired.
 	// Otherwise the step waits for that pooler.
 	IgnoreUnreachable bool
-	// Calls is the maximum number of calls of a hook for one attempt; 0: one.
-	Calls int
+	// MaxHookCalls is the maximum number of calls of a hook for one attempt; 0: one.
+	MaxHookCalls int
 }
 
 // maxCalls returns how often the hook may be called for one attempt.
-func (r Rules) maxCalls() int { return max(1, r.Calls) }
+func (r Rules) maxCalls() int { return max(1, r.MaxHookCalls) }
 
 // Apply returns the step after an event. The error is an *EventError if the event does not fit, for example because it
 // is repeated or of an earlier attempt. The step is then returned unchanged.
--- a/internal/membership/gossip/print.go
+++ b/internal/membership/gossip/print.go
@@ -36,8 +36,8 @@
 // Print writes a view as tables, for operators. Errors of the writer are ignored.
 func (s State) Print(out io.Writer, now time.Time) {
 	var text strings.Builder
-	if s.Waits != "" {
-		fmt.Fprintf(&text, "%s is not part of the fleet yet: %s\n", s.Name, s.Waits)
+	if s.WaitReason != "" {
+		fmt.Fprintf(&text, "%s is not part of the fleet yet: %s\n", s.Name, s.WaitReason)
 	}
 	oldest := time.Duration(s.OldestMS) * time.Millisecond
 	fmt.Fprintf(&text, "%s sees %d of %d poolers (%s), digest %s, views agree: %s, %d facts, the oldest %v old\n\n",
@@ -53,8 +53,8 @@
 	poolers := table{"POOLER\tSTATE\tFOR\tANSWERED\tAGREES\tDIGEST\tAT\tSAYS"}
 	for _, pooler := range s.Poolers {
 		answered := ""
-		if pooler.Heard > 0 {
-			answered = fmt.Sprintf("%v ago", time.Duration(pooler.Heard)*time.Millisecond)
+		if pooler.AnswerAgeMS > 0 {
+			answered = fmt.Sprintf("%v ago", time.Duration(pooler.AnswerAgeMS)*time.Millisecond)
 		}
 		poolers.add("%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s", pooler.Name, pooler.State, formatAge(now, pooler.Since), answered,
 			pooler.Agrees, pooler.Digest, pooler.At, pooler.published())
@@ -66,7 +66,7 @@
 	databases := table{"DATABASE\tIS SAID TO\tBY"}
 	for _, database := range s.Databases {
 		reporters := map[string][]string{} // by the text of the state that they report
-		for _, observation := range database.Words {
+		for _, observation := range database.Observations {
 			state := observation.State.String()
 			if observation.Primary {
 				state += ", lead"
@@ -90,7 +90,7 @@
 // published returns the values of publishedKeys that a pooler publishes, as text.
 func (p Pooler) published() string {
 	var values map[string]any
-	if json.Unmarshal(p.Says, &values) != nil {
+	if json.Unmarshal(p.Published, &values) != nil {
 		return ""
 	}
 	var texts []string
--- a/internal/membership/gossip/process_test.go
+++ b/internal/membership/gossip/process_test.go
@@ -127,7 +127,7 @@
 			bad := func(observation membership.PeerObservation) bool {
 				return observation.Pooler == observer && observation.State.Bad()
 			}
-			return database.Name == unresponsive.ID && slices.ContainsFunc(database.Words, bad)
+			return database.Name == unresponsive.ID && slices.ContainsFunc(database.Observations, bad)
 		})
 	}
 	for _, name := range []string{"n0", "n1"} {
@@ -251,7 +251,8 @@
 	for _, name := range fleet.Names {
 		fleet.Net.Note("upgrade %s", name)
 		end := fleet.Beds[name].Upgrade()
-		require.NotEmpty(t, fleet.State(name).Waits, "the new process waits while the old one uses the listen address")
+		require.NotEmpty(t, fleet.State(name).WaitReason,
+			"the new process waits while the old one uses the listen address")
 		fleet.Serve("two processes", name)
 		require.NoError(t, end())
 		fleet.WaitConverged("upgraded "+name, fleet.Names...)
--- a/internal/membership/gossip/query.go
+++ b/internal/membership/gossip/query.go
@@ -86,7 +86,7 @@
 // management returns the management address that a pooler publishes; "" if there is none.
 func (p Pooler) management() string {
 	var published struct{ Management string }
-	_ = json.Unmarshal(p.Says, &published) // another pooler may publish anything
+	_ = json.Unmarshal(p.Published, &published) // another pooler may publish anything
 	return published.Management
 }
 
--- a/internal/membership/gossip/query_test.go
+++ b/internal/membership/gossip/query_test.go
@@ -21,7 +21,7 @@
 	for i := range 200 {
 		pooler := gossip.Pooler{Name: fmt.Sprint("p", i), State: "live"}
 		if i%2 == 0 {
-			pooler.Says = fmt.Appendf(nil, "{\"management\":%q}", closed)
+			pooler.Published = fmt.Appendf(nil, "{\"management\":%q}", closed)
 		}
 		from.Poolers = append(from.Poolers, pooler)
 	}
--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -14,7 +14,7 @@
 // ms, ages in ms.
 type State struct {
 	Name       string     `json:"name"`
-	Waits      string     `json:"waits,omitempty"` // why this pooler has not joined yet
+	WaitReason string     `json:"waits,omitempty"` // why this pooler has not joined yet
 	Digest     string     `json:"digest"`          // equal at two poolers with equal views
 	Agree      bool       `json:"agree"`           // no other pooler's view is known to differ
 	AgreeSince int64      `json:"agree_since_ms"`  // when Agree last changed
@@ -37,17 +37,17 @@
 	State       string          `json:"state"`    // live, suspected, gone (it failed) or left
 	Since       int64           `json:"since_ms"` // when the state began; for this pooler itself: its start
 	Incarnation uint64          `json:"incarnation"`
-	Heard       int64           `json:"heard_ms,omitempty"` // age of its last answer to this pooler; 0: none or itself
+	AnswerAgeMS int64           `json:"heard_ms,omitempty"` // age of its last answer to this pooler; 0: none or itself
 	Digest      string          `json:"digest,omitempty"`
 	Agrees      string          `json:"agrees,omitempty"` // yes, no, or ? if unknown
 	At          string          `json:"at,omitempty"`     // address where it responds or is contacted again
-	Says        json.RawMessage `json:"says,omitempty"`   // what it publishes about itself
+	Published   json.RawMessage `json:"says,omitempty"`   // what it publishes about itself
 }
 
 // Database contains what live poolers publish about a database.
 type Database struct {
-	Name  string                       `json:"name"`
-	Words []membership.PeerObservation `json:"words"`
+	Name         string                       `json:"name"`
+	Observations []membership.PeerObservation `json:"words"`
 }
 
 // Values of Pooler.State.
@@ -77,7 +77,7 @@
 	facts, oldest := view.FactStats()
 	state := State{
 		Name:         g.name,
-		Waits:        g.waitReason,
+		WaitReason:   g.waitReason,
 		Digest:       formatDigest(view.Digest()),
 		Agree:        g.agreement.agrees,
 		AgreeSince:   g.agreement.since.Milliseconds(),
@@ -98,7 +98,7 @@
 	}
 	for _, name := range state.Live {
 		pooler := g.livePooler(now, name)
-		pooler.Says = published[name]
+		pooler.Published = published[name]
 		state.Poolers = append(state.Poolers, pooler)
 	}
 	failed := 0
@@ -137,7 +137,7 @@
 func (g *Gossip) describeMember(now time.Duration, member *peer, pooler *Pooler) {
 	pooler.Since, pooler.At = member.foundAt.Milliseconds(), member.node.Address()
 	if at := g.contacts.lastAnswer[pooler.Name]; at > 0 {
-		pooler.Heard = max(1, (now - at).Milliseconds())
+		pooler.AnswerAgeMS = max(1, (now - at).Milliseconds())
 	}
 	if at := g.contacts.suspectedSince[pooler.Name]; at > 0 {
 		pooler.State, pooler.Since = poolerSuspected, at.Milliseconds()
--- a/internal/pooler/config.go
+++ b/internal/pooler/config.go
@@ -66,8 +66,8 @@
 
 // recordAddresses are the store's HTTP addresses that hold the record of planned maintenance, the own first.
 func (f operatorsFile) recordAddresses() (addresses []string) {
-	if len(f.Maintenance.Record) > 0 {
-		return f.Maintenance.Record
+	if len(f.Maintenance.RecordAddresses) > 0 {
+		return f.Maintenance.RecordAddresses
 	}
 	if !f.Store.Enabled || f.Store.API == "" {
 		return nil
--- a/internal/pooler/maintenance.go
+++ b/internal/pooler/maintenance.go
@@ -27,14 +27,14 @@
 	p.maintenance = agent.Start(p.operatorsFile.Maintenance, agent.Pooler{
 		Name:        p.config.Name,
 		Core:        p.core,
-		Do:          p.loop.Do,
+		RunOnLoop:   p.loop.Do,
 		Store:       p.store,
 		Client:      store.NewClient(p.operatorsFile.recordAddresses(), p.limits.Store.CallTimeout, localAddress),
-		Fleet:       p.membership.State,
+		Membership:  p.membership.State,
 		Incarnation: p.membership.Incarnation,
 		Joined:      p.membership.Joined,
 		Zones:       p.config.Site.Zones,
-		Fresh:       fresh,
+		MaxLag:      fresh,
 		Clock:       p.core.Now,
 		Log:         p.log,
 	})
--- a/internal/pooler/quota.go
+++ b/internal/pooler/quota.go
@@ -34,7 +34,7 @@
 	defer tick.Stop()
 	lastError, shuttingDown := "", false
 	for p.lifetime.Err() == nil {
-		err := p.quota.Settle(shuttingDown, openDescriptors, p.limitConnections)
+		err := p.quota.UpdateQuota(shuttingDown, openDescriptors, p.limitConnections)
 		if err != nil && !errors.Is(err, fdshare.ErrBusy) && err.Error() != lastError {
 			lastError = err.Error()
 			p.log.Error().Err(err).Int("takes", p.quota.Quota()).
--- a/internal/pooler/shutdown.go
+++ b/internal/pooler/shutdown.go
@@ -84,7 +84,7 @@
 // finished reports whether the program can end before its deadline.
 func (s *shutdown) finished() bool {
 	p := s.pooler
-	return s.ending && s.refusing && s.flightStopped() && p.front.AllClosed() && p.exclusions.Settled()
+	return s.ending && s.refusing && s.flightStopped() && p.front.AllClosed() && p.exclusions.SafeToExit()
 }
 
 func (s *shutdown) flightStopped() bool {
--- a/internal/store/api.go
+++ b/internal/store/api.go
@@ -160,7 +160,7 @@
 // steps down.
 func (r *replicated) writeAge(w http.ResponseWriter) {
 	w.Header().Set(revisionHeader, strconv.FormatUint(r.state.revision(), 10))
-	if r.Leads() {
+	if r.IsLeader() {
 		w.Header().Set(ageHeader, "0")
 	} else if lastContact := r.raft.LastContact(); !lastContact.IsZero() {
 		w.Header().Set(ageHeader, strconv.FormatInt(time.Since(lastContact).Milliseconds(), 10))
--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -34,11 +34,11 @@
 // All implements Store.
 func (r *replicated) All() map[string]json.RawMessage { return r.state.all() }
 
-// Leads implements Store.
-func (r *replicated) Leads() bool { return r.raft.State() == raft.Leader }
+// IsLeader implements Store.
+func (r *replicated) IsLeader() bool { return r.raft.State() == raft.Leader }
 
-// HandOver implements Store.
-func (r *replicated) HandOver() error { return r.awaitRaft(r.raft.LeadershipTransfer()) }
+// TransferLeadership implements Store.
+func (r *replicated) TransferLeadership() error { return r.awaitRaft(r.raft.LeadershipTransfer()) }
 
 // errRaftTimeout is returned for an operation that raft does not complete in time, such as while the disk hangs.
 var errRaftTimeout = errors.New("no answer in time")
@@ -106,7 +106,7 @@
 	if err != nil {
 		return outcome, err
 	}
-	if r.Leads() {
+	if r.IsLeader() {
 		future := r.raft.Apply(text, r.limits.CallTimeout)
 		if err := r.awaitRaft(future); err != nil {
 			return outcome, err
@@ -121,7 +121,7 @@
 // read is a linearizable read: it returns the values at a moment between the call and its answer. Unlike All it needs
 // a majority.
 func (r *replicated) read(ctx context.Context, keys []string, mayForward bool) (values Values, err error) {
-	if r.Leads() {
+	if r.IsLeader() {
 		// The barrier is committed by a majority. When it returns, this pooler has applied every entry that was
 		// committed before the call.
 		if err := r.awaitRaft(r.raft.Barrier(r.limits.CallTimeout)); err != nil {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -56,8 +56,8 @@
 	}}
 }
 
-// At returns the HTTP API addresses of the stores. The store that answered last is the first.
-func (c *Client) At() []string {
+// Addresses returns the HTTP API addresses of the stores. The store that answered last is the first.
+func (c *Client) Addresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.apis)
--- a/internal/store/deferred.go
+++ b/internal/store/deferred.go
@@ -76,15 +76,15 @@
 	}
 }
 
-// Leads implements Store.
-func (d *deferred) Leads() bool { return d.started.Load() && d.store.Leads() }
+// IsLeader implements Store.
+func (d *deferred) IsLeader() bool { return d.started.Load() && d.store.IsLeader() }
 
-// HandOver implements Store.
-func (d *deferred) HandOver() error {
+// TransferLeadership implements Store.
+func (d *deferred) TransferLeadership() error {
 	if !d.started.Load() {
 		return errors.New("the store has not started")
 	}
-	return d.store.HandOver()
+	return d.store.TransferLeadership()
 }
 
 // Put implements Store.
--- a/internal/store/guard_test.go
+++ b/internal/store/guard_test.go
@@ -236,7 +236,7 @@
 // the disk answers.
 func TestDiskHangs(t *testing.T) {
 	store, disk := newHungStore(t)
-	require.Eventually(t, func() bool { return !store.Leads() }, waitLimit, pollInterval, "it leads no more")
+	require.Eventually(t, func() bool { return !store.IsLeader() }, waitLimit, pollInterval, "it leads no more")
 	for i := range 10 {
 		store.Put("state", i)
 	}
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -108,7 +108,7 @@
 func (r *replicated) waitUntilCaughtUp(ctx context.Context, peer Peer) bool {
 	revision, deadline := r.state.revision(), time.Now().Add(r.limits.CatchUpTimeout)
 	for !r.hasRevision(ctx, peer.API, revision) {
-		if time.Now().After(deadline) || !r.Leads() {
+		if time.Now().After(deadline) || !r.IsLeader() {
 			return false
 		}
 		time.Sleep(r.limits.CatchUpTimeout / catchUpPolls)
@@ -161,8 +161,8 @@
 		return fmt.Errorf("%s is the last that votes", name)
 	}
 	// Another leader has to remove this pooler: a removed member would not learn of the result.
-	if r.Leads() && name == r.name {
-		if err := r.HandOver(); err != nil {
+	if r.IsLeader() && name == r.name {
+		if err := r.TransferLeadership(); err != nil {
 			return err
 		}
 		return errors.New("it led, and has handed the lead over: once more")
@@ -203,7 +203,7 @@
 // changeMembers executes a call that changes the members, or forwards it to the leader if mayForward.
 func (r *replicated) changeMembers(ctx context.Context, call membersCall, mayForward bool) error {
 	switch {
-	case !r.Leads():
+	case !r.IsLeader():
 		text, err := json.Marshal(call)
 		if err != nil {
 			return err
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -21,10 +21,10 @@
 
 // Store is a replicated store of JSON values by key.
 type Store interface {
-	// Leads reports whether this pooler considers itself the leader. A majority may just have elected another one.
-	Leads() bool
-	// HandOver transfers the leadership to another member.
-	HandOver() error
+	// IsLeader reports whether this pooler considers itself the leader. A majority may just have elected another one.
+	IsLeader() bool
+	// TransferLeadership transfers the leadership to another member.
+	TransferLeadership() error
 	// Put stores a value in the background. A later value for the key replaces a queued one. Values that cannot be
 	// encoded as JSON or are too long are logged and dropped.
 	Put(key string, value any)
@@ -182,8 +182,8 @@
 	close(r.done)
 	r.running.Wait()
 	// Without a transfer the cluster would have no leader until the next election.
-	if r.Leads() && len(r.raft.GetConfiguration().Configuration().Servers) > 1 {
-		if err := r.HandOver(); err != nil {
+	if r.IsLeader() && len(r.raft.GetConfiguration().Configuration().Servers) > 1 {
+		if err := r.TransferLeadership(); err != nil {
 			r.log.Warn().Err(err).Msg("store: leadership not handed over")
 		}
 	}
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -98,7 +98,7 @@
 			return false
 		}
 		for _, pooler := range state.Poolers {
-			if pooler.State == "live" && len(pooler.Says) == 0 || pooler.State == "suspected" {
+			if pooler.State == "live" && len(pooler.Published) == 0 || pooler.State == "suspected" {
 				return false
 			}
 		}
