--- a/internal/capacity/work_test.go
+++ b/internal/capacity/work_test.go
@@ -29,8 +29,8 @@
 	require.InDelta(t, 60/mean, work.RelativeWork(0), 0.03)
 	require.InDelta(t, 1200/mean, work.RelativeWork(1), 0.4)
 	require.Equal(t, 1.0, work.RelativeWork(2), "unknown class")
-	weighted := 0.95*work.RelativeWork(0) + 0.05*work.RelativeWork(1)
-	require.InDelta(t, 1, weighted, 1e-9, "the work of the mean request is 1")
+	require.InDelta(t, 1, 0.95*work.RelativeWork(0)+0.05*work.RelativeWork(1), 1e-9,
+		"the work of the mean request is 1")
 }
 
 // A class without answers is assumed to take the same share of its objective as the other classes. Setting the same
--- a/internal/statement/statement_test.go
+++ b/internal/statement/statement_test.go
@@ -217,8 +217,8 @@
 	require.Equal(t, "/* id=1 */", text(info.Comment))
 	require.True(t, info.CommentAtEnd)
 	nested := "SELECT 1 /* a /* id=2 */ */"
-	comment := New(noRules).Analyse(nested).Comment
-	require.Equal(t, strings.Index(nested, "/*"), comment.Start, "start of the outer comment")
+	require.Equal(t, strings.Index(nested, "/*"), New(noRules).Analyse(nested).Comment.Start,
+		"start of the outer comment")
 }
 
 // Text that only looks like a comment at the end of the statement is not reported as one.
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -67,8 +67,9 @@
 	if peer.Name == "" {
 		return errors.New("name: empty")
 	}
-	err := errors.Join(tables.CheckAddress("listen", peer.Listen), tables.CheckAddress("api", peer.API))
-	if err != nil {
+	if err := errors.Join(
+		tables.CheckAddress("listen", peer.Listen), tables.CheckAddress("api", peer.API),
+	); err != nil {
 		return err
 	}
 	r.memberChanges.Lock()
