--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -58,7 +58,7 @@
 	ClockDissent int     // recent replication positions that contradict agreement of the clocks
 	ClockMoves   int64   // changes of the estimated offset
 	Unlisted     int64   // list entries left out because there are too many databases
-	Size         float64 // of the databases; 1 if none reports its queue; see Router.NodeSize
+	Size         float64 // of the databases, estimated; 1 if none reports its queue; see Router.NodeSize
 }
 
 // outcome returns the counter of attempts that ended with status.
