--- a/internal/frontend/bounds.go
+++ b/internal/frontend/bounds.go
@@ -40,17 +40,18 @@
 		return
 	}
 	frontend := connection.frontend
-	connection.recheck = frontend.core.Wheel.Schedule(frontend.core.Now()+recheckTicks*frontend.limits.TimerTick, func() {
-		connection.recheck = nil
-		if connection.stage.isClosing() {
-			connection.closeAfterFlush()
-			return
-		}
-		connection.serve()
-		if connection.stage != stageClosed {
-			connection.resumeStreaming()
-		}
-	})
+	connection.recheck = frontend.core.Wheel.Schedule(
+		frontend.core.Now()+recheckTicks*frontend.limits.TimerTick, func() {
+			connection.recheck = nil
+			if connection.stage.isClosing() {
+				connection.closeAfterFlush()
+				return
+			}
+			connection.serve()
+			if connection.stage != stageClosed {
+				connection.resumeStreaming()
+			}
+		})
 }
 
 // setBufferedBytes records how many bytes are buffered for the connection, and updates the total of the frontend.
--- a/internal/frontend/startup.go
+++ b/internal/frontend/startup.go
@@ -4,7 +4,8 @@
 // used would stay open.
 func (connection *clientConnection) beginStartup() {
 	frontend := connection.frontend
-	connection.timeout = frontend.core.Wheel.Schedule(connection.lastUse+frontend.limits.StartupTimeout, connection.closeNow)
+	connection.timeout = frontend.core.Wheel.Schedule(
+		connection.lastUse+frontend.limits.StartupTimeout, connection.closeNow)
 }
 
 // finishStartup is called after each message. If the message was the startup message, finishStartup moves the
--- a/internal/pooler/counters.go
+++ b/internal/pooler/counters.go
@@ -29,7 +29,8 @@
 // logCounters logs the counters of all parts that are on. The fields' names are a contract with readers of the log.
 func (p *Pooler) logCounters(message string) {
 	line := p.log.Info().Interface("core", p.core.Counters()).Interface("front", p.front.Counters()).
-		Interface("pool", p.pool.Counters()).Int64("accepts_failed", p.loop.AcceptsFailed()).Int("open", p.core.OpenRequests())
+		Interface("pool", p.pool.Counters()).Int64("accepts_failed", p.loop.AcceptsFailed()).
+		Int("open", p.core.OpenRequests())
 	if p.quota != nil {
 		line = line.Int("takes", p.quota.Quota())
 	}
--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -47,8 +47,8 @@
 // slot returns the head of the list with the timers of a tick. The list has timers of other turns too.
 func (w *Wheel) slot(tick int64) *Timer { return &w.slots[tick%int64(len(w.slots))] }
 
-// Schedule schedules a call for a time on the same clock as Advance, rounded up to a tick. A timer in the past fires at the
-// next tick.
+// Schedule schedules a call for a time on the same clock as Advance, rounded up to a tick. A timer in the past fires at
+// the next tick.
 func (w *Wheel) Schedule(at time.Duration, call func()) *Timer {
 	tick := int64((at + w.interval - 1) / w.interval)
 	t := &Timer{tick: max(tick, w.last+1), call: call}
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -113,7 +113,10 @@
 
 // probeSucceeded passes a successful probe to the router, with the role and the position that the node reports.
 func (h *routerHarness) probeSucceeded(id NodeID, role Role, position time.Duration) []Action {
-	return h.step(Event{Kind: ProbeDone, Outcome: Outcome{Node: id, HealthReport: Evidence{Role: role, Position: position}}})
+	return h.step(Event{
+		Kind:    ProbeDone,
+		Outcome: Outcome{Node: id, HealthReport: Evidence{Role: role, Position: position}},
+	})
 }
 
 // probeFailed passes a failed probe of the node to the router.
--- a/routing/status.go
+++ b/routing/status.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// UnavailableNodes returns how many listed nodes receive no requests, other than those that only a primary can serve: the
-// excluded, draining and ejected ones.
+// UnavailableNodes returns how many listed nodes receive no requests, other than those that only a primary can serve:
+// the excluded, draining and ejected ones.
 func (r *Router) UnavailableNodes() (count int) {
 	for _, node := range r.nodes {
 		if node.State != Gone && (node.ejected || !r.mayReceive(node, false)) {
@@ -81,8 +81,8 @@
 	return count
 }
 
-// NodeSize returns the estimated size of the nodes: the number of requests that a node works on at once, as a multiple of
-// capacity.UnitConcurrency.
+// NodeSize returns the estimated size of the nodes: the number of requests that a node works on at once, as a multiple
+// of capacity.UnitConcurrency.
 func (r *Router) NodeSize() float64 { return float64(r.size) }
 
 // HasPrimaries reports whether every group has an available primary, by the router's evidence. An excluded primary
