--- a/internal/maintenance/agent/config.go
+++ b/internal/maintenance/agent/config.go
@@ -11,8 +11,8 @@
 // Config is the table [works] of the operators' file.
 type Config struct {
 	Enabled bool `toml:"enabled"`
-	// Record holds the API addresses of the poolers that store the record; empty: those of [store].
-	Record []string `toml:"record"`
+	// RecordAddresses holds the API addresses of the poolers that store the record; empty: those of [store].
+	RecordAddresses []string `toml:"record"`
 	// LeaseMS is the length of a lease: for how long after a read of the record a pooler may send to a plan's machines.
 	LeaseMS int `toml:"lease_ms"`
 	// SkewMS is the maximum difference that two clocks develop during a lease.
@@ -43,8 +43,8 @@
 	if !c.Enabled {
 		return nil
 	}
-	for i, api := range c.Record {
-		if err := tables.Address(fmt.Sprintf("record[%d]", i), api); err != nil {
+	for i, api := range c.RecordAddresses {
+		if err := tables.CheckAddress(fmt.Sprintf("record[%d]", i), api); err != nil {
 			return err
 		}
 	}
@@ -61,15 +61,15 @@
 		{"hook_calls", c.HookCalls, 1, 100},
 	} {
 		if v.value < v.least || v.value > v.atMost {
-			return tables.Bad(v.key, "%d is not from %d to %d", v.value, v.least, v.atMost)
+			return tables.KeyErrorf(v.key, "%d is not from %d to %d", v.value, v.least, v.atMost)
 		}
 	}
 	if c.HookURL != "" {
 		if len(c.Hook) > 0 {
-			return tables.Bad("hook_url", "there is a hook, too")
+			return tables.KeyErrorf("hook_url", "there is a hook, too")
 		}
 		if u, err := url.Parse(c.HookURL); err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-			return tables.Bad("hook_url", "%q is no address of a web service", c.HookURL)
+			return tables.KeyErrorf("hook_url", "%q is no address of a web service", c.HookURL)
 		}
 	}
 	return nil
--- a/internal/maintenance/agent/operator.go
+++ b/internal/maintenance/agent/operator.go
@@ -74,7 +74,7 @@
 	parsed = invocation{command: args[0], asJSON: *asJSON, watch: *watch}
 	rest := flags.Args()
 	takesFile := parsed.command == commandPlan || parsed.command == commandStart
-	if takesFile || maintenance.Command(parsed.command).OfMachine() {
+	if takesFile || maintenance.Command(parsed.command).TakesName() {
 		if len(rest) == 0 {
 			return parsed, false
 		}
@@ -265,7 +265,7 @@
 	}
 	decoder := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
 	if err := decoder.Decode(&spec); err != nil {
-		return spec, tables.Located(path, err)
+		return spec, tables.ToKeyError(path, err)
 	}
 	return spec, nil
 }
--- a/internal/management/figures.go
+++ b/internal/management/figures.go
@@ -28,7 +28,7 @@
 		lines.add("app.downstream_requests.%s.failed=%d\n", name, answers.Failed)
 	}
 	lines.add("app.upstream_requests=%d\n", values.Written)
-	lines.add("app.pending=%d\n", values.Pending)
+	lines.add("app.pending=%d\n", values.OpenRequests)
 	lines.add("app.members=%d\n", values.Members)
 	lines.add("app.members_unavailable=%d\n", values.Unavailable)
 	lines.add("app.config_reloads=%d\n", values.Reloads)
@@ -62,8 +62,8 @@
 	}
 	for _, tenant := range values.Tenants {
 		f.add("app.door.tenants.%s.queued=%d\n", tenant.Name, tenant.Queued)
-		f.add("app.door.tenants.%s.inside=%d\n", tenant.Name, tenant.Inside)
+		f.add("app.door.tenants.%s.inside=%d\n", tenant.Name, tenant.InFlight)
 		f.add("app.door.tenants.%s.admitted=%d\n", tenant.Name, tenant.Admitted)
-		f.add("app.door.tenants.%s.refused=%d\n", tenant.Name, tenant.Refused)
+		f.add("app.door.tenants.%s.refused=%d\n", tenant.Name, tenant.Rejected)
 	}
 }
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -18,8 +18,8 @@
 // Member is a member of the raft cluster.
 type Member struct {
 	Peer
-	// Votes reports whether the member is a voter. A new member becomes a voter when it has caught up.
-	Votes bool `json:"votes"`
+	// Voter reports whether the member is a voter. A new member becomes a voter when it has caught up.
+	Voter bool `json:"votes"`
 	// Leads reports whether the member is the leader, as far as the answering pooler knows.
 	Leads bool `json:"leads,omitempty"`
 }
@@ -52,7 +52,7 @@
 	for _, server := range future.Configuration().Servers {
 		all = append(all, Member{
 			Peer:  Peer{Name: string(server.ID), Listen: string(server.Address), API: r.apiAddress(server.ID)},
-			Votes: server.Suffrage == raft.Voter,
+			Voter: server.Suffrage == raft.Voter,
 			Leads: server.ID == leader,
 		})
 	}
@@ -67,7 +67,9 @@
 	if peer.Name == "" {
 		return errors.New("name: empty")
 	}
-	if err := errors.Join(tables.Address("listen", peer.Listen), tables.Address("api", peer.API)); err != nil {
+	if err := errors.Join(
+		tables.CheckAddress("listen", peer.Listen), tables.CheckAddress("api", peer.API),
+	); err != nil {
 		return err
 	}
 	r.memberChanges.Lock()
@@ -77,7 +79,7 @@
 		return err
 	}
 	for _, member := range all {
-		if member.Name == peer.Name && member.Votes {
+		if member.Name == peer.Name && member.Voter {
 			return fmt.Errorf("%s is a member already", peer.Name)
 		}
 	}
@@ -107,7 +109,7 @@
 func (r *replicated) waitUntilCaughtUp(ctx context.Context, peer Peer) bool {
 	revision, deadline := r.state.revision(), time.Now().Add(r.limits.CatchUpTimeout)
 	for !r.hasRevision(ctx, peer.API, revision) {
-		if time.Now().After(deadline) || !r.Leads() {
+		if time.Now().After(deadline) || !r.IsLeader() {
 			return false
 		}
 		time.Sleep(r.limits.CatchUpTimeout / catchUpPolls)
@@ -148,7 +150,7 @@
 	}
 	voters, known := 0, false
 	for _, member := range all {
-		if member.Votes && member.Name != name {
+		if member.Voter && member.Name != name {
 			voters++
 		}
 		known = known || member.Name == name
@@ -160,8 +162,8 @@
 		return fmt.Errorf("%s is the last that votes", name)
 	}
 	// Another leader has to remove this pooler: a removed member would not learn of the result.
-	if r.Leads() && name == r.name {
-		if err := r.HandOver(); err != nil {
+	if r.IsLeader() && name == r.name {
+		if err := r.TransferLeadership(); err != nil {
 			return err
 		}
 		return errors.New("it led, and has handed the lead over: once more")
@@ -202,7 +204,7 @@
 // changeMembers executes a call that changes the members, or forwards it to the leader if mayForward.
 func (r *replicated) changeMembers(ctx context.Context, call membersCall, mayForward bool) error {
 	switch {
-	case !r.Leads():
+	case !r.IsLeader():
 		text, err := json.Marshal(call)
 		if err != nil {
 			return err
