--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -7,10 +7,11 @@
 // or its client leaves. While the databases have capacity no request waits: each is admitted in the Step that offers
 // it.
 //
-// Each group has two queues, one for its primary and one for its replicas: requests for one database must not wait for
-// another. Within a queue, tenants are scheduled by start-time fair queuing (Goyal, Vin, Cheng 1996). An admitted
-// request charges its cost, in seconds of work, to its tenant. The clients of a tenant are scheduled in the same way.
-// A concurrency limit, which follows the latency, bounds the number of a queue's requests in flight (limiter.go).
+// Each group has two queues, one for its primary and one for its replicas: requests for the primary
+// must not wait for the replicas, nor the reverse. Within a queue, tenants are scheduled by start-time fair queuing
+// (Goyal, Vin, Cheng 1996). An admitted request charges its cost, in seconds of work, to its tenant. The clients of a
+// tenant are scheduled in the same way. A concurrency limit, which follows the latency, bounds the number of a queue's
+// requests in flight (limiter.go).
 package admission
 
 import (
@@ -28,7 +29,7 @@
 	reseedInterval   = 5 * time.Second        // period of new hashes for clients and of halving their costs
 	idleTimeout      = time.Minute            // an idle tenant's state in a queue is dropped after this time
 	hashedFlows      = 32                     // flows of a tenant, per queue and band, that clients share by hash
-	heavyFlows       = 16                     // dedicated flows, per queue and band, for its heaviest clients
+	heavyFlows       = 16                     // dedicated flows, per queue and band, for a tenant's heaviest clients
 	defaultCostShare = 0.2                    // cost of a class without samples, as a share of its latency objective
 	maxWaitShare     = 0.5                    // maximum wait, as a share of the client's timeout
 	waitMargin       = 1.25                   // predicted waits are divided by it before queued requests are rejected
@@ -194,7 +195,7 @@
 	return c.out
 }
 
-// RetryAfter returns after how long the client of an admitted request should retry if the router rejects the request.
+// RetryAfter returns the time after which the client of an admitted request should retry if the router rejects it.
 // The retry is scheduled like those of the controller's own rejections, no sooner than minimum. RetryAfter must be
 // called before the Ended event of the request.
 func (c *Controller) RetryAfter(now time.Duration, request uint64, minimum time.Duration) time.Duration {
@@ -207,8 +208,8 @@
 	return c.assignRetryAfter(&c.entries[at], minimum)
 }
 
-// reseed assigns clients to flows by a new hash and drops the state of idle tenants. The new hash separates clients
-// that share a flow by chance.
+// reseed assigns clients to flows by a new hash, halves their recorded costs and drops the state of idle tenants. The
+// new hash separates clients that share a flow by chance.
 func (c *Controller) reseed() {
 	c.seededAt, c.seed = c.now, c.rng.Uint64()
 	for _, queue := range c.queues {
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -10,7 +10,7 @@
 )
 
 // standingQueue is a controller under load, with requests that always wait: an offered request is queued, and a waiting
-// one is admitted for each that ends.
+// request is admitted for each request that ends.
 type standingQueue struct {
 	controller *Controller
 	now        time.Duration
--- a/internal/admission/retryafter_test.go
+++ b/internal/admission/retryafter_test.go
@@ -19,7 +19,7 @@
 	tally    *retryTally
 }
 
-// retryingClients are clients of the tenant 1 in a simulation. They retry rejected requests.
+// retryingClients are clients of tenant 1 in a simulation. They retry rejected requests.
 type retryingClients struct {
 	*simulation
 	patient retryTally // clients that retry after the time that they were given
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -12,8 +12,8 @@
 const UnitConcurrency = 3.0
 
 const (
-	// sizeGain is the relative growth of the size per load report. Doubling or halving it changes the benchmark's
-	// score by less than 0.02; a gain of 0.01 or more lowers the score.
+	// sizeGain is the relative growth of the size per load report. Half or twice the gain works about equally well; a
+	// gain of 0.01 or more is too high.
 	sizeGain = 0.002
 	// lossMultiple is how many times faster the size shrinks than it grows: overload is worse than rejections.
 	lossMultiple = 2
--- a/internal/clockoffset/clockoffset_test.go
+++ b/internal/clockoffset/clockoffset_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// Answers of a single moment prove nothing: within it, a position that does not advance agrees with itself.
+// Answers that arrive at nearly the same time do not establish an offset: their positions may be frozen.
 func TestAnswersOfOneMomentProveNothing(t *testing.T) {
 	estimator := &Estimator{}
 	const pending = 90 * ms // all requests are in flight at the same time
--- a/internal/clockoffset/fleet_test.go
+++ b/internal/clockoffset/fleet_test.go
@@ -36,7 +36,7 @@
 	return time.Duration(f.rng.Int64N(int64(limit) + 1))
 }
 
-// sample returns the next sample. The request of one in ten takes up to 2 s longer than usual.
+// sample returns the next sample. In one of ten samples, the request takes up to 2 s longer than usual.
 func (f *fleet) sample() Sample {
 	f.now += f.upTo(30 * ms)
 	requestTime, answerTime := f.upTo(10*ms), f.upTo(10*ms)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -21,8 +21,8 @@
 
 // StreamingClient is a Client that accepts a long answer in pieces. Served or Failed follows the last piece.
 type StreamingClient interface {
-	// Piece passes on bytes, which the callee must not use after it returns. If the client's buffers are full, it
-	// returns false, and calls more once as soon as they have room.
+	// Piece delivers the next bytes of the answer. The client must not use data after Piece has returned. If the
+	// client's buffers are full, Piece returns false, and the client calls more once as soon as they have room.
 	Piece(data []byte, more func()) bool
 }
 
--- a/internal/intake/process_test.go
+++ b/internal/intake/process_test.go
@@ -49,7 +49,7 @@
 }
 
 // A statement that is labelled as a read but may write goes to the primary only, and is not retried once it may have
-// run. One that certainly only reads is routed by its label and retried.
+// run. A statement that certainly only reads is routed by its label and retried.
 func TestMislabelledReadRunsOnceAtThePrimary(t *testing.T) {
 	bed := testbed.Start(t, testbed.WithTables(enforce))
 	client := bed.Client()
--- a/internal/maintenance/follower.go
+++ b/internal/maintenance/follower.go
@@ -89,8 +89,8 @@
 // blocked reports whether the record forbids new requests to a machine.
 func (f *Follower) blocked(machine string) bool { return f.steps[machine].State.Blocked() }
 
-// Stopped returns the attempts for which this pooler has to report that it has stopped, as fencing numbers by machine:
-// those of machines that are draining and to which it has no request in flight.
+// Stopped returns, by machine, the fencing numbers of the attempts for which this pooler has to report that it has
+// stopped. These are the attempts at draining machines to which the pooler has no request in flight.
 func (f *Follower) Stopped(inFlight func(machine string) int) map[string]uint64 {
 	stopped := map[string]uint64{}
 	for name, step := range f.steps {
--- a/internal/maintenance/model_world_test.go
+++ b/internal/maintenance/model_world_test.go
@@ -66,7 +66,7 @@
 	poolers      []modelPooler
 	reports      []stopReport
 	hookCalls    map[uint64]int    // by number
-	drainedBy    map[string]uint64 // incarnations that the leader knew when the machine was drained
+	knownAtDrain map[string]uint64 // incarnations that the leader knew when the machine was drained
 	budget       eventBudget
 	trace        []string // how the state was reached
 }
@@ -151,7 +151,7 @@
 func (m *modelState) poolerFingerprint(i int) string {
 	pooler, name := m.poolers[i], modelPoolerName(i)
 	var text strings.Builder
-	fmt.Fprint(&text, pooler.up, pooler.incarnation, pooler.inFlight, m.incarnations[name], m.drainedBy[name],
+	fmt.Fprint(&text, pooler.up, pooler.incarnation, pooler.inFlight, m.incarnations[name], m.knownAtDrain[name],
 		m.step.Stopped[name], slices.Contains(m.step.Unreachable, name))
 	if follower := pooler.follower; follower != nil {
 		known := follower.steps[modelMachine]
@@ -178,7 +178,7 @@
 	next := m.clone("event %v: %v", event.Kind, event.Instance)
 	next.step = step
 	if step.State == Drained && m.step.State != Drained {
-		next.drainedBy = maps.Clone(m.incarnations)
+		next.knownAtDrain = maps.Clone(m.incarnations)
 	}
 	if event.Kind == HookStarted {
 		next.hookCalls[step.Number]++
@@ -348,7 +348,7 @@
 		name := modelPoolerName(i)
 		// The blind case is allowed if the pooler has restarted, the leader did not know that when the machine was
 		// drained, and the pooler has not read the record since.
-		allowedAsBlind := pooler.blind && m.drainedBy[name] != pooler.incarnation
+		allowedAsBlind := pooler.blind && m.knownAtDrain[name] != pooler.incarnation
 		switch {
 		case !outOfService || !pooler.inFlight || allowedAsBlind:
 		case !before.poolers[i].inFlight:
--- a/internal/maintenance/proposal.go
+++ b/internal/maintenance/proposal.go
@@ -16,7 +16,7 @@
 	DeleteStatuses []string        // poolers whose statuses are deleted: they left, or operators removed them
 	History        []HistoryEntry  // new entries
 	Calls          []Call          // hooks to call
-	Resign         bool            // this pooler is next: another pooler has to lead the record
+	Resign         bool            // this pooler is the next to be taken: another pooler has to lead the record
 	Probe          []string        // databases without recent evidence, to be probed
 }
 
--- a/internal/maintenance/round.go
+++ b/internal/maintenance/round.go
@@ -52,7 +52,7 @@
 	return &progress{step: step, now: r.now, poolers: r.poolers, rules: r.rules}
 }
 
-// progress is a step to which events are applied, with the arguments for that.
+// progress is a step to which events are applied, with the arguments of Step.Apply.
 type progress struct {
 	step    Step
 	now     time.Duration
@@ -192,7 +192,7 @@
 	}
 }
 
-// beginHandOver begins a hand-over from a primary that is next.
+// beginHandOver begins a hand-over from a primary that is to be taken next.
 func (r *round) beginHandOver(next PlannedHandOver) {
 	r.plan.Number++
 	r.plan.HandOver = &HandOver{From: next.From, To: next.To, Number: r.plan.Number}
--- a/internal/membership/advisor.go
+++ b/internal/membership/advisor.go
@@ -128,7 +128,7 @@
 	switch {
 	case live >= countInUse:
 		a.countInUse, a.lowerCount = live, 0
-	case a.lowerCount == 0 || live > a.lowerCount: // Use the highest count seen since it became lower.
+	case a.lowerCount == 0 || live > a.lowerCount: // Use the highest count since it fell below countInUse.
 		a.lowerCount, a.lowerSince = live, now
 	case now-a.lowerSince >= a.bounds.StableFor:
 		a.countInUse, a.lowerCount = a.lowerCount, 0
--- a/internal/membership/disseminator.go
+++ b/internal/membership/disseminator.go
@@ -149,8 +149,8 @@
 // logarithm of the number of peers reaches nearly all of them.
 func transmissionLimit(peers int) int { return 2 * bits.Len(uint(peers)) }
 
-// Answer returns the entries that a pooler with this summary lacks: all ends, and facts up to AnswerBytes. Successive
-// answers begin with different facts, which lets a pooler receive all of them by repeated requests.
+// Answer returns the entries of all owners whose entries differ from those in the summary: all ends, and facts up to
+// AnswerBytes. Successive answers begin with different facts: a pooler receives all of them by repeated requests.
 func (d *Disseminator) Answer(summary map[string]uint64) (answer Delta) {
 	missing := d.View.Missing(summary)
 	answer.Ends = missing.Ends
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -7,7 +7,7 @@
 )
 
 // consecutiveProbes is how often a suspected database is probed in successive steps before a pause of RetryInterval.
-// One failed probe proves nothing, and two are enough.
+// The router ejects a database after two failed probes.
 const consecutiveProbes = 2
 
 // suspicion is the state of a suspected database. It exists while isSuspected returns true for the database.
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -81,7 +81,7 @@
 	return view
 }
 
-// Missing returns exactly the entries that the other view lacks.
+// Missing returns the entries of exactly those owners whose entries differ from the other view's.
 func TestMissingReturnsDifferingOwners(t *testing.T) {
 	first, second := NewView(DefaultBounds()), NewView(DefaultBounds())
 	both := NewPublisher("both", 1, DefaultBounds()).Publish(now, map[Key][]byte{{}: []byte("x")})
--- a/internal/statement/cache.go
+++ b/internal/statement/cache.go
@@ -49,8 +49,8 @@
 // Fingerprints is a cache of fingerprints whose size is bounded in bytes. It uses S3-FIFO (Yang, Qiu, Zhang, Yue,
 // Vinayak 2023): new fingerprints enter a small queue, and only those that are used again enter the main queue.
 // Therefore a flood of fingerprints that are used once passes through the small queue only. The cache must count bytes
-// and be deterministic. The available libraries count entries, or seed themselves and run goroutines. It is not safe
-// for concurrent use.
+// and be deterministic. The available libraries count entries, or seed themselves and run goroutines. Fingerprints
+// is not safe for concurrent use.
 type Fingerprints struct {
 	byHash   map[xxh3.Uint128]*Fingerprint
 	queues   [mainQueue + 1]fingerprintQueue
--- a/internal/statement/keywords.go
+++ b/internal/statement/keywords.go
@@ -60,8 +60,8 @@
 var readVerbs = wordSet("select values table with show copy")
 
 // reserved are the keywords that can name neither a function nor, without AS, an alias (appendix "SQL Key Words" of
-// PostgreSQL's documentation: reserved, and those that cannot be function or type names). A parenthesis after one does
-// not open a call.
+// PostgreSQL's documentation: reserved, and those that cannot be function or type names). A parenthesis after
+// such a keyword does not open a call.
 var reserved = wordSet(`
 all analyse analyze and any array as asc asymmetric both case cast check collate column constraint create
 current_catalog
@@ -77,14 +77,14 @@
 xmlforest xmlnamespaces xmlparse xmlpi xmlroot xmlserialize xmltable
 `)
 
-// infix are the words that are syntax after an operand, where a parenthesis after them does not open a call. Elsewhere
+// infix are the words that are syntax if they follow an operand: a parenthesis after them then opens no call. Elsewhere
 // they may be names of functions.
 var infix = wordSet(`
 join like ilike overlaps escape over filter columns is isnull notnull similar collation cross natural inner
 left right full outer tablesample ordinality
 `)
 
-// wordsBefore maps a word to the words after which it is syntax, where a parenthesis after it does not open a call.
+// wordsBefore maps a word to the preceding words that make it syntax: a parenthesis after it then opens no call.
 var wordsBefore = map[string]map[string]bool{
 	"by": wordSet("group order partition"), "materialized": wordSet("as not"),
 	"rollup": wordSet("by"), "cube": wordSet("by"),
--- a/internal/statement/names.go
+++ b/internal/statement/names.go
@@ -11,8 +11,8 @@
 	name  []byte // folded and truncated as by PostgreSQL; nil if the part contains Unicode escapes
 }
 
-// foldName folds an unquoted name as PostgreSQL does: to ASCII letters in lower case, truncated to maxNameBytes. The
-// result is a part of dst.
+// foldName folds an unquoted name as PostgreSQL does: ASCII letters become lower case, and the name is truncated to
+// maxNameBytes. The result is a part of dst.
 func foldName(dst *[maxNameBytes]byte, s string) []byte {
 	n := min(len(s), maxNameBytes)
 	for n < len(s) && n > 0 && !utf8.RuneStart(s[n]) {
--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -117,7 +117,7 @@
 			scan.mayWrite(Unreadable, Span{token.start, token.end})
 			break
 		}
-		if token.kind == stringToken && token.ambiguous { // it ends elsewhere with standard_conforming_strings off
+		if token.kind == stringToken && token.ambiguous { // its end depends on standard_conforming_strings
 			scan.mayWrite(Unreadable, Span{token.start, token.end})
 		}
 		scan.processToken(token)
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -11,7 +11,7 @@
 
 var names = []string{"others", "shop", "reports"}
 
-// lookup returns a function that has the value of a single name; other names have no value.
+// lookup returns a function that returns the value for the name, and an empty string for any other name.
 func lookup(name, value string) func(string) string {
 	return func(wanted string) string {
 		if wanted == name {
--- a/routing/control.go
+++ b/routing/control.go
@@ -1,7 +1,7 @@
 package routing
 
 // The constants of the control loop are relative to the latency objective and to maxBound, and so fit any site. The
-// loop is insensitive to the gain: twice or half of it changes a benchmark's score by under 0.01.
+// loop works about equally well with half or twice the gain.
 const (
 	controlPeriod    = 500 * ms
 	proportionalGain = 0.1 // K_P, as a share of maxBound
@@ -62,8 +62,8 @@
 }
 
 // adjustBound runs one step of the node's PI controller. The error is 1 minus the mean ratio of latency to objective.
-// The velocity form integrates twice. At a limit of the bound, delta is set to the change that took effect, which
-// prevents integral windup.
+// Delta accumulates the controller's output, and the bound accumulates delta: the error is integrated twice. At a limit
+// of the bound, delta is set to the change that took effect, which prevents integral windup.
 func (n *nodeRecord) adjustBound() {
 	controlError := max(minError, 1-n.ratioSum/float64(n.samples))
 	n.delta += proportionalGain * maxBound * ((integralGain+1)*controlError - n.lastError)
--- a/routing/health_test.go
+++ b/routing/health_test.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// A node that accepts no more connections also looks like one without a listening process. If its position kept up with
-// replication during the ejection, it does not count as restarted. If its position did not advance, it does. With an
-// empty probe budget the node is readmitted after its backoff without a probe.
+// A node without free connections refuses connections, like a node without a listening process. It counts as restarted
+// only if its position did not keep up with replication during the ejection. With an empty probe budget the node is
+// readmitted after its backoff without a probe.
 func TestNodeWithoutFreeConnectionsDoesNotCountAsRestarted(t *testing.T) {
 	for name, keptUp := range map[string]bool{"position kept up": true, "position did not advance": false} {
 		t.Run(name, func(t *testing.T) {
--- a/routing/probes.go
+++ b/routing/probes.go
@@ -7,11 +7,11 @@
 	// nodes and to groups whose primary is unknown.
 	probeInterval     = 1000 * ms
 	fastProbeInterval = 100 * ms
-	// probesPerRequest is what each request adds to the probe budget. It is a share of the traffic: many routers must
-	// not send more probes than requests.
+	// probesPerRequest is the number of probes that each request adds to the probe budget. The budget is thus a share
+	// of the traffic: many routers must not send more probes than requests.
 	probesPerRequest = 0.1
 	// extraProbesPerRequest, divided by the number of routers, is added to probesPerRequest. The fewer routers there
-	// are, the more each one has to probe by itself.
+	// are, the more each router has to probe by itself.
 	extraProbesPerRequest = 0.3
 	// maxProbesPerRead limits the probes that one read triggers while no replica is known to be fresh.
 	maxProbesPerRead = 4
--- a/routing/requests.go
+++ b/routing/requests.go
@@ -12,10 +12,10 @@
 	longReadMultiple = 2.0
 	// writeBoundMultiple is the multiple of maxBound at which a primary is sent no more writes: they wait.
 	writeBoundMultiple = 3.0
-	// waitDivisor is the divisor of a request's time left that gives the time for which it waits for a first attempt.
+	// waitDivisor limits the wait for a first attempt: it is at most the request's time left, divided by waitDivisor.
 	// A later rejection costs 0.3 of the request's weight.
 	waitDivisor = 2
-	// waitMargin is the time by which the wait ends earlier: the next tick might come too late.
+	// waitMargin is subtracted from the end of the wait: the next tick might be too late.
 	waitMargin = 2 * tickInterval
 )
 
