--- a/internal/backend/broken_statement_test.go
+++ b/internal/backend/broken_statement_test.go
@@ -15,11 +15,11 @@
 	"capercove/internal/testbed/loopback"
 )
 
-// longStatement is the length in bytes above which a statement is the long write of the test.
+// longStatement is a length in bytes that only the long write of the test exceeds.
 const longStatement = 512
 
 // breakingDatabase is a primary that calls breakOff when it has read a part of a long statement for the first time. Its
-// small receive buffer makes the rest of the statement stay at the pooler.
+// receive buffer is small, so the pooler cannot send the rest of the statement yet.
 type breakingDatabase struct {
 	address  string
 	breakOff func(connection *net.TCPConn) error
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -84,8 +84,8 @@
 	return database.connecting < len(database.waiting) && database.retry == nil
 }
 
-// dial begins to open a connection for a waiting job. At the limit of connections it closes an idle one first. If none
-// is idle, it dials nothing, and the job that was queued last ends as not sent.
+// dial begins to open a connection for a waiting job. At the limit of connections it closes an idle connection first.
+// If no connection is idle, it does not dial, and ends the job that was queued last as not sent.
 func (pool *Pool) dial(database *database) {
 	if pool.connections >= pool.limits.MaxConnections && !pool.evictIdle() {
 		pool.counters.Capped++
@@ -184,8 +184,8 @@
 	pool.abortExpiring(database, retryAt)
 }
 
-// retryDials dials again when the wait of a backoff is over. If no job waits, it resets the backoff: the
-// next failure begins a new one.
+// retryDials dials again when the delay of the backoff is over. If no job waits, it resets the backoff, and the next
+// transient failure begins a new backoff.
 func (pool *Pool) retryDials(database *database) {
 	database.retry = nil
 	if len(database.waiting) == 0 {
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -20,7 +20,7 @@
 	reportPrimary = 1
 )
 
-// maxReportedPosition is the lowest position that is ignored as invalid, in seconds since the Unix epoch.
+// maxReportedPosition is the exclusive upper bound of valid positions, in seconds since the Unix epoch.
 const maxReportedPosition = 1 << 33
 
 const millisecondsPerSecond = 1000
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	file := os.NewFile(uintptr(descriptor), "database")
-	defer func() { _ = file.Close() }() // net.FileConn has made one more duplicate, or failed
+	defer func() { _ = file.Close() }() // net.FileConn duplicates the descriptor
 	socket, err := net.FileConn(file)
 	if err != nil {
 		return err
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -93,7 +93,7 @@
 	minSockets  = 128
 )
 
-// Formats of numbers in the file and the environment.
+// Bounds and formats of numbers in the file and the environment.
 const (
 	firstInheritedFD = 3 // the first descriptor after the standard streams
 	seedBase         = 16
--- a/internal/config/tables/tables.go
+++ b/internal/config/tables/tables.go
@@ -28,7 +28,8 @@
 
 // Table is a subsystem's table of the operators' file.
 type Table interface {
-	// Check returns an error if a value is invalid. If one key is at fault, it is a KeyError with the key in the table.
+	// Check returns an error if a value is invalid. An error about one key is a KeyError, whose Key is relative to the
+	// table.
 	Check() error
 }
 
@@ -149,8 +150,8 @@
 	return strings.Join(parts, "."), line
 }
 
-// Address returns a KeyError unless the address under a key is host:port or empty. The caller checks whether one is
-// required.
+// Address returns a KeyError unless the address under a key is host:port or empty. The caller checks whether the
+// address may be empty.
 func Address(key, address string) error {
 	if address == "" {
 		return nil
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -120,8 +120,8 @@
 }
 
 // New returns a watch of the discovery service at an address. It runs until the context ends. It calls onList and
-// onFailure on its goroutine; onList must not call Move, which waits for it. A known list with endpoints is not fetched
-// again, whatever its revision: otherwise each of many poolers that start together would send a second request.
+// onFailure on its goroutine. onList must not call Move, which would deadlock. A known list with endpoints is not
+// fetched again, whatever its revision: otherwise each of many poolers that start together would send a second request.
 func New(ctx context.Context, addr string, known List, bounds limits.Discovery, log zerolog.Logger,
 	onList func(List), onFailure func(),
 ) *Watch {
@@ -132,7 +132,7 @@
 		onFailure: onFailure,
 		client: &http.Client{Transport: &http.Transport{
 			DialContext:       (&net.Dialer{Timeout: bounds.ResponseTimeout}).DialContext,
-			DisableKeepAlives: true, // net/http would repeat a request unseen if an idle connection were stale
+			DisableKeepAlives: true, // net/http would silently repeat a request if an idle connection were stale
 		}},
 		requested: make(chan struct{}, 1),
 		addr:      addr,
--- a/internal/frontend/admission_test.go
+++ b/internal/frontend/admission_test.go
@@ -67,11 +67,12 @@
 }
 
 // While the table is full, each of many clients that connect at once reads its rejection, even if they connect after
-// connections that were reset before the program accepted them. At the end no connection remains counted: the program
-// would not end otherwise.
+// connections that were reset before the program accepted them. At the end no connection remains counted, because the
+// program would not exit after SIGTERM otherwise.
 func TestFullTableRejectsEveryClient(t *testing.T) {
 	const many = 12 // more connections than may linger
-	// The variant ends only when no connection is left, and evicts none, so the table stays full.
+	// The variant evicts no connection, so the table stays full. Its shutdown timeout is an hour, so after SIGTERM it
+	// exits only when no connection is counted.
 	edits := append(withoutIdleTimeouts(), testbed.Edit{
 		File: "internal/limits/computed.go",
 		Old:  "Timeout:      timeout,",
--- a/internal/frontend/departure_test.go
+++ b/internal/frontend/departure_test.go
@@ -19,7 +19,7 @@
 // unreadCloseCase is a case of TestNoAttemptBeginsAfterUnreadClose.
 type unreadCloseCase struct {
 	text   string                                         // in the statement for which no further attempt may begin
-	taken  int                                            // number of requests sent by before that are read
+	taken  int                                            // number of requests of before that the program reads
 	before func(bed *testbed.Bed, client *testbed.Client) // sends requests before the program is paused; may be nil
 	during func(bed *testbed.Bed, client *testbed.Client) // called during the pause, just before the client closes
 }
@@ -65,8 +65,8 @@
 	},
 }
 
-// A client closes its connection while the program is paused, so the program has not read the close when it resumes,
-// nor perhaps requests that were sent before the close. In each state of the requests, no further attempt may begin.
+// A client closes its connection while the program is paused. When the program resumes, it has not read the close yet,
+// and perhaps not the requests before it. In each state of the requests, no further attempt may begin.
 func TestNoAttemptBeginsAfterUnreadClose(t *testing.T) {
 	for name, test := range unreadCloseCases {
 		t.Run(name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 func (test unreadCloseCase) run(t *testing.T, bed *testbed.Bed) {
 	t.Helper()
 	serves := func() bool { return bed.Client().Ask(bed.Statement("write", "a", testbed.Timeout)).Complete }
-	bed.Eventually(serves, "it serves") // leaves an idle connection to the database
+	bed.Eventually(serves, "the program serves a request") // leaves an idle connection to the database
 	taken, hanging := awaitNoneOpen(bed), bed.Sent("hang")
 	client := bed.Client()
 	if test.before != nil {
@@ -97,7 +97,7 @@
 	require.NoError(t, client.Close())
 	testbed.Pass(3 * departureLimit)
 	resume()
-	bed.Eventually(serves, "it serves")
+	bed.Eventually(serves, "the program serves a request")
 	require.Equal(t, before, bed.Sent(test.text))
 }
 
--- a/internal/membership/gossip/addresses.go
+++ b/internal/membership/gossip/addresses.go
@@ -6,7 +6,7 @@
 )
 
 // A restarted pooler finds the others through the address file, even if no seed is running. The file contains only
-// addresses, which are used like seeds. Which poolers are live is detected again.
+// addresses, which are used like seeds. Whether the poolers at these addresses are live is detected after the restart.
 
 // remember records the address of a failed pooler, up to maxAddresses in all. The caller holds mu.
 func (g *Gossip) remember(name, addr string, now time.Duration) {
--- a/internal/membership/gossip/gossip_test.go
+++ b/internal/membership/gossip/gossip_test.go
@@ -135,7 +135,7 @@
 	members.running["n3"].Stop(time.Second)
 	delete(members.running, "n3")
 	members.requireConverged("n0", "n1", "n2", "n4")
-	// Its own announcement takes precedence over detection by others, whichever arrives first.
+	// The announcement of n3 takes precedence over the detection of its end by others, whichever arrives first.
 	for _, name := range []string{"n0", "n1", "n2", "n4"} {
 		require.Eventually(t, func() bool {
 			return sees(members.running[name], "n3", "left")
@@ -158,9 +158,9 @@
 	members.requireConverged(members.names...)
 }
 
-// In a network partition each side converges. Both converge with each other once it is over, although neither has a
-// seed on the other side, and also if another partition begins at once. A link that is cut in one direction makes no
-// member fail permanently.
+// In a network partition each side converges. All members converge again after the partition, although the left side
+// has no seed on the right side, and also if another partition begins at once. A link that is cut in one direction
+// makes no member fail permanently.
 func TestPartitionHeals(t *testing.T) {
 	members := newMembers(t, 2, 5)
 	members.start("n0", "c")
--- a/internal/membership/gossip/process_test.go
+++ b/internal/membership/gossip/process_test.go
@@ -71,7 +71,7 @@
 	counted("n3", 4) // the smaller side counts all known poolers
 	counted("n0", 3)
 	_, status = fleet.Command("fleet", "--all", fleet.Beds["n3"].Management)
-	require.Zero(t, status, "it agrees with itself while it is alone")
+	require.Zero(t, status, "n3 is alone, and no other view differs from its view")
 	require.Equal(t, "larger", fleet.State("n0").Side)
 	fleet.Net.Heal()
 	settled("healed", fleet.Names...)
@@ -157,7 +157,7 @@
 
 // Of five poolers, two are killed and one is paused for three times as long as it takes to be reported as failed. When
 // the paused pooler resumes, it reports no live pooler as failed. Then a network partition ends and begins again before
-// all have converged. Last, a link that is cut in one direction makes no pooler flap.
+// all poolers have converged. Last, a link is cut in one direction, and its destination is not reported as failed.
 func TestPauseOrOneWayCutFailsNoLivePooler(t *testing.T) {
 	t.Parallel()
 	fleet := testbed.NewFleet(t, 2, 5, []string{"n0"}, fastGossip)
@@ -200,7 +200,7 @@
 	fleet.Net.Set("n1", "n4", faults.Link{Cut: true})
 	fleet.Periods(100, fleet.Names...)
 	fleet.WaitConverged("cut one way", fleet.Names...)
-	require.Equal(t, refuted, fleet.State("n4").Refutations, "others reach it")
+	require.Equal(t, refuted, fleet.State("n4").Refutations, "the other poolers reach n4")
 }
 
 // All poolers are killed at once and restart in another order, the seed last. They find each other through the
@@ -279,7 +279,7 @@
 	impairAllLinks(fleet.Net, fleet.Names, faults.Link{
 		Loss: 0.1, Twice: 0.05, Late: 0.05, Jitter: 5 * time.Millisecond,
 	})
-	periods := 100 // a probe is sent in each fifth of them
+	periods := 100 // a probe is sent in every fifth period
 	if os.Getenv("FLEET_SEEDS") != "" {
 		periods = 300 // a minute
 	}
--- a/internal/membership/gossip/transport.go
+++ b/internal/membership/gossip/transport.go
@@ -8,7 +8,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport dials from the pooler's own address. Peers, and relays in front of them, distinguish poolers by it.
+// transport dials from the pooler's own IP address, by which peers, and relays in front of them, distinguish poolers.
 type transport struct {
 	*memberlist.NetTransport
 	own netip.Addr
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -146,7 +146,7 @@
 	require.Equal(t, want, observation.State)
 }
 
-// requirePublishedSelf requires what the pooler publishes of itself.
+// requirePublishedSelf requires that the pooler publishes the given values about itself.
 func requirePublishedSelf(t *testing.T, published map[membership.Key][]byte, want peers.Self) {
 	t.Helper()
 	var self peers.Self
@@ -199,7 +199,7 @@
 	fixture.silent["db3"] = false
 	fixture.core.ProbeByName("db3")
 	published := fixture.passPeriods(time.Second)
-	observation, _ := membership.ParseObservation(published[databaseKey("db3")]) // an absent one is Healthy, too
+	observation, _ := membership.ParseObservation(published[databaseKey("db3")]) // Healthy if missing
 	require.Equal(t, membership.Healthy, observation.State, "withdrawn")
 	requirePublishedSelf(t, published, peers.Self{Listen: "here", Settings: "a", Connections: 7})
 
--- a/internal/pg/link_state.go
+++ b/internal/pg/link_state.go
@@ -8,13 +8,13 @@
 const (
 	// linkStarting: the first ReadyForQuery has not arrived yet.
 	linkStarting linkState = iota
-	// linkIdle: no message of a reply's result has arrived.
+	// linkIdle: the startup or the previous reply is complete, and no message of the next reply's result has arrived.
 	linkIdle
 	// linkDescribed: RowDescription has arrived.
 	linkDescribed
 	// linkStreaming: a row is being streamed.
 	linkStreaming
-	// linkRow: the row has arrived.
+	// linkRow: the whole row has arrived.
 	linkRow
 	// linkComplete: CommandComplete or EmptyQueryResponse has arrived.
 	linkComplete
--- a/internal/pg/link_test.go
+++ b/internal/pg/link_test.go
@@ -79,9 +79,10 @@
 	}
 }
 
+// answered is the reply with the value "ab".
 var answered = Reply{Rows: []byte(described + row("ab") + completed), Complete: true, Value: []byte("ab")}
 
-// with returns a changed copy of the reply answered.
+// with returns a copy of answered to which a change has been applied.
 func with(change func(*Reply)) Reply {
 	reply := answered
 	change(&reply)
@@ -260,7 +261,7 @@
 	},
 }
 
-// A message that is out of order, malformed or too long returns the error for that fault.
+// Feed returns the error for the fault of a message that is out of order, malformed or too long.
 func TestLinkRejectsInvalidMessage(t *testing.T) {
 	for name, test := range linkErrors {
 		t.Run(name, func(t *testing.T) {
@@ -364,7 +365,8 @@
 	}
 }
 
-// Streaming of a long row begins once the row's header is complete. A second call of Piece returns no bytes again.
+// Streaming of a long row begins once the row's header is complete. Piece returns each piece
+// once: a second call returns nil.
 func TestLinkStreamsFromCompleteRowHeader(t *testing.T) {
 	link := newTestLink(true)
 	long := row(strings.Repeat("x", linkLimit))
--- a/internal/pg/session.go
+++ b/internal/pg/session.go
@@ -18,8 +18,8 @@
 
 // Command is a request that was parsed from a client's messages. Answers must be sent in the order of the commands.
 type Command struct {
-	Reply        []byte // the answer if no database is needed for it; nil for a query
-	Query        string // a statement for the databases, if Reply is nil
+	Reply        []byte // the answer of a command that needs no database; otherwise nil
+	Query        string // a statement for the databases; empty if the command needs no database
 	Close        bool   // the connection must be closed after Reply is sent
 	RejectReason string // why the message was rejected, for the log; empty if it was accepted
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"capercove/routing"
 )
 
-// completeText has a value under every key that is used, and under further keys.
+// completeText has a value under every key that is used, and under some keys that are ignored.
 const completeText = `{
  "balancers": 2, "locality": 1, "membershipMode": "pushed", "overShareWorth": 0.1, "later": [1], "zones": ["a", "b"],
  "allowed": {"cancel": true, "probes": true, "retryAfter": true, "secondCopies": true, "sendCap": 10,
--- a/internal/settings/words.go
+++ b/internal/settings/words.go
@@ -40,7 +40,7 @@
 	}
 )
 
-// parse sets meaning to that of the word under a key. For an unknown word it returns a KeyError with the valid words.
+// parse stores the meaning of the word under a key. For an unknown word it returns a KeyError with the valid words.
 func (v vocabulary[Meaning]) parse(key, word string, meaning *Meaning) error {
 	known, found := v[word]
 	if !found {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -24,12 +24,12 @@
 	timeout time.Duration
 
 	mu   sync.Mutex
-	apis []string // addresses; the store that answered last is the first
+	apis []string // addresses; the store that answered most recently comes first
 }
 
 // NewClient returns a client of the stores whose HTTP APIs have the given addresses. The timeout bounds each call of
-// one store; for a watch its wait is added. Source is the IP address to dial from: stores, and relays before them,
-// identify this process by it. nil means any address.
+// one store; a watch adds its wait. Source is the IP address to dial from, by which stores, and relays in front of
+// them, identify this process. nil means any address.
 func NewClient(apis []string, timeout time.Duration, source net.IP) *Client {
 	return &Client{http: newHTTPClient(source), timeout: timeout, apis: append([]string{}, apis...)}
 }
@@ -56,7 +56,7 @@
 	}}
 }
 
-// At returns the HTTP API addresses of the stores. The store that answered last is the first.
+// At returns the HTTP API addresses of the stores. The store that answered most recently comes first.
 func (c *Client) At() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/store/config.go
+++ b/internal/store/config.go
@@ -37,7 +37,7 @@
 	API string `toml:"api" json:"api"`
 }
 
-// Check returns an error that names the first invalid key, nil if there is none. Open checks whether the peers include
+// Check returns an error that names an invalid key, or nil if all keys are valid. Open checks whether the peers include
 // this pooler.
 func (c Config) Check() error {
 	if !c.Enabled {
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -22,9 +22,9 @@
 	boltName          = "raft.db"   // file with raft's log, term and vote
 	probeName         = "probe.tmp" // file that is created to test whether the directory is writable
 	retainedSnapshots = 2
-	newestLogEntry    = raft.LogConfiguration
-	currentTermName   = "CurrentTerm"  // raft's key of its term in the stable store
-	lastVoteName      = "LastVoteTerm" // raft's key of the term in which it last voted
+	newestLogEntry    = raft.LogConfiguration // highest type of log entries that this version of raft knows
+	currentTermName   = "CurrentTerm"         // raft's key of its term in the stable store
+	lastVoteName      = "LastVoteTerm"        // raft's key of the term in which it last voted
 
 	// initialMapSize is the size of bbolt's first memory map in bytes. It uses address space, but no memory. A smaller
 	// map has to be replaced when the file grows, and if that fails, bbolt has no map at all.
@@ -48,8 +48,8 @@
 	}
 }
 
-// tolerateFailures wraps the log and the stable store: raft survives a disk that fails or hangs. The timeout bounds one
-// write to the log.
+// tolerateFailures wraps the log and the stable store, so that raft survives a disk that fails or hangs. The timeout
+// bounds one write to the log.
 func (s *storage) tolerateFailures(retrier writeRetrier, timeout time.Duration) {
 	s.logs = newDurableLog(s.logs, retrier, timeout)
 	s.stable = &retryingStable{StableStore: s.stable, writeRetrier: retrier}
@@ -115,8 +115,8 @@
 	return errors.Join(err, file.Close(), os.Remove(path))
 }
 
-// openBoltFile opens, locks and checks bbolt's file. It empties a file whose creation was interrupted: bbolt creates it
-// again.
+// openBoltFile opens, locks and checks bbolt's file. It empties a file whose creation was interrupted, and bbolt then
+// initializes the file again.
 func openBoltFile(path string, flag int, mode os.FileMode, lockWait time.Duration) (*os.File, error) {
 	_, statErr := os.Stat(path)
 	file, err := os.OpenFile(path, flag, mode)
@@ -159,8 +159,8 @@
 	return nil
 }
 
-// lockFile acquires the exclusive lock of a file, the same one as bbolt does. It returns bbolt.ErrTimeout if another
-// process has not released the lock in time.
+// lockFile acquires the same exclusive file lock that bbolt uses. It returns bbolt.ErrTimeout if another process has
+// not released the lock within the wait.
 func lockFile(file *os.File, wait time.Duration) error {
 	err := filelock.Acquire(file, unix.LOCK_EX, wait)
 	if errors.Is(err, filelock.ErrBusy) {
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -24,8 +24,8 @@
 	Leads bool `json:"leads,omitempty"`
 }
 
-// memberKey returns the key of the addresses of a member that was added to a running cluster. The configuration of the
-// other members lacks them.
+// memberKey returns the key under which the addresses of a member are stored that was added to a running cluster. The
+// configuration files of the other members lack these addresses.
 func memberKey(name string) string { return "store/member/" + name }
 
 // apiAddress returns the address of a member's HTTP API, empty if it is not known.
@@ -60,9 +60,9 @@
 	return all, nil
 }
 
-// addMember adds a member; this pooler must be the leader. The new member becomes a voter when it has caught up with
-// the others: before that its vote could only prevent a majority. A member that does not catch up in time is removed
-// again.
+// addMember adds a member; this pooler must be the leader. The new member becomes a voter only when it has caught up
+// with the others: a voter that lags enlarges the required majority, but cannot contribute to it. A member that does
+// not catch up in time is removed again.
 func (r *replicated) addMember(ctx context.Context, peer Peer) error {
 	if peer.Name == "" {
 		return errors.New("name: empty")
--- a/internal/store/snapshots.go
+++ b/internal/store/snapshots.go
@@ -30,8 +30,8 @@
 	writing map[string]bool // snapshots that are being written, by ID
 }
 
-// openSnapshots opens the snapshots in a directory. Raft ignores snapshots of an unknown version, whose content would
-// be missing then. openSnapshots returns ErrNewer for them.
+// openSnapshots opens the snapshots in a directory. It returns ErrNewer for a snapshot of an unknown version: raft
+// would ignore the snapshot, and the store would start without its content.
 func openSnapshots(dir string, log hclog.Logger) (*snapshotDirectory, error) {
 	inner, err := raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, log)
 	if err != nil {
--- a/internal/store/stream.go
+++ b/internal/store/stream.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// streamLayer implements raft.StreamLayer over TCP. It dials from the IP address on which it listens: peers, and relays
-// before them, identify this pooler by it.
+// streamLayer implements raft.StreamLayer over TCP. It dials from the IP address on which it listens, because peers,
+// and relays in front of them, identify this pooler by that address.
 type streamLayer struct {
 	net.Listener
 	source     *net.TCPAddr
