--- a/cmd/capercove/command.go
+++ b/cmd/capercove/command.go
@@ -13,10 +13,10 @@
 	"capercove/internal/pooler"
 )
 
-// exitError ends the program with a status other than that of a wrong command line.
+// exitError is an error with an exit status. Errors of other types are usage errors, with status 2.
 type exitError struct {
 	status int
-	cause  error // printed on standard error; nil if the command has printed all there is to say
+	cause  error // printed on standard error; nil if the command has printed its result already
 }
 
 func (e exitError) Error() string {
@@ -31,20 +31,21 @@
 // runCommand runs a sub-command and returns the exit status. Results and help go to stdout, errors to stderr.
 func runCommand(arguments []string, stdout, stderr io.Writer) (status int) {
 	root := newRootCommand()
-	root.SetArgs(longFlags(arguments))
+	root.SetArgs(normalizeFlags(arguments))
 	root.SetOut(stdout)
 	root.SetErr(stderr)
 	command, err := root.ExecuteC()
 	if err == nil {
 		return statusGood
 	}
+	// Errors of writing to stderr are ignored below, because the exit status also reports the failure.
 	var exit exitError
 	if !errors.As(err, &exit) {
-		_, _ = fmt.Fprintf(stderr, "capercove: %v\nusage: %s\n", err, command.UseLine()) // the exit status shows it
+		_, _ = fmt.Fprintf(stderr, "capercove: %v\nusage: %s\n", err, command.UseLine())
 		return statusUsage
 	}
 	if exit.cause != nil {
-		_, _ = fmt.Fprintln(stderr, "capercove:", exit.cause) // the exit status shows it
+		_, _ = fmt.Fprintln(stderr, "capercove:", exit.cause)
 	}
 	return exit.status
 }
@@ -58,7 +59,7 @@
 			"With no argument it serves, as the file that GW_CONFIG names and the operators' file say.",
 		SilenceUsage:     true,
 		SilenceErrors:    true,
-		TraverseChildren: true, // flags belong to the command that they follow
+		TraverseChildren: true, // each command parses the flags that directly follow its name
 
 		DisableFlagsInUseLine: true,
 		Args:                  cobra.ArbitraryArgs,
@@ -68,7 +69,7 @@
 	return root
 }
 
-// requireCommand is the action of a command that only groups sub-commands, where none of them is named.
+// requireCommand returns a usage error for a group of commands that is called without a known sub-command.
 func requireCommand(command *cobra.Command, arguments []string) error {
 	if len(arguments) == 0 {
 		return errors.New("COMMAND is missing")
@@ -108,7 +109,7 @@
 	}
 }
 
-// newVersionCommand returns the command that prints the build.
+// newVersionCommand returns the command that prints the version and revision of the build.
 func newVersionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:                   "version",
@@ -122,7 +123,7 @@
 	}
 }
 
-// printLine prints a line of a command's result.
+// printLine prints a line on the command's standard output. A failed write ends the program with status 1.
 func printLine(command *cobra.Command, line string) error {
 	if _, err := fmt.Fprintln(command.OutOrStdout(), line); err != nil {
 		return exitError{statusFault, err}
@@ -130,8 +131,8 @@
 	return nil
 }
 
-// positional checks positional arguments: their names in order, the first of which are required. Its errors name the
-// first argument that is missing or excess.
+// positional returns a check of positional arguments. The names are in order, and the first of them, up to the number
+// required, are mandatory. The error names the first missing or excess argument.
 func positional(required int, names ...string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, arguments []string) error {
 		switch {
@@ -144,17 +145,18 @@
 	}
 }
 
-// longFlags lets flags of the fleet command be written with one dash as well as with two.
-func longFlags(arguments []string) []string {
+// normalizeFlags returns the arguments with the fleet command's flags in their form with two dashes. The fleet command
+// also accepts one dash. There must be at least one argument.
+func normalizeFlags(arguments []string) []string {
 	if arguments[0] != fleetName {
 		return arguments
 	}
-	long := append([]string{}, arguments...)
-	for i, argument := range long[1:] {
+	normalized := append([]string{}, arguments...)
+	for i, argument := range normalized[1:] {
 		name, _, _ := strings.Cut(argument, "=")
 		if name == "-"+flagAll || name == "-"+flagJSON {
-			long[i+1] = "-" + argument
+			normalized[i+1] = "-" + argument
 		}
 	}
-	return long
+	return normalized
 }
--- a/cmd/capercove/command_test.go
+++ b/cmd/capercove/command_test.go
@@ -11,18 +11,18 @@
 	"capercove/internal/testbed"
 )
 
-// runProgram runs the program with arguments to its end.
+// runProgram runs the program with the arguments and waits until it ends.
 func runProgram(t *testing.T, arguments ...string) (stdout, stderr string, status int) {
 	t.Helper()
 	program := exec.CommandContext(t.Context(), testbed.Binary(t), arguments...)
 	program.Dir = t.TempDir()
 	var out, err bytes.Buffer
 	program.Stdout, program.Stderr = &out, &err
-	_ = program.Run() // the caller looks at the status
+	_ = program.Run() // the caller checks the exit status
 	return out.String(), err.String(), program.ProcessState.ExitCode()
 }
 
-// Each command has a help of its own, on standard output, with status 0.
+// Each command prints its help text on standard output and ends with status 0.
 func TestHelpOfCommands(t *testing.T) {
 	for arguments, usage := range map[string]string{
 		"--help":              "capercove COMMAND",
@@ -46,8 +46,8 @@
 	}
 }
 
-// A wrong command line ends with status 2, and standard error names the argument at fault and the usage.
-func TestWrongCommandLine(t *testing.T) {
+// A wrong command line ends with status 2. Standard error shows the invalid argument and the usage.
+func TestRejectsWrongCommandLine(t *testing.T) {
 	for arguments, want := range map[string][2]string{
 		"odd":                {`unknown command "odd" for "capercove"`, "capercove COMMAND"},
 		"--odd":              {"unknown flag: --odd", "capercove COMMAND"},
@@ -73,8 +73,8 @@
 	}
 }
 
-// If no pooler answers, the fleet command ends with status 2, and standard error names the address. Its flags may have
-// one dash, too.
+// If no pooler answers, the fleet command ends with status 2, and standard error names the address. The command accepts
+// flags with one dash or two.
 func TestFleetCommandWithoutAnswer(t *testing.T) {
 	address := testbed.ReserveAddress(t)
 	for _, flag := range []string{"--all", "--json", "-all", "-json=true", "--all=false"} {
@@ -86,7 +86,7 @@
 	}
 }
 
-// The shell's completion knows all commands and flags.
+// The shell completion offers all commands and flags.
 func TestCompletionOfCommands(t *testing.T) {
 	worksCommands := []string{
 		"abort", "begin", "end", "forget", "history", "pause", "plan", "resume", "skip", "start", "status",
--- a/cmd/capercove/fleet.go
+++ b/cmd/capercove/fleet.go
@@ -10,20 +10,20 @@
 	"capercove/internal/membership/gossip"
 )
 
-// Words of the fleet command. Maintenance commands have the flag for JSON, too.
+// Name and flags of the fleet command. Maintenance commands use flagJSON, too.
 const (
 	fleetName = "fleet"
 	flagAll   = "all"
 	flagJSON  = "json"
 )
 
-// fleetView is what a pooler, or all poolers together, know of the fleet.
+// fleetView is the view of the fleet of one pooler or of all poolers.
 type fleetView interface {
 	Print(out io.Writer, now time.Time)
 }
 
-// newFleetCommand returns the command that prints a pooler's view of the fleet. It ends with status 0 where the views
-// agree, 1 where they do not, and 2 where none is available.
+// newFleetCommand returns the command that prints a pooler's view of the fleet. The command ends with status 0 if the
+// views agree, with 1 if they differ, and with 2 if no view is available.
 func newFleetCommand() *cobra.Command {
 	var all, asJSON bool
 	command := &cobra.Command{
@@ -44,7 +44,8 @@
 	return command
 }
 
-// showFleet prints the view of the pooler whose management address is given, or with all of every pooler that it knows.
+// showFleet prints the view of the pooler with the given management address. If all is true, it queries every pooler in
+// that view and prints their views together.
 func showFleet(command *cobra.Command, address string, all, asJSON bool) error {
 	state, err := gossip.Query(address)
 	if err != nil {
@@ -53,8 +54,8 @@
 	var view fleetView = state
 	agree := state.Agree
 	if all {
-		everyone := gossip.QueryAll(state)
-		view, agree = everyone, everyone.Agree()
+		combined := gossip.QueryAll(state)
+		view, agree = combined, combined.Agree()
 	}
 	if asJSON {
 		text, err := json.MarshalIndent(view, "", " ")
--- a/cmd/capercove/main.go
+++ b/cmd/capercove/main.go
@@ -1,8 +1,8 @@
-// Command capercove is a pooler for PostgreSQL and Flight SQL. With no argument it serves, as the file that GW_CONFIG
-// names and the operators' file say; otherwise it runs a sub-command.
+// Command capercove is a pooler for PostgreSQL and Flight SQL. Without arguments it runs the server. The platform's
+// file, named by GW_CONFIG, and the operators' file configure it. With arguments it runs a sub-command.
 //
-// Exit status: of the server 0 after a graceful shutdown and 1 on an error; of sub-commands 0 if all is well, 1 if
-// something is not, 2 if the command line is wrong or nobody answers.
+// The server ends with status 0 after a graceful shutdown and with 1 on an error. A sub-command ends with status 0 on
+// success, with 1 if it reports a fault, and with 2 if the command line is wrong or no pooler answers.
 package main
 
 import (
@@ -27,7 +27,7 @@
 	}
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	if err := pooler.Run(log); err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "capercove:", err) // there is nowhere to report it if this fails
+		_, _ = fmt.Fprintln(os.Stderr, "capercove:", err) // a failed write to standard error cannot be reported
 		os.Exit(statusFault)
 	}
 }
--- a/cmd/capercove/main_test.go
+++ b/cmd/capercove/main_test.go
@@ -24,7 +24,7 @@
 const goodConfig = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1f",` +
 	`"limits":{"memory_mb":192,"sockets":1024},"known":{"members":[]},"settings":` + testbed.Settings + `}`
 
-// writeFile writes a file of a test's directory, and returns its path.
+// writeFile writes a file into a directory and returns its path.
 func writeFile(t *testing.T, dir, name, text string) string {
 	t.Helper()
 	path := filepath.Join(dir, name)
@@ -32,8 +32,8 @@
 	return path
 }
 
-// requireFailedStart starts the program with two paths and further variables of the environment. It must end with
-// status 1; what it has printed is returned.
+// requireFailedStart starts the program with the paths of the platform's and the operators' file and with further
+// environment variables. It requires exit status 1 and returns the program's output.
 func requireFailedStart(t *testing.T, config, operators string, variables ...string) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testbed.Timeout)
@@ -47,8 +47,8 @@
 	return string(printed)
 }
 
-// An invalid value in the platform's configuration ends the program with status 1, and its key is named.
-func TestInvalidConfiguration(t *testing.T) {
+// An invalid value in the platform's configuration ends the program with status 1. The error names its key.
+func TestRejectsInvalidConfiguration(t *testing.T) {
 	for named, change := range map[string]struct{ from, to string }{
 		"GW_CONFIG":        {goodConfig, "{"},
 		"name":             {`"n0"`, `""`},
@@ -90,8 +90,8 @@
 	}
 }
 
-// An invalid operators' file ends the program with status 1, and its line and key are named.
-func TestInvalidOperatorsFile(t *testing.T) {
+// An invalid operators' file ends the program with status 1. The error names the line and the key.
+func TestRejectsInvalidOperatorsFile(t *testing.T) {
 	flight := "[flight]\nlisten = \"127.0.0.1:3\"\nserver_port = 1\n[flight.servers]\na = \"odd\"\n"
 	store := "[store]\nenabled = true\ndir = \"x\"\n\n[[store.peers]]\nname = \"n0\"\n"
 	for named, text := range map[string]string{
@@ -112,8 +112,9 @@
 	}
 }
 
-// A missing operators' file, and a variable that is no longer read, end the program with status 1 and are named.
-func TestInvalidEnvironment(t *testing.T) {
+// A missing operators' file ends the program with status 1, and so does an environment variable that is no longer read.
+// The error names the file's variable, or the table that replaces the retired variable.
+func TestRejectsInvalidEnvironment(t *testing.T) {
 	dir := t.TempDir()
 	config := writeFile(t, dir, "config.json", goodConfig)
 	printed := requireFailedStart(t, config, filepath.Join(dir, "missing.toml"))
@@ -123,9 +124,9 @@
 	require.Contains(t, printed, "table [flight]")
 }
 
-// An address that another process has taken ends the start with status 1, and the key and the address are named.
-func TestTakenAddress(t *testing.T) {
-	takenAddress := loopback.Listen(t).Addr().String()
+// The start fails with status 1 if an address is in use. The error names the key and the address.
+func TestRejectsAddressInUse(t *testing.T) {
+	usedAddress := loopback.Listen(t).Addr().String()
 	for _, key := range []string{"listen", "management", "flight.listen"} {
 		t.Run(key, func(t *testing.T) {
 			addresses := map[string]string{
@@ -133,7 +134,7 @@
 				"management":    testbed.ReserveAddress(t),
 				"flight.listen": testbed.ReserveAddress(t),
 			}
-			addresses[key] = takenAddress
+			addresses[key] = usedAddress
 			dir := t.TempDir()
 			text := fmt.Sprintf(`{"name":"n0","listen":%q,"management":%q,"discovery":"127.0.0.1:2","seed":"1f",`+
 				`"limits":{"memory_mb":192,"sockets":1024},"known":{"members":[]},"settings":`,
@@ -141,19 +142,19 @@
 			config := writeFile(t, dir, "config.json", text+testbed.Settings+`}`)
 			tables := fmt.Sprintf("[flight]\nlisten = %q\nserver_port = 1\n", addresses["flight.listen"])
 			printed := requireFailedStart(t, config, writeFile(t, dir, "own.toml", tables), "TMPDIR="+dir)
-			named := `(?m)^capercove: .*` + regexp.QuoteMeta(key) + `: .*` + regexp.QuoteMeta(takenAddress)
+			named := `(?m)^capercove: .*` + regexp.QuoteMeta(key) + `: .*` + regexp.QuoteMeta(usedAddress)
 			require.Regexp(t, named, printed)
 		})
 	}
 }
 
-// An address that another process releases a moment later does not end the start.
-func TestAddressIsTakenForAMoment(t *testing.T) {
-	const moment = 300 * time.Millisecond
+// An address that is in use for a short time only does not fail the start.
+func TestStartRetriesAddressInUse(t *testing.T) {
+	const releaseDelay = 300 * time.Millisecond
 	bed := testbed.Start(t, testbed.WithFlight, func(b *testbed.Bed) {
 		for _, address := range []string{b.Addr, b.Management, b.Flight} {
 			testbed.Release(t, address)
-			bindFor(t, address, moment)
+			bindFor(t, address, releaseDelay)
 		}
 	})
 	require.True(t, bed.Client().Ask(bed.Statement("read", "k", testbed.Timeout)).Complete)
@@ -163,19 +164,20 @@
 	}, "operators are answered")
 }
 
-// bindFor binds an address for a while, without listening there: connections to it are refused.
-func bindFor(t *testing.T, address string, span time.Duration) {
+// bindFor binds an address for the given duration, without listening. Connections to the address are refused.
+func bindFor(t *testing.T, address string, duration time.Duration) {
 	t.Helper()
 	parsed, err := netip.ParseAddrPort(address)
 	require.NoError(t, err)
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Port: int(parsed.Port()), Addr: parsed.Addr().As4()}))
-	time.AfterFunc(span, func() { _ = unix.Close(fd) }) // a failure shows as an address that stays taken
+	time.AfterFunc(duration, func() { _ = unix.Close(fd) }) // after a failed close the address stays in use
 }
 
-// The commands check files and print the version, and anything else is a usage error. None of them serves.
-func TestCommands(t *testing.T) {
+// The commands check a file or print the version, and an unknown command is a usage error. None of them starts the
+// server.
+func TestCommandsEndWithoutServing(t *testing.T) {
 	run := func(arguments ...string) (printed string, status int) {
 		t.Helper()
 		stdout, stderr, status := runProgram(t, arguments...)
@@ -199,9 +201,9 @@
 	require.Equal(t, 2, status)
 }
 
-// Features that are off cost an idle pooler almost nothing: the smallest machine grants it 32 MB, and half of that has
-// to be enough for all its work.
-func TestIdleMemory(t *testing.T) {
+// Disabled features use almost no memory in an idle pooler. The smallest machine grants the pooler 32 MB, and half of
+// that must be enough for all its work.
+func TestIdleMemoryIsBounded(t *testing.T) {
 	bed := testbed.Start(t)
 	bed.Client().Ask(bed.Statement("read", "k", testbed.AnswerTimeout))
 	require.Less(t, bed.AnonymousMemory(), 8<<20)
--- a/cmd/capercove/maintenance.go
+++ b/cmd/capercove/maintenance.go
@@ -9,8 +9,8 @@
 	"capercove/internal/maintenance/agent"
 )
 
-// maintenanceVerbs are the commands of planned maintenance, each with the names of its arguments and its flags.
-var maintenanceVerbs = []struct {
+// maintenanceCommands are the sub-commands of planned maintenance, each with the names of its arguments and flags.
+var maintenanceCommands = []struct {
 	name, short string
 	arguments   []string
 	flags       []string
@@ -28,13 +28,13 @@
 	{"forget", "Wait no longer for a pooler that will not come back", []string{"POOLER", "ADDR"}, nil},
 }
 
-// maintenanceFlags describes the flags of the commands above.
+// maintenanceFlags maps the flags of maintenanceCommands to their help texts.
 var maintenanceFlags = map[string]string{
 	flagJSON: "print JSON",
 	"watch":  "go on printing changes until the plan has ended",
 }
 
-// newMaintenanceCommand returns the command of planned maintenance, with a command below it for each verb.
+// newMaintenanceCommand returns the command of planned maintenance with its sub-commands.
 func newMaintenanceCommand() *cobra.Command {
 	group := &cobra.Command{
 		Use:                   "works COMMAND",
@@ -43,7 +43,7 @@
 		Args:                  cobra.ArbitraryArgs,
 		RunE:                  requireCommand,
 	}
-	for _, verb := range maintenanceVerbs {
+	for _, verb := range maintenanceCommands {
 		use := verb.name
 		for _, name := range verb.flags {
 			use += " [--" + name + "]"
@@ -55,7 +55,7 @@
 			Use:                   use,
 			Short:                 verb.short,
 			DisableFlagsInUseLine: true,
-			DisableFlagParsing:    true, // the agent's package parses the arguments
+			DisableFlagParsing:    true, // agent.Command parses the arguments
 			RunE: func(command *cobra.Command, arguments []string) error {
 				return runMaintenance(command, verb.name, arguments, verb.arguments)
 			},
@@ -68,15 +68,16 @@
 	return group
 }
 
-// runMaintenance passes a command to the agent's package, and names the argument at fault if it is not accepted.
+// runMaintenance runs a sub-command through agent.Command. If agent.Command does not accept the arguments,
+// runMaintenance returns a usage error that names the invalid argument.
 func runMaintenance(command *cobra.Command, verb string, arguments, names []string) error {
 	for _, help := range []string{"-h", "-help", "--help"} {
 		if slices.Contains(arguments, help) {
 			return command.Help()
 		}
 	}
-	status, taken := agent.Command(append([]string{verb}, arguments...), command.OutOrStdout())
-	if taken {
+	status, accepted := agent.Command(append([]string{verb}, arguments...), command.OutOrStdout())
+	if accepted {
 		if status != statusGood {
 			return exitError{status: status}
 		}
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost hosts routers for the simulator: it reads batches of events on standard input and writes one reply
-// to each on standard output.
+// Command wirehost hosts routers for the simulator. It reads batches of events from standard input and writes one reply
+// per batch to standard output.
 package main
 
 import (
