--- a/internal/management/figures.go
+++ b/internal/management/figures.go
@@ -9,16 +9,18 @@
 	"capercove/internal/core"
 )
 
-// figures is a text of figures, one a line: its name with "app." before, "=" and its value.
+// figures builds the text of the telemetry. Each line is app.NAME=VALUE.
 type figures struct{ text strings.Builder }
 
+// count adds the line of a counter or gauge. The name lacks the prefix "app.".
 func (f *figures) count(name string, value int64) { f.add("app.%s=%d\n", name, value) }
 
+// add appends formatted text, which includes the prefix and the end of the line.
 func (f *figures) add(format string, arguments ...any) {
-	_, _ = fmt.Fprintf(&f.text, format, arguments...) // a strings.Builder takes all
+	_, _ = fmt.Fprintf(&f.text, format, arguments...) // a strings.Builder returns no error
 }
 
-// figureLines returns the pooler's figures. Their names are a contract with those who read them.
+// figureLines returns the pooler's figures, one per line. Their names are an interface that monitoring relies on.
 func figureLines(values core.Figures, exclusionsUnsaved int) string {
 	var lines figures
 	for _, name := range slices.Sorted(maps.Keys(values.Classes)) {
@@ -40,7 +42,7 @@
 	return lines.text.String()
 }
 
-// admission adds the admission controller's figures.
+// admission adds the figures of admission control. The sojourn times are in milliseconds.
 func (f *figures) admission(values *core.AdmissionFigures) {
 	count := &values.Count
 	f.count("door.queued", int64(values.Queued))
--- a/internal/management/serve_test.go
+++ b/internal/management/serve_test.go
@@ -17,23 +17,23 @@
 	"capercove/internal/testbed/loopback"
 )
 
-// second is long enough for any answer that comes at all.
-const second = time.Second
+// answerTimeout is long enough for each answer that these tests expect.
+const answerTimeout = time.Second
 
-// ready is a pooler that is ready. Its other methods are not called.
-type ready struct{ management.Pooler }
+// readyPooler is a pooler that reports to be ready. Only its method Figures may be called.
+type readyPooler struct{ management.Pooler }
 
-func (ready) Figures() core.Figures { return core.Figures{Ready: true} }
+func (readyPooler) Figures() core.Figures { return core.Figures{Ready: true} }
 
-// An accept that fails does not end the server, whether net/http takes the error for temporary or not.
+// A failed accept does not end the server, neither for an error that net/http treats as temporary nor for any other.
 func TestServeContinuesAfterFailedAccepts(t *testing.T) {
 	listener := loopback.Listen(t)
 	listening := &failing.Listener{Listener: listener, Errors: []syscall.Errno{
 		syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 		syscall.ENETDOWN, syscall.ECONNABORTED, syscall.EPERM, syscall.EMFILE,
 	}}
-	bounds := limits.Management{MaxConnections: 1, RequestTimeout: second, CallTimeout: second}
-	server := management.New(bounds, zerolog.Nop(), ready{})
+	bounds := limits.Management{MaxConnections: 1, RequestTimeout: answerTimeout, CallTimeout: answerTimeout}
+	server := management.New(bounds, zerolog.Nop(), readyPooler{})
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(listening) }()
 	require.Equal(t, http.StatusOK, loopback.GetStatus(t, listener, "/api/ready"))
--- a/internal/management/telemetry_test.go
+++ b/internal/management/telemetry_test.go
@@ -13,8 +13,8 @@
 	"capercove/internal/testbed"
 )
 
-// holdUnfinishedCallers opens so many operators' connections, each with a request that is not finished.
-func holdUnfinishedCallers(t *testing.T, bed *testbed.Bed, count int) {
+// openUnfinishedRequests opens count connections to the management address and sends an incomplete request on each.
+func openUnfinishedRequests(t *testing.T, bed *testbed.Bed, count int) {
 	t.Helper()
 	for range count {
 		connection, err := new(net.Dialer).DialContext(t.Context(), "tcp", bed.Management)
@@ -25,7 +25,8 @@
 	}
 }
 
-// showsFigures returns whether the telemetry has these figures, and as many written statements as the counters.
+// showsFigures reports whether the telemetry contains the figures, and the same number of sent statements as the
+// program's counters.
 func showsFigures(bed *testbed.Bed, figures ...string) bool {
 	bed.T.Helper()
 	shown := telemetry(bed)
@@ -38,29 +39,31 @@
 	return strings.Contains(shown, fmt.Sprintf("app.upstream_requests=%d\n", written))
 }
 
-// silenceAllowed has databases that are silent for as long as a test may take count as available.
-func silenceAllowed(bed *testbed.Bed) {
+// withLongDeadlines sets the latency objective and the deadline of class report to ten minutes. A database that doesn't
+// answer then counts as available for the whole test.
+func withLongDeadlines(bed *testbed.Bed) {
 	bed.Settings = strings.Replace(bed.Settings,
 		`"aimMs":5000,"deadlineMs":10000`, `"aimMs":600000,"deadlineMs":600000`, 1)
 }
 
-// The figures are those of the counters, for each class. Callers that do not finish their requests prevent no others.
-func TestTelemetry(t *testing.T) {
+// The telemetry shows the counters of each class. Operators' connections with unfinished requests don't block other
+// requests.
+func TestTelemetryShowsCounters(t *testing.T) {
 	const pendingTime = 10 * testbed.Timeout
-	bed := testbed.Start(t, silenceAllowed)
-	holdUnfinishedCallers(t, bed, 40)
+	bed := testbed.Start(t, withLongDeadlines)
+	openUnfinishedRequests(t, bed, 40)
 	client := bed.Client()
 	for range 5 {
 		require.True(t, client.Ask(bed.Statement("write", "a", testbed.Timeout)).Complete)
 	}
 	require.NotEmpty(t, client.Ask(bed.Statement("write", "fail", testbed.Timeout)).Code)
-	rejected := client.Ask(bed.Statement("write", "full", testbed.Timeout)) // ends with the last retry
+	rejected := client.Ask(bed.Statement("write", "full", testbed.Timeout)) // the answer follows the last retry
 	require.Equal(t, pg.CodeTooManyConnections, rejected.Code)
 	bed.Signal(syscall.SIGHUP)
-	bed.AwaitLine("reload: done", "the first is taken")
+	bed.AwaitLine("reload: done", "the first reload is done")
 	bed.Configure("{")
 	bed.Signal(syscall.SIGHUP)
-	require.NotEmpty(t, telemetry(bed), "answered after callers that do not finish")
+	require.NotEmpty(t, telemetry(bed), "answered in spite of unfinished requests")
 	bed.Client().Send(testbed.Query(bed.Statement("report", "hang", pendingTime)))
 	bed.Eventually(func() bool {
 		return showsFigures(bed,
@@ -68,6 +71,6 @@
 			"downstream_requests.write.rejected=1", "downstream_requests.read.completed=0", "pending=1",
 			"members=2", "members_unavailable=0", "config_reloads=1", "config_reload_errors=1",
 		)
-	}, "the figures")
-	require.Equal(t, 1, bed.Sent("hang"), "it was pending all the time")
+	}, "the telemetry shows the figures")
+	require.Equal(t, 1, bed.Sent("hang"), "the statement was pending all the time")
 }
--- a/internal/management/unsaved_test.go
+++ b/internal/management/unsaved_test.go
@@ -17,8 +17,8 @@
 	"capercove/internal/testbed"
 )
 
-// holdLock takes the lock of the exclusions' file, as a process does that is stopped while it has it.
-func holdLock(bed *testbed.Bed) (release func()) {
+// lockExclusions acquires the lock of the exclusions file, like a process that is stopped before it releases the lock.
+func lockExclusions(bed *testbed.Bed) (release func()) {
 	bed.T.Helper()
 	lock, err := filelock.Open(filepath.Join(bed.Dir, testbed.ExclusionsFile+".lock"), testbed.Timeout)
 	require.NoError(bed.T, err)
@@ -28,7 +28,7 @@
 	}
 }
 
-// unsaved returns the figure of exclusions that are not on disk yet.
+// unsaved returns the telemetry's number of exclusions that are not on disk yet.
 func unsaved(b *testbed.Bed) string {
 	b.T.Helper()
 	_, rest, _ := strings.Cut(telemetry(b), "app.bans_unsaved=")
@@ -36,14 +36,14 @@
 	return count
 }
 
-// An exclusion that cannot be saved applies all the same, is counted and logged, is passed on to the process of an
-// upgrade, and can be ended. It is saved once that is possible.
-func TestExclusionThatCannotBeSaved(t *testing.T) {
+// An exclusion that cannot be saved still applies. It is counted and logged, an upgrade passes it to the new process,
+// and it can be revoked. It is saved once the file can be written.
+func TestUnsavedExclusionApplies(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		begin func(b *testbed.Bed) (end func())
 	}{
-		{"another process has the lock and is stopped", holdLock},
+		{"another process has the lock and is stopped", lockExclusions},
 		{"no byte can be written", func(b *testbed.Bed) func() {
 			none := unix.Rlimit{Max: unix.RLIM_INFINITY}
 			require.NoError(b.T, unix.Prlimit(b.Process().Pid, unix.RLIMIT_FSIZE, &none, nil))
@@ -76,10 +76,10 @@
 			bed.Eventually(func() bool {
 				requireServed(t, bed, client, 1)
 				return len(excluded.Statements()) > 0
-			}, "it is used again")
+			}, "the included database receives statements again")
 			bed.SetExcluded("db-1", true)
 			end()
-			bed.Eventually(func() bool { return unsaved(bed) == "0" }, "it is saved")
+			bed.Eventually(func() bool { return unsaved(bed) == "0" }, "the exclusion is saved")
 			require.Contains(t, testbed.ReadExclusions(t, bed.Dir), "db-1")
 			left, err := filepath.Glob(filepath.Join(bed.Dir, testbed.ExclusionsFile+"*.new"))
 			require.NoError(t, err)
@@ -88,11 +88,11 @@
 	}
 }
 
-// A process that shuts down with an exclusion that is neither saved nor handed over keeps trying to save it until its
-// shutdown timeout.
-func TestShutdownWithUnsavedExclusion(t *testing.T) {
+// An exclusion may be neither saved nor passed to a new process when the pooler shuts down. The pooler then retries to
+// save it until the shutdown timeout.
+func TestShutdownRetriesUnsavedExclusion(t *testing.T) {
 	bed := testbed.Start(t, testbed.WithListener)
-	release := holdLock(bed)
+	release := lockExclusions(bed)
 	require.NoError(t, os.MkdirAll(filepath.Join(bed.Dir, testbed.ExclusionsFile+".pending.new", "in the way"), 0o700))
 	bed.SetExcluded("db-1", true)
 	bed.Signal(syscall.SIGTERM)
@@ -100,19 +100,19 @@
 	go func() { ended <- bed.Wait() }()
 	select {
 	case err := <-ended:
-		require.Fail(t, "it has ended", "%v", err)
-	case <-time.After(second): // of 3.5 s
+		require.Fail(t, "the pooler ended before it saved the exclusion", "%v", err)
+	case <-time.After(answerTimeout): // less than the shutdown timeout, 3.5 s
 	}
 	release()
 	require.NoError(t, <-ended)
 	require.Contains(t, testbed.ReadExclusions(t, bed.Dir), "db-1")
 }
 
-// An exclusion with a time in the future, as after a clock step, gives the primary no grace period: a process that
-// starts with it sends no write there.
-func TestExclusionFromTheFuture(t *testing.T) {
+// An exclusion of the primary may have a time in the future, for example after a clock step. It gives the primary no
+// grace period: a process that starts with such an exclusion sends no write to the primary.
+func TestExclusionWithFutureTimeAppliesAtOnce(t *testing.T) {
 	bed := testbed.Start(t)
-	require.True(t, bed.Client().Ask(bed.Statement("write", "a", second)).Complete)
+	require.True(t, bed.Client().Ask(bed.Statement("write", "a", answerTimeout)).Complete)
 	bed.Signal(syscall.SIGKILL)
 	require.Error(t, bed.Wait())
 	inAnHour := clock.Monotonic()() + time.Hour
@@ -120,6 +120,6 @@
 	require.NoError(t, os.WriteFile(filepath.Join(bed.Dir, testbed.ExclusionsFile), []byte(entry), 0o600))
 	before := len(bed.Databases[0].Statements())
 	bed.Run()
-	require.False(t, bed.Client().Ask(bed.Statement("write", "a", second/4)).Complete)
+	require.False(t, bed.Client().Ask(bed.Statement("write", "a", answerTimeout/4)).Complete)
 	require.Len(t, bed.Databases[0].Statements(), before)
 }
